--- a/internal/controller/backends/backends.go
+++ b/internal/controller/backends/backends.go
@@ -42,7 +42,7 @@
 	for _, m := range view.Live() {
 		for _, a := range m.Announcements {
 			servers = append(servers, &backend.Server{
-				ID:               backend.ID{Host: m.Host, Boot: m.Boot, Service: a.Service, Life: a.Life},
+				ID:               backend.ID{Host: m.Host, Boot: m.Boot, Service: a.Service, Life: a.Instance},
 				AvailabilityZone: m.AvailabilityZone,
 				Region:           m.Region,
 				PeerAddr:         m.PeerAddr,
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -59,7 +59,7 @@
 		withheld, withheldChanged := c.Board.Withheld.Watch()
 		next := announcedBy(local, phase, withheld)
 		if next != last {
-			c.Membership.SetLocal(next.announcements(local, c.Now()), next.hostDraining)
+			c.Membership.SetLocalState(next.announcements(local, c.Now()), next.hostDraining)
 			last = next
 		}
 		select {
@@ -135,6 +135,6 @@
 		return nil
 	}
 	return []membership.Announcement{{
-		Service: a.service, Slots: a.slots, Draining: a.draining, Age: now.Sub(local.FirstSeen), Life: a.life, Version: a.version,
+		Service: a.service, Slots: a.slots, Draining: a.draining, Age: now.Sub(local.FirstSeen), Instance: a.life, Version: a.version,
 	}}
 }
--- a/internal/controller/members/members_test.go
+++ b/internal/controller/members/members_test.go
@@ -55,7 +55,7 @@
 
 		views := 0
 		announce := func(slots int) {
-			m.SetLocal([]membership.Announcement{{Service: "signs", Slots: slots}}, false)
+			m.SetLocalState([]membership.Announcement{{Service: "signs", Slots: slots}}, false)
 			_, changed := c.Board.Members.Watch()
 			time.Sleep(publishGap / 4)
 			select {
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -139,7 +139,7 @@
 			continue
 		}
 		if a := d.membership.View().Self.Announcements; len(a) == 1 {
-			return a[0].Life
+			return a[0].Instance
 		}
 	}
 	return 0
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -226,7 +226,7 @@
 	o.Logger = d.logger
 	p.spreader = spread.New(o)
 	p.distribute.Spreader = p.spreader
-	p.membership.OnHeard(p.spreader.Heard)
+	p.membership.OnOffset(p.spreader.Heard)
 	p.buildStreams(d)
 	p.members = &members.Controller{Board: d.board, Membership: p.membership, Now: time.Now}
 	p.apply = &apply.Controller{Board: d.board, Logger: d.logger, InForce: telemetry.NewInForce(d.registry)}
--- a/internal/daemon/view_bench_test.go
+++ b/internal/daemon/view_bench_test.go
@@ -22,7 +22,7 @@
 			Host: fmt.Sprintf("sidecar-%04d", j), Boot: uint64(j + 1), Incarnation: 1, Liveness: membership.Alive,
 			AvailabilityZone: fmt.Sprintf("zone-%d", j%6), Region: "region",
 			PeerAddr:      netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(j >> 8), byte(j)}), 7400),
-			Announcements: []membership.Announcement{{Service: fmt.Sprintf("service-%d", j%4/3), Slots: 7, Life: 1}},
+			Announcements: []membership.Announcement{{Service: fmt.Sprintf("service-%d", j%4/3), Slots: 7, Instance: 1}},
 			Since:         time.Unix(1000, 0),
 		}
 	}
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -52,7 +52,7 @@
 		packets, bytes := f.packets, f.bytes
 		for i := 0; b.Loop(); i++ {
 			src := f.nodes[i%n]
-			src.SetLocal([]Announcement{{Service: "sign-feed", Slots: 10, Draining: i%2 == 0}}, false)
+			src.SetLocalState([]Announcement{{Service: "sign-feed", Slots: 10, Draining: i%2 == 0}}, false)
 			worst = max(worst, f.run(10*time.Second, f.everyone(src, func(e *entry) bool {
 				return e.incarnation == src.self.incarnation
 			})))
@@ -167,7 +167,7 @@
 	all := &memberpb.Table{Host: "host-0000", Boot: 1, Digests: make([]uint64, bucketCount)}
 	for i, nd := range f.nodes {
 		service := fmt.Sprintf("service-%02d", i%26)
-		nd.SetLocal([]Announcement{{Service: service, Slots: 10, Age: time.Hour}}, false)
+		nd.SetLocalState([]Announcement{{Service: service, Slots: 10, Age: time.Hour}}, false)
 		nd.SetOffset(100_000)
 		all.Members = append(all.Members, encodeMember(nd.self, true))
 	}
@@ -277,7 +277,7 @@
 	must.LessEq(t, 90*n*10, f.bytes-bytes)
 
 	packets, bytes = f.packets, f.bytes
-	f.nodes[0].SetLocal([]Announcement{{Service: "sign-feed", Slots: 10}}, false)
+	f.nodes[0].SetLocalState([]Announcement{{Service: "sign-feed", Slots: 10}}, false)
 	f.runFor(2*time.Second, nil)
 	must.LessEq(t, 16*n, f.packets-packets)
 	must.LessEq(t, 1400*n, f.bytes-bytes)
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -205,7 +205,7 @@
 			Slots:    int(a.GetSlots()),
 			Draining: a.GetDraining(),
 			Age:      time.Duration(a.GetAgeMs()) * time.Millisecond,
-			Life:     a.GetLife(),
+			Instance: a.GetLife(),
 			Version:  a.GetVersion(),
 		}
 	}
@@ -263,7 +263,7 @@
 			Slots:    uint32(a.Slots),
 			Draining: a.Draining,
 			AgeMs:    milliseconds(a.Age),
-			Life:     a.Life,
+			Life:     a.Instance,
 			Version:  a.Version,
 		})
 	}
--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -14,7 +14,7 @@
 func goodPacket(t testing.TB) []byte {
 	f := newFleet(t, 1)
 	nd := f.nodes[0]
-	nd.SetLocal([]Announcement{{Service: "sign-feed", Slots: 10, Age: time.Minute}}, false)
+	nd.SetLocalState([]Announcement{{Service: "sign-feed", Slots: 10, Age: time.Minute}}, false)
 	nd.update(nd.announce)
 	nd.update(func(time.Time) {
 		nd.sendPing(nd.addr, "host-0001", 7)
@@ -32,7 +32,7 @@
 	for range 3 * maxAnnouncements {
 		list = append(list, Announcement{Service: string(make([]byte, maxNameBytes)), Slots: 1, Age: time.Second})
 	}
-	nd.SetLocal(list, true)
+	nd.SetLocalState(list, true)
 	must.SliceNotEmpty(t, nd.self.info.announcements)
 	m := encodeMember(nd.self, true)
 	must.LessEq(t, maxRecordBytes, proto.Size(m))
@@ -87,7 +87,7 @@
 	}
 	must.Len(t, 10, nd.table.order)
 	must.Eq(t, 92, f.rejected[RejectFull])
-	f.nodes[1].SetLocal(nil, true)
+	f.nodes[1].SetLocalState(nil, true)
 	f.run(2*time.Second, func() bool { return nd.View().Find(f.nodes[1].self.host).Draining })
 }
 
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -60,7 +60,7 @@
 	fleet := &tables{byAddr: map[netip.AddrPort]*membership.Membership{}}
 	first, contact := fleet.start(ctx, "host-1", 7)
 	second, _ := fleet.start(ctx, "host-2", 8)
-	second.SetLocal([]membership.Announcement{{Service: "sign-feed", Slots: 10}}, false)
+	second.SetLocalState([]membership.Announcement{{Service: "sign-feed", Slots: 10}}, false)
 	_, _ = first.Join(ctx, nil)
 	if _, err := second.Join(ctx, []membership.Contact{{Addr: contact}}); err != nil {
 		panic(err)
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -198,7 +198,7 @@
 	const n = 16
 	f := newJoinedFleet(t, n)
 	f.cut = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
-	hold := f.nodes[0].opts.HoldTimeout
+	hold := f.nodes[0].opts.PartitionTimeout
 	f.runFor(hold+time.Minute, nil)
 	for _, nd := range f.nodes {
 		must.Eq(t, n/testRegions, nd.count(Dead))
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -21,8 +21,8 @@
 // maxRememberedContacts bounds the contacts kept for healing a cut.
 const maxRememberedContacts = 64
 
-// HeardFunc is told of the configuration offset that a member has in force.
-type HeardFunc func(host string, peerAddr netip.AddrPort, offset uint64)
+// OffsetFunc is told of the configuration offset that a member has in force.
+type OffsetFunc func(host string, peerAddr netip.AddrPort, offset uint64)
 
 // Membership is one daemon's part in the protocol. It is safe for concurrent
 // use. All state is under one lock; what is sent leaves after the lock is
@@ -51,7 +51,7 @@
 	sync     syncer
 	repairs  map[string]*repair
 	contacts []Contact
-	onHeard  HeardFunc
+	onHeard  OffsetFunc
 
 	lastTick   time.Time
 	lastGossip time.Time
--- a/membership/notes_test.go
+++ b/membership/notes_test.go
@@ -30,11 +30,11 @@
 	for _, n := range []int{64, 295} {
 		f := newZonedFleet(t, n, 6)
 		for i, nd := range f.nodes {
-			nd.SetLocal(serving(i), false)
+			nd.SetLocalState(serving(i), false)
 		}
 		f.runFor(3*time.Second, nil)
 		for i := 0; i < n; i += 3 {
-			f.nodes[i].SetLocal(nil, false)
+			f.nodes[i].SetLocalState(nil, false)
 			f.nodes[i].SetNotes([][]byte{crashNote(i)})
 			f.step()
 		}
@@ -74,7 +74,7 @@
 func TestNotes_LeaveTheAnnouncementAsItIs(t *testing.T) {
 	f := newZonedFleet(t, 4, 2)
 	told, other := f.nodes[0], f.nodes[1]
-	told.SetLocal(serving(0), false)
+	told.SetLocalState(serving(0), false)
 	f.runFor(10*time.Second, nil)
 	started := func() time.Time {
 		m := other.View().Find(told.self.host)
@@ -91,7 +91,7 @@
 	got := len(other.View().Find(told.self.host).Notes)
 	must.Between(t, 1, got, 6)
 	longer := append(serving(0), Announcement{Service: string(bytes.Repeat([]byte{'s'}, maxNameBytes)), Slots: 1})
-	told.SetLocal(longer, false)
+	told.SetLocalState(longer, false)
 	f.run(contact, func() bool { return len(other.View().Find(told.self.host).Announcements) == 2 })
 	must.LessEq(t, got, len(other.View().Find(told.self.host).Notes))
 }
--- a/membership/offsets.go
+++ b/membership/offsets.go
@@ -8,9 +8,9 @@
 	m.raiseOffset(m.self, offset)
 }
 
-// NoteOffset records the offset that a member was heard to have in force by
+// ObserveOffset records the offset that a member was heard to have in force by
 // another way than probes, such as a push or pull of configuration.
-func (m *Membership) NoteOffset(host string, boot, offset uint64) {
+func (m *Membership) ObserveOffset(host string, boot, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e := m.table.get(host); e != nil && e.boot == boot {
@@ -54,9 +54,9 @@
 	return highest
 }
 
-// OnHeard sets the function that is called with the offset in each packet from
+// OnOffset sets the function that is called with the offset in each packet from
 // a known member. It must be set before Run and must not block.
-func (m *Membership) OnHeard(f HeardFunc) {
+func (m *Membership) OnOffset(f OffsetFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.onHeard = f
--- a/membership/options.go
+++ b/membership/options.go
@@ -49,10 +49,10 @@
 	ProbeTimeout time.Duration
 	// SuspicionTimeout is how long a member stays Suspect before it is Dead.
 	SuspicionTimeout time.Duration
-	// HoldTimeout replaces SuspicionTimeout while a large share of a zone or
+	// PartitionTimeout replaces SuspicionTimeout while a large share of a zone or
 	// region is Suspect, or while this daemon's own probes find nobody: it
 	// bounds how long a cut may last before the other side is Dead.
-	HoldTimeout time.Duration
+	PartitionTimeout time.Duration
 	// GossipInterval is the time between two rounds of gossip while there are
 	// updates to pass on.
 	GossipInterval time.Duration
@@ -90,7 +90,7 @@
 		ProbeInterval:      time.Second,
 		ProbeTimeout:       300 * time.Millisecond,
 		SuspicionTimeout:   4 * time.Second,
-		HoldTimeout:        10 * time.Minute,
+		PartitionTimeout:   10 * time.Minute,
 		GossipInterval:     200 * time.Millisecond,
 		HealInterval:       30 * time.Second,
 		TombstoneRetention: 24 * time.Hour,
@@ -122,7 +122,7 @@
 		return errors.New("packets and sync must be given")
 	case o.ProbeTimeout <= 0 || o.ProbeInterval <= o.ProbeTimeout:
 		return errors.New("probe interval must exceed the probe timeout")
-	case o.SuspicionTimeout <= 0 || o.HoldTimeout < o.SuspicionTimeout:
+	case o.SuspicionTimeout <= 0 || o.PartitionTimeout < o.SuspicionTimeout:
 		return errors.New("hold timeout must be at least the suspicion timeout")
 	case o.GossipInterval <= 0 || o.HealInterval <= 0 || o.TombstoneRetention <= 0:
 		return errors.New("intervals must be above 0")
--- a/membership/own.go
+++ b/membership/own.go
@@ -11,10 +11,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// SetLocal tells the others what runs on this host. Nothing is sent where the
+// SetLocalState tells the others what runs on this host. Nothing is sent where the
 // announcements differ from the ones before in a grown age alone. Announcements
 // that do not fit into a datagram with the others are left out.
-func (m *Membership) SetLocal(announcements []Announcement, draining bool) {
+func (m *Membership) SetLocalState(announcements []Announcement, draining bool) {
 	m.update(func(now time.Time) {
 		fits := m.fitting(announcements)
 		if m.self.info.draining == draining && sameAnnouncements(m.self.info.announcements, fits) {
@@ -118,7 +118,7 @@
 func sameAnnouncements(old, new []Announcement) bool {
 	return slices.EqualFunc(old, new, func(a, b Announcement) bool {
 		// A lower age means that the backend server is another one.
-		return a.Service == b.Service && a.Slots == b.Slots && a.Draining == b.Draining && a.Life == b.Life && a.Version == b.Version &&
+		return a.Service == b.Service && a.Slots == b.Slots && a.Draining == b.Draining && a.Instance == b.Instance && a.Version == b.Version &&
 			a.Age <= b.Age
 	})
 }
--- a/membership/run_test.go
+++ b/membership/run_test.go
@@ -76,7 +76,7 @@
 		m := d.start(t, i)
 		members = append(members, m)
 		if i == 0 {
-			m.OnHeard(func(host string, _ netip.AddrPort, offset uint64) {
+			m.OnOffset(func(host string, _ netip.AddrPort, offset uint64) {
 				if host == "host-1" && offset == 42 {
 					select {
 					case heard <- offset:
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -20,7 +20,7 @@
 	f.runFor(2*time.Second, nil)
 	src, deaf := f.nodes[1], f.nodes[2]
 	f.cut = func(_, to *node) bool { return to == deaf }
-	src.SetLocal(nil, true)
+	src.SetLocalState(nil, true)
 	f.runFor(2*time.Second, nil)
 	f.cut = nil
 	must.False(t, deaf.View().Find(src.self.host).Draining)
@@ -32,7 +32,7 @@
 func TestNoExchangeWhileNewsSpreads(t *testing.T) {
 	f := newJoinedFleet(t, 2)
 	nd, other := f.nodes[0], f.nodes[1]
-	other.SetLocal(nil, true)
+	other.SetLocalState(nil, true)
 	nd.compareDigest(other.table.digests.sum(), other.addr, f.now)
 	must.True(t, nd.sync.want.IsValid())
 	f.now = f.now.Add(tickInterval)
@@ -59,7 +59,7 @@
 	f.runFor(3*time.Second, noise)
 	leaving := []Announcement{{Service: "site-ops", Slots: 10, Draining: true}}
 	for _, src := range f.nodes[:8] {
-		src.SetLocal(leaving, true)
+		src.SetLocalState(leaving, true)
 		f.run(800*time.Millisecond, func() bool {
 			noise()
 			for _, nd := range f.nodes {
@@ -74,7 +74,7 @@
 	f.runFor(4*time.Second, nil)
 	bytes := f.bytes
 	leaving[0].Age = time.Hour
-	f.nodes[0].SetLocal(leaving, true)
+	f.nodes[0].SetLocalState(leaving, true)
 	f.runFor(10*time.Second, nil)
 	must.LessEq(t, 100, (f.bytes-bytes)/n/10)
 	must.Zero(t, f.syncs)
@@ -99,7 +99,7 @@
 		}
 	}
 	f.runFor(2*time.Second, flood)
-	f.nodes[3].SetLocal(nil, true)
+	f.nodes[3].SetLocalState(nil, true)
 	f.run(2*time.Second, func() bool { flood(); return f.agree(n) && f.nodes[n-1].View().Members[3].Draining })
 	for _, reason := range []RejectReason{RejectLarge, RejectMalformed, RejectVersion, RejectInvalid} {
 		must.Positive(t, f.rejected[reason])
--- a/membership/start_test.go
+++ b/membership/start_test.go
@@ -77,7 +77,7 @@
 	const n = fullSyncMembers + 1
 	f := newJoinedFleet(t, n)
 	for _, nd := range f.nodes {
-		nd.NoteOffset("host-0004", 5, 100)
+		nd.ObserveOffset("host-0004", 5, 100)
 		nd.sync.tokens, nd.sync.refilled = 0, f.now
 	}
 	again := f.start(4, 4, 1000)
--- a/membership/suspicion.go
+++ b/membership/suspicion.go
@@ -78,7 +78,7 @@
 			continue
 		}
 		held := degraded || counts.correlated(e)
-		if held && now.Sub(e.suspectedAt) < m.opts.HoldTimeout {
+		if held && now.Sub(e.suspectedAt) < m.opts.PartitionTimeout {
 			e.deadline = now.Add(releaseFactor * m.opts.SuspicionTimeout)
 			continue
 		}
--- a/membership/view.go
+++ b/membership/view.go
@@ -43,9 +43,9 @@
 	// Age is the time since the server first announced itself, when the
 	// announcement was last changed.
 	Age time.Duration
-	// Life tells this life of the server from others beside the same daemon; 0
+	// Instance tells this life of the server from others beside the same daemon; 0
 	// where the server has no id.
-	Life uint32
+	Instance uint32
 	// Version is a digest of the version that the server announced, 0 where it announced
 	// none.
 	Version uint32
--- a/membership/zones_bench_test.go
+++ b/membership/zones_bench_test.go
@@ -39,7 +39,7 @@
 func newServingFleet(tb testing.TB, n int) *fleet {
 	f := newFleetIn(tb, n, benchZones)
 	for i, nd := range f.nodes {
-		nd.SetLocal(serving(i), false)
+		nd.SetLocalState(serving(i), false)
 	}
 	f.joined()
 	f.runFor(2*time.Second, nil)
@@ -48,7 +48,7 @@
 
 // serving is what daemon i announces.
 func serving(i int) []Announcement {
-	return []Announcement{{Service: fmt.Sprintf("service-%02d", i%26), Slots: 10, Life: uint32(i + 1)}}
+	return []Announcement{{Service: fmt.Sprintf("service-%02d", i%26), Slots: 10, Instance: uint32(i + 1)}}
 }
 
 // restart starts the hosts that match anew. Each joins by contacts drawn from the fleet
@@ -67,7 +67,7 @@
 			contacts = append(contacts, nd.rng.IntN(len(f.nodes)))
 		}
 		nd.join(contacts...)
-		nd.SetLocal(serving(nd.index), false)
+		nd.SetLocalState(serving(nd.index), false)
 	}
 }
 
--- a/membership/zones_test.go
+++ b/membership/zones_test.go
@@ -36,7 +36,7 @@
 	idle := idleAcross(t, n, zones, 3*time.Second)
 	f := newZonedFleet(t, n, zones)
 	src, before := f.nodes[1], f.crossBytes
-	src.SetLocal([]Announcement{{Service: "sign-feed", Slots: 10}}, true)
+	src.SetLocalState([]Announcement{{Service: "sign-feed", Slots: 10}}, true)
 	f.run(time.Second, func() bool { return f.agree(n) })
 	f.runFor(2*time.Second, nil)
 	most := (zones - 1) * 4 * 300
@@ -50,7 +50,7 @@
 	across := func(n int) int {
 		f := newFleetIn(t, n, benchZones)
 		for i, nd := range f.nodes {
-			nd.SetLocal(serving(i), false)
+			nd.SetLocalState(serving(i), false)
 		}
 		f.joined()
 		before := f.traffic()
@@ -72,7 +72,7 @@
 	f := newZonedFleet(t, n, zones)
 	src := f.nodes[1]
 	f.cut = func(from, to *node) bool { return from == src && to.index%zones == 2 }
-	src.SetLocal(nil, true)
+	src.SetLocalState(nil, true)
 	f.runFor(500*time.Millisecond, nil)
 	must.False(t, f.nodes[2].View().Find(src.self.host).Draining)
 	f.cut = nil
@@ -90,7 +90,7 @@
 		apart := func(a, b *node) bool { return a.index%zones == 0 && b.index%zones == 1 }
 		f.cut = func(from, to *node) bool { return apart(from, to) || !oneWay && apart(to, from) }
 		src := f.nodes[4]
-		src.SetLocal(nil, true)
+		src.SetLocalState(nil, true)
 		f.run(20*time.Second, func() bool {
 			for _, nd := range f.nodes {
 				if !nd.View().Find(src.self.host).Draining {
@@ -114,7 +114,7 @@
 	f.cut = func(from, to *node) bool { return (from.index%zones == 0) != (to.index%zones == 0) }
 	f.runFor(5*time.Second, nil)
 	for _, i := range []int{6, 7} {
-		f.nodes[i].SetLocal(nil, true)
+		f.nodes[i].SetLocalState(nil, true)
 		gone := f.nodes[i+zones]
 		must.NoError(t, leave(f, gone))
 		gone.down = true
@@ -138,7 +138,7 @@
 	}
 	f.runFor(time.Second, nil)
 	src := f.nodes[3]
-	src.SetLocal(nil, true)
+	src.SetLocalState(nil, true)
 	f.run(10*time.Second, f.everyone(src, func(e *entry) bool { return e.info.draining }))
 	for _, nd := range f.nodes {
 		if nd.down {
@@ -174,7 +174,7 @@
 func TestHostsAloneInTheirZones(t *testing.T) {
 	const n = 8
 	f := newZonedFleet(t, n, n)
-	f.nodes[2].SetLocal(nil, true)
+	f.nodes[2].SetLocalState(nil, true)
 	f.run(time.Second, f.everyone(f.nodes[2], func(e *entry) bool { return e.info.draining }))
 	gone := f.nodes[2]
 	start := f.now
