--- a/examples/embed/node.go
+++ b/examples/embed/node.go
@@ -183,8 +183,8 @@
 	return st.Send(n.members.HandleSync(ctx, &t))
 }
 
-// Ask implements quota.Peers.
-func (n *node) Ask(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
+// SendClaims implements quota.Peers.
+func (n *node) SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
 	answer := new(quotapb.Answer)
 	return answer, n.pool.Call(ctx, owner.PeerAddr, peerpb.Kind_KIND_QUOTA, req, answer)
 }
--- a/internal/daemon/exchange.go
+++ b/internal/daemon/exchange.go
@@ -62,8 +62,8 @@
 // quotaPeers carries quota requests to owners.
 type quotaPeers struct{ pool *peer.Pool }
 
-// Ask implements quota.Peers.
-func (q quotaPeers) Ask(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
+// SendClaims implements quota.Peers.
+func (q quotaPeers) SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
 	ans := new(quotapb.Answer)
 	err := q.pool.Call(ctx, owner.PeerAddr, peerpb.Kind_KIND_QUOTA, req, ans)
 	return ans, err
--- a/internal/telemetry/load.go
+++ b/internal/telemetry/load.go
@@ -72,7 +72,7 @@
 func (c *QuotaCollector) Collect(ch chan<- prometheus.Metric) {
 	out, s := emitter(ch), c.stats()
 	out.counter(c.refused, float64(s.Refused))
-	out.counter(c.asks, float64(s.Asked-s.Failed), resultLabel(true))
+	out.counter(c.asks, float64(s.Sent-s.Failed), resultLabel(true))
 	out.counter(c.asks, float64(s.Failed), resultLabel(false))
 	out.counter(c.served, float64(s.Served))
 	out.gauge(c.customers, float64(s.ActiveCustomers))
--- a/quota/manager.go
+++ b/quota/manager.go
@@ -31,9 +31,9 @@
 type Stats struct {
 	// Refused calls.
 	Refused int64
-	// Asked and Failed count requests to other daemons' ledgers, Served those
+	// Sent and Failed count requests to other daemons' ledgers, Served those
 	// from others.
-	Asked, Failed, Served int64
+	Sent, Failed, Served int64
 	// ActiveCustomers have had calls here of late.
 	ActiveCustomers int
 	// Ledgers kept for the fleet, and Leases in them.
@@ -90,7 +90,7 @@
 	ledgers, leases := m.owner.size()
 	return Stats{
 		Refused:         m.stats.refused.Load(),
-		Asked:           m.stats.asked.Load(),
+		Sent:            m.stats.asked.Load(),
 		Failed:          m.stats.failed.Load(),
 		Served:          m.stats.served.Load(),
 		ActiveCustomers: m.holder.size(),
@@ -160,7 +160,7 @@
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	m.stats.asked.Add(1)
-	answer, err := m.opts.Peers.Ask(ctx, q.owner, q.request)
+	answer, err := m.opts.Peers.SendClaims(ctx, q.owner, q.request)
 	if err != nil {
 		m.stats.failed.Add(1)
 		m.opts.Logger.Debug("quota: owner does not answer", "owner", q.owner.Host, "error", err)
--- a/quota/options.go
+++ b/quota/options.go
@@ -63,7 +63,7 @@
 
 // Peers sends requests to owners on other daemons.
 type Peers interface {
-	Ask(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error)
+	SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error)
 }
 
 // Options configures a Manager.
--- a/quota/run_test.go
+++ b/quota/run_test.go
@@ -25,7 +25,7 @@
 	silent   bool
 }
 
-func (p *localPeers) Ask(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
+func (p *localPeers) SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
 	if p.silent {
 		<-ctx.Done()
 		return nil, errors.Wrap(ctx.Err(), "ask owner")
