--- a/admission/callees.go
+++ b/admission/callees.go
@@ -27,16 +27,16 @@
 	Calls float64
 }
 
-// Callees learns beside a backend server which services its runs call, and how often. It is
+// CalleeStats learns beside a backend server which services its runs call, and how often. It is
 // safe for concurrent use.
-type Callees struct {
+type CalleeStats struct {
 	mu    sync.Mutex
 	runs  float64
 	calls map[string]float64
 }
 
-// Run counts a run.
-func (c *Callees) Run() {
+// AddRun counts a run.
+func (c *CalleeStats) AddRun() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs++
@@ -49,8 +49,8 @@
 	}
 }
 
-// Call counts a call that a run makes.
-func (c *Callees) Call(service string) {
+// AddCall counts a call that a run makes.
+func (c *CalleeStats) AddCall(service string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.calls == nil {
@@ -59,8 +59,8 @@
 	c.calls[service]++
 }
 
-// Any reports whether runs have been seen to call services. Each nested call asks.
-func (c *Callees) Any() bool {
+// HasCallees reports whether runs have been seen to call services. Each nested call asks.
+func (c *CalleeStats) HasCallees() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.calls {
@@ -73,12 +73,12 @@
 
 // counts reports whether a number of calls to a service is more than chance. The caller
 // holds mu.
-func (c *Callees) counts(calls float64) bool {
+func (c *CalleeStats) counts(calls float64) bool {
 	return c.runs >= leastRuns && calls >= leastCalls*c.runs
 }
 
 // Rates returns the services called, in the order of their names.
-func (c *Callees) Rates() []Callee {
+func (c *CalleeStats) Rates() []Callee {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var rates []Callee
@@ -91,15 +91,15 @@
 	return rates
 }
 
-// Calls is what gates have told of the services that theirs call. It is read without a
+// CallGraph is what gates have told of the services that theirs call. It is read without a
 // lock, and safe for concurrent use.
-type Calls struct {
+type CallGraph struct {
 	services atomic.Pointer[map[string][]Callee]
 	mu       sync.Mutex
 }
 
-// Learn takes in a gate's word. Gates that have not seen enough tell nothing.
-func (c *Calls) Learn(service string, rates []Callee) {
+// Update takes in a gate's word. Gates that have not seen enough tell nothing.
+func (c *CallGraph) Update(service string, rates []Callee) {
 	if len(rates) == 0 || slices.EqualFunc(c.of(service), rates, Callee.isNear) {
 		return
 	}
@@ -118,16 +118,16 @@
 	return c.Service == o.Service && c.Calls < 1.1*o.Calls && o.Calls < 1.1*c.Calls
 }
 
-func (c *Calls) of(service string) []Callee {
+func (c *CallGraph) of(service string) []Callee {
 	if services := c.services.Load(); services != nil {
 		return (*services)[service]
 	}
 	return nil
 }
 
-// Of returns what one request to a service brings: the request itself, the calls that it
+// CallsPerRequest returns what one request to a service brings: the request itself, the calls that it
 // makes, and the calls of those.
-func (c *Calls) Of(service string) []Callee {
+func (c *CallGraph) CallsPerRequest(service string) []Callee {
 	all := []Callee{{service, 1}}
 	for i := 0; i < len(all) && i < maxDepth; i++ {
 		for _, callee := range c.of(all[i].Service) {
--- a/admission/callees_test.go
+++ b/admission/callees_test.go
@@ -8,13 +8,13 @@
 
 // Of ten runs seven make two calls of the desk; a stray call is not told of.
 func TestCallees_Rates(t *testing.T) {
-	var c Callees
-	c.Call("archive")
+	var c CalleeStats
+	c.AddCall("archive")
 	for i := range 1000 {
-		c.Run()
+		c.AddRun()
 		if i%10 < 7 {
-			c.Call("desk")
-			c.Call("desk")
+			c.AddCall("desk")
+			c.AddCall("desk")
 		}
 		if i < leastRuns-1 {
 			must.Nil(t, c.Rates())
@@ -28,24 +28,24 @@
 // What a request brings: itself, its calls, and the calls of those. Services that call each
 // other in a ring do not make it endless.
 func TestCalls_OfAChain(t *testing.T) {
-	var c Calls
-	c.Learn("catalogue", []Callee{{"desk", 1.4}})
-	c.Learn("desk", []Callee{{"archive", 0.5}})
-	must.Eq(t, []Callee{{"catalogue", 1}, {"desk", 1.4}, {"archive", 0.7}}, c.Of("catalogue"))
-	c.Learn("archive", []Callee{{"catalogue", 1}})
-	must.Len(t, 3, c.Of("catalogue"))
-	must.Eq(t, []Callee{{"other", 1}}, c.Of("other"))
+	var c CallGraph
+	c.Update("catalogue", []Callee{{"desk", 1.4}})
+	c.Update("desk", []Callee{{"archive", 0.5}})
+	must.Eq(t, []Callee{{"catalogue", 1}, {"desk", 1.4}, {"archive", 0.7}}, c.CallsPerRequest("catalogue"))
+	c.Update("archive", []Callee{{"catalogue", 1}})
+	must.Len(t, 3, c.CallsPerRequest("catalogue"))
+	must.Eq(t, []Callee{{"other", 1}}, c.CallsPerRequest("other"))
 }
 
 // A gate that has just started tells nothing, which changes nothing, nor does a rate that
 // is about the same.
 func TestCalls_LearnKeepsWhatIsKnown(t *testing.T) {
-	var c Calls
-	c.Learn("catalogue", []Callee{{"desk", 1.4}})
+	var c CallGraph
+	c.Update("catalogue", []Callee{{"desk", 1.4}})
 	known := c.services.Load()
-	c.Learn("catalogue", nil)
-	c.Learn("catalogue", []Callee{{"desk", 1.42}})
+	c.Update("catalogue", nil)
+	c.Update("catalogue", []Callee{{"desk", 1.42}})
 	must.True(t, known == c.services.Load())
-	c.Learn("catalogue", []Callee{{"desk", 2}})
-	must.Eq(t, 2.0, c.Of("catalogue")[1].Calls)
+	c.Update("catalogue", []Callee{{"desk", 2}})
+	must.Eq(t, 2.0, c.CallsPerRequest("catalogue")[1].Calls)
 }
--- a/admission/nested.go
+++ b/admission/nested.go
@@ -13,17 +13,17 @@
 	mu     sync.Mutex
 }
 
-// Is reports whether the calls of a route are known to be made by services.
-func (n *NestedRoutes) Is(route string) bool {
+// Contains reports whether the calls of a route are known to be made by services.
+func (n *NestedRoutes) Contains(route string) bool {
 	routes := n.routes.Load()
 	return routes != nil && (*routes)[route]
 }
 
-// Learn takes in a gate's word. One that is not sure changes nothing: it may have just
+// Update takes in a gate's word. One that is not sure changes nothing: it may have just
 // started, while others know.
-func (n *NestedRoutes) Learn(route string, by MadeBy) {
-	nested := by == ByServices
-	if by == Unsure || n.Is(route) == nested {
+func (n *NestedRoutes) Update(route string, by MadeBy) {
+	nested := by == MadeByServices
+	if by == MadeByUnknown || n.Contains(route) == nested {
 		return
 	}
 	n.mu.Lock()
--- a/admission/origins.go
+++ b/admission/origins.go
@@ -24,12 +24,12 @@
 	maxOriginRoutes = 4096
 )
 
-// Origins learns at a gate which routes are those of calls between services. Nothing in a
+// RouteClassifier learns at a gate which routes are those of calls between services. Nothing in a
 // call says so; what tells is where a route's calls come from. Callers' requests arrive at
 // the hosts of all services and live longer than most runs there. The calls that a service
 // makes come from its own hosts, and none outlives the runs in progress. It is safe for
 // concurrent use.
-type Origins struct {
+type RouteClassifier struct {
 	// hostShare returns the share of hosts beside the servers of a service, 0 to 1.
 	hostShare func(service string) float64
 
@@ -47,9 +47,9 @@
 	fromCallers, told float64
 }
 
-// NewOrigins returns an Origins that has seen nothing.
-func NewOrigins(hostShare func(service string) float64) *Origins {
-	return &Origins{hostShare: hostShare, routes: make(map[string]*routeOrigin)}
+// NewRouteClassifier returns an Origins that has seen nothing.
+func NewRouteClassifier(hostShare func(service string) float64) *RouteClassifier {
+	return &RouteClassifier{hostShare: hostShare, routes: make(map[string]*routeOrigin)}
 }
 
 // MadeBy is who makes the calls of a route.
@@ -57,18 +57,18 @@
 
 // The makers.
 const (
-	// Unsure is what holds until enough was seen.
-	Unsure MadeBy = iota
-	// ByCallers also holds where nothing tells services' calls from callers'.
-	ByCallers
-	// ByServices are calls that services make for requests that they work on.
-	ByServices
+	// MadeByUnknown is what holds until enough was seen.
+	MadeByUnknown MadeBy = iota
+	// MadeByCallers also holds where nothing tells services' calls from callers'.
+	MadeByCallers
+	// MadeByServices are calls that services make for requests that they work on.
+	MadeByServices
 )
 
-// Add takes in a call and returns who makes the calls of its route.
-func (o *Origins) Add(route, callerService string, from Origin) MadeBy {
+// Observe takes in a call and returns who makes the calls of its route.
+func (o *RouteClassifier) Observe(route, callerService string, from Origin) MadeBy {
 	if route == "" || callerService == "" {
-		return ByCallers
+		return MadeByCallers
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -81,7 +81,7 @@
 }
 
 // newRoute makes room for a route: routes come and go with configurations.
-func (o *Origins) newRoute(route string) *routeOrigin {
+func (o *RouteClassifier) newRoute(route string) *routeOrigin {
 	if len(o.routes) >= maxOriginRoutes {
 		clear(o.routes)
 	}
@@ -94,10 +94,10 @@
 	r.services[callerService]++
 	r.total++
 	switch from {
-	case FromCaller:
+	case OriginCaller:
 		r.fromCallers++
 		r.told++
-	case MaybeFromRun:
+	case OriginMaybeRun:
 		r.told++
 	}
 	if r.total >= originMemory {
@@ -123,11 +123,11 @@
 	}
 	switch {
 	case r.told >= leastTold && r.fromCallers > maxFromCallers*r.told:
-		return ByCallers
+		return MadeByCallers
 	case share > 0 && r.told*math.Log(share) < math.Log(maxChance):
-		return ByServices
+		return MadeByServices
 	case r.told >= tellingCalls:
-		return ByCallers
+		return MadeByCallers
 	}
-	return Unsure
+	return MadeByUnknown
 }
--- a/admission/request.go
+++ b/admission/request.go
@@ -30,9 +30,9 @@
 	Priority int
 	// Objective is the time within which the answer is worth its full value, 0 for none.
 	Objective time.Duration
-	// Began is when the caller began with the request, as far as that is known; Start when
+	// FirstSent is when the caller began with the request, as far as that is known; Arrived when
 	// this attempt of the caller arrived.
-	Began, Start time.Time
+	FirstSent, Arrived time.Time
 	// Deadline is when the caller leaves.
 	Deadline time.Time
 }
@@ -40,7 +40,7 @@
 // Returned reports whether the request can hardly be answered within its objective any
 // more: its caller has been refused before, and has come back.
 func (r Request) Returned() bool {
-	return !r.Nested && r.Objective > 0 && r.Start.Sub(r.Began) > r.Objective-r.Objective/returnedShare
+	return !r.Nested && r.Objective > 0 && r.Arrived.Sub(r.FirstSent) > r.Objective-r.Objective/returnedShare
 }
 
 // Rank returns the request's rank at gates, 0 first. Within one priority of its route,
@@ -60,15 +60,15 @@
 	if r.Nested || r.Objective == 0 || r.Returned() {
 		return 0
 	}
-	return max(r.Objective-now.Sub(r.Began), time.Millisecond)
+	return max(r.Objective-now.Sub(r.FirstSent), time.Millisecond)
 }
 
-// Tries tells how a request has fared at gates so far.
-type Tries struct {
+// AttemptHistory tells how a request has fared at gates so far.
+type AttemptHistory struct {
 	// Refusals by gates.
 	Refusals int
-	// Patient is set once it is to wait at a gate for as long as it may.
-	Patient bool
+	// FullWait is set once it is to wait at a gate for as long as it may.
+	FullWait bool
 	// RemoteCost is the time that it is worth to stay in the availability zone.
 	RemoteCost time.Duration
 }
@@ -77,7 +77,7 @@
 // long as its time allows. A gate that refuses at once costs a hop; a queue there,
 // while another backend server is free, costs the wait. Where bytes between zones
 // are dear, a longer wait is cheaper than the next zone.
-func (r Request) MaxWait(t Tries, now time.Time) time.Duration {
+func (r Request) MaxWait(t AttemptHistory, now time.Time) time.Duration {
 	if r.Nested || r.Objective == 0 {
 		return 0
 	}
@@ -87,8 +87,8 @@
 	objective := float64(r.Objective)
 	least := time.Duration(impatientShare * objective)
 	// What earlier gates took is gone.
-	most := max(time.Duration(patientShare*objective)-now.Sub(r.Began), least)
-	if t.Patient || t.Refusals >= impatientTries {
+	most := max(time.Duration(patientShare*objective)-now.Sub(r.FirstSent), least)
+	if t.FullWait || t.Refusals >= impatientTries {
 		return most
 	}
 	return min(least+t.RemoteCost, most)
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -17,11 +17,11 @@
 const (
 	// OriginUnknown says nothing, as of a daemon that has just started.
 	OriginUnknown Origin = iota
-	// FromCaller calls cannot come from the backend server: no run in progress there
+	// OriginCaller calls cannot come from the backend server: no run in progress there
 	// lasts as long as the call may.
-	FromCaller
-	// MaybeFromRun calls may have been made by a run in progress.
-	MaybeFromRun
+	OriginCaller
+	// OriginMaybeRun calls may have been made by a run in progress.
+	OriginMaybeRun
 )
 
 const (
@@ -83,19 +83,19 @@
 		return !n.ended.IsZero() && now.Sub(n.ended) > afterRun
 	})
 	if slices.ContainsFunc(r.runs, func(n *Run) bool { return n.mayMake(expiry) }) {
-		return MaybeFromRun
+		return OriginMaybeRun
 	}
 	if now.Sub(r.since) < blindFor {
 		return OriginUnknown
 	}
-	return FromCaller
+	return OriginCaller
 }
 
 // mayMake reports whether the run may make a call that expires at a time.
 func (n *Run) mayMake(expiry time.Time) bool { return !expiry.After(n.expiry.Add(expirySlack)) }
 
-// Requests returns the requests whose runs may have made a call that expires at a time.
-func (r *Runs) Requests(expiry time.Time) []string {
+// PossibleParents returns the requests whose runs may have made a call that expires at a time.
+func (r *Runs) PossibleParents(expiry time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var requests []string
--- a/admission/usual.go
+++ b/admission/usual.go
@@ -18,10 +18,10 @@
 	usualSlack = 20 * time.Millisecond
 )
 
-// UsualTimes learns with how much time callers begin the calls of each route. A caller
+// InitialTimeouts learns with how much time callers begin the calls of each route. A caller
 // that was refused comes back with less; how much less tells how long ago it began. It is
 // safe for concurrent use.
-type UsualTimes struct {
+type InitialTimeouts struct {
 	mu      sync.Mutex
 	byRoute map[string]*usualTime
 }
@@ -34,7 +34,7 @@
 
 // Elapsed takes in a call and returns how long ago its caller began with it, 0 where
 // that is not known.
-func (u *UsualTimes) Elapsed(route string, remaining time.Duration) time.Duration {
+func (u *InitialTimeouts) Elapsed(route string, remaining time.Duration) time.Duration {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.byRoute == nil {
--- a/admission/usual_test.go
+++ b/admission/usual_test.go
@@ -9,7 +9,7 @@
 
 // Callers begin with 1.2 s. One that comes back with 900 ms began 300 ms ago.
 func TestElapsedOfACallerThatComesBack(t *testing.T) {
-	var u UsualTimes
+	var u InitialTimeouts
 	for range usualSamples {
 		must.Eq(t, 0, u.Elapsed("r", 1200*time.Millisecond))
 	}
@@ -21,7 +21,7 @@
 // Calls that backend servers make come with what is left of a longer call: nothing
 // tells when they began.
 func TestElapsedOfNestedCallsIsNotKnown(t *testing.T) {
-	var u UsualTimes
+	var u InitialTimeouts
 	for i := range 3 * usualMemory {
 		must.Eq(t, 0, u.Elapsed("r", time.Duration(1200-i%37*30)*time.Millisecond))
 	}
@@ -30,7 +30,7 @@
 // A route's callers begin with less time than before, since the operator's timeout has
 // changed. After a while that is the usual.
 func TestElapsedAfterALongerTimeWasSeen(t *testing.T) {
-	var u UsualTimes
+	var u InitialTimeouts
 	for range usualSamples {
 		u.Elapsed("r", time.Second)
 	}
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -28,7 +28,7 @@
 	attempts := once.DefaultAttemptsOptions(d.boot)
 	attempts.Bounds.MaxRecords, attempts.Bounds.MaxBytes = keptRecords, keptBytes
 	p.attempts = once.NewAttempts(attempts)
-	runs, callees := admission.NewRuns(time.Now()), &admission.Callees{}
+	runs, callees := admission.NewRuns(time.Now()), &admission.CalleeStats{}
 	p.inbound = inbound.NewHandler(inbound.Options{
 		LinkMbps: d.settings.LinkMbps, Runs: runs, Callees: callees, HostShare: d.hostShare,
 		Local: &d.board.Local, NewGate: d.newGate,
@@ -62,7 +62,7 @@
 		SendBlind: d.without(settings.WithoutQuestions), ForgetReturns: d.without(settings.WithoutReturns),
 		TryBusy:       d.without(settings.WithoutBusy),
 		CallerService: d.localService, Runs: runs, Nested: &admission.NestedRoutes{},
-		Callees: callees, Calls: &admission.Calls{},
+		Callees: callees, Calls: &admission.CallGraph{},
 		KilobyteCost: d.kilobyteCost, Quarantine: p.quarantine,
 	})
 	p.lifecycle = &drain.Controller{
--- a/internal/daemon/large_test.go
+++ b/internal/daemon/large_test.go
@@ -76,5 +76,5 @@
 	o := f.build().recoveryOptions()
 	must.Greater(t, needed, o.LogTimeout)
 	must.Greater(t, needed, o.FetchTimeout)
-	must.LessEq(t, 2*time.Second, o.LogPatience)
+	must.LessEq(t, 2*time.Second, o.LogTimeoutWithPeers)
 }
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -143,7 +143,7 @@
 		// wait for each of them.
 		o.Stagger, o.MaxBackoff = 0, storeBackoff
 		o.LogTimeout, o.FetchTimeout = storeTimeout, storeTimeout
-		o.TrustDaemons = true
+		o.PreferPeers = true
 	} else {
 		o.Checkpoints = d.log.Stream(eventlog.StreamCheckpoints)
 	}
@@ -161,11 +161,11 @@
 
 // Ask implements recovery.Peers with a few daemons, half of them neighbours: a state that
 // both have is then fetched within the availability zone.
-func (p recoveryPeers) Ask(ctx context.Context) recovery.Hearing {
+func (p recoveryPeers) Ask(ctx context.Context) recovery.PeerAnswers {
 	others := p.others()
-	h := recovery.Hearing{Known: len(others)}
+	h := recovery.PeerAnswers{Known: len(others)}
 	asked := p.toAsk(others)
-	answers := make(chan *recovery.Answer, len(asked))
+	answers := make(chan *recovery.PeerAnswer, len(asked))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	for _, m := range asked {
@@ -225,15 +225,15 @@
 }
 
 // sortNear puts the answers of neighbours first.
-func (p recoveryPeers) sortNear(answers []recovery.Answer) {
+func (p recoveryPeers) sortNear(answers []recovery.PeerAnswer) {
 	view := p.d.membership.View()
-	away := func(a recovery.Answer) int {
+	away := func(a recovery.PeerAnswer) int {
 		if m := view.Find(a.Host); m != nil && m.AvailabilityZone == p.d.settings.AvailabilityZone {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(answers, func(a, b recovery.Answer) int { return away(a) - away(b) })
+	slices.SortStableFunc(answers, func(a, b recovery.PeerAnswer) int { return away(a) - away(b) })
 }
 
 // others are the daemons that have not left; those believed dead may be alive
@@ -248,13 +248,13 @@
 	return others
 }
 
-func (p recoveryPeers) askOne(ctx context.Context, m *membership.Member) (recovery.Answer, error) {
+func (p recoveryPeers) askOne(ctx context.Context, m *membership.Member) (recovery.PeerAnswer, error) {
 	host := p.d.settings.Host
 	ans, err := p.pull(ctx, m, &peerpb.Pull{Host: host, FloorOnly: true})
 	if err != nil {
-		return recovery.Answer{}, err
+		return recovery.PeerAnswer{}, err
 	}
-	a := recovery.Answer{
+	a := recovery.PeerAnswer{
 		Host:     m.Host,
 		Position: recovery.Position{Offset: ans.GetOffset()},
 		// What the tables told at the join counts as well.
--- a/internal/proxy/advice/advice.go
+++ b/internal/proxy/advice/advice.go
@@ -13,9 +13,9 @@
 // MadeBy returns the wire form of who makes the calls of a route.
 func MadeBy(m admission.MadeBy) peerpb.MadeBy {
 	switch m {
-	case admission.ByCallers:
+	case admission.MadeByCallers:
 		return peerpb.MadeBy_MADE_BY_CALLERS
-	case admission.ByServices:
+	case admission.MadeByServices:
 		return peerpb.MadeBy_MADE_BY_SERVICES
 	}
 	return peerpb.MadeBy_MADE_BY_UNSPECIFIED
@@ -25,11 +25,11 @@
 func MadeByOf(m peerpb.MadeBy) admission.MadeBy {
 	switch m {
 	case peerpb.MadeBy_MADE_BY_CALLERS:
-		return admission.ByCallers
+		return admission.MadeByCallers
 	case peerpb.MadeBy_MADE_BY_SERVICES:
-		return admission.ByServices
+		return admission.MadeByServices
 	}
-	return admission.Unsure
+	return admission.MadeByUnknown
 }
 
 // Callees returns the wire form of the services that runs call.
--- a/internal/proxy/advice/advice_test.go
+++ b/internal/proxy/advice/advice_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestMadeByRoundTrip(t *testing.T) {
-	for _, m := range []admission.MadeBy{admission.Unsure, admission.ByCallers, admission.ByServices} {
+	for _, m := range []admission.MadeBy{admission.MadeByUnknown, admission.MadeByCallers, admission.MadeByServices} {
 		must.Eq(t, m, MadeByOf(MadeBy(m)))
 	}
-	must.Eq(t, admission.Unsure, MadeByOf(peerpb.MadeBy(99)))
+	must.Eq(t, admission.MadeByUnknown, MadeByOf(peerpb.MadeBy(99)))
 }
 
 func TestCalleesRoundTrip(t *testing.T) {
--- a/internal/proxy/inbound/call.go
+++ b/internal/proxy/inbound/call.go
@@ -60,7 +60,7 @@
 		return c.refuse(err)
 	}
 	defer release()
-	if c.nested() && c.h.opts.Callees.Any() {
+	if c.nested() && c.h.opts.Callees.HasCallees() {
 		c.site.gate.KeepForNested()
 	}
 	ticket, err := c.site.gate.Admit(c.ctx, c.gateCall())
@@ -88,7 +88,7 @@
 // nested reports whether a service makes the call for a request that it works on, by what
 // was seen here or, until that is enough, by what the sender has been told elsewhere.
 func (c *call) nested() bool {
-	return c.madeBy == admission.ByServices || c.madeBy == admission.Unsure && c.head.GetNested()
+	return c.madeBy == admission.MadeByServices || c.madeBy == admission.MadeByUnknown && c.head.GetNested()
 }
 
 // gateCall returns what the gate looks at.
@@ -120,7 +120,7 @@
 			return gate.NotStarted, err
 		}
 	}
-	c.h.opts.Callees.Run()
+	c.h.opts.Callees.AddRun()
 	run := c.h.opts.Runs.Begin(c.head.GetRequestId(), c.deadline)
 	defer func() { run.End(time.Now()) }()
 	c.site.runs.begin(c)
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -48,7 +48,7 @@
 	// Runs is told what the backend server runs.
 	Runs *admission.Runs
 	// Callees learns what those runs call.
-	Callees *admission.Callees
+	Callees *admission.CalleeStats
 	// HostShare returns the share of hosts beside the servers of a service, 0 to 1.
 	HostShare func(service string) float64
 	// MergeRoutes takes the calls of all routes for alike, AnyWait bounds their waits by
@@ -87,7 +87,7 @@
 	receiving, held atomic.Int64
 	pacer           *pacer
 	transits        *transit.Estimator
-	origins         *admission.Origins
+	origins         *admission.RouteClassifier
 	lines           telemetry.LineLimit
 }
 
@@ -98,7 +98,7 @@
 	}
 	h := &Handler{
 		opts: opts, lines: telemetry.NewLineLimit(refusedLines), pacer: newPacer(opts.LinkMbps), transits: transit.New(),
-		origins: admission.NewOrigins(opts.HostShare),
+		origins: admission.NewRouteClassifier(opts.HostShare),
 	}
 	h.sites.init(opts)
 	return h
@@ -173,13 +173,13 @@
 	return &call{
 		h: h, st: st, head: head, span: span, identity: identity,
 		ctx: ctx, cancel: cancel, heldUp: heldUp, start: start, deadline: deadline,
-		madeBy: h.origins.Add(head.GetRoute(), head.GetCallerService(), origins[head.GetOrigin()]),
+		madeBy: h.origins.Observe(head.GetRoute(), head.GetCallerService(), origins[head.GetOrigin()]),
 	}, nil
 }
 
 var origins = map[peerpb.Origin]admission.Origin{
-	peerpb.Origin_ORIGIN_CALLER:    admission.FromCaller,
-	peerpb.Origin_ORIGIN_MAYBE_RUN: admission.MaybeFromRun,
+	peerpb.Origin_ORIGIN_CALLER:    admission.OriginCaller,
+	peerpb.Origin_ORIGIN_MAYBE_RUN: admission.OriginMaybeRun,
 }
 
 // delay returns how long the head of a call was held up on the way.
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -101,8 +101,8 @@
 }
 
 var peerOrigins = map[admission.Origin]peerpb.Origin{
-	admission.FromCaller:   peerpb.Origin_ORIGIN_CALLER,
-	admission.MaybeFromRun: peerpb.Origin_ORIGIN_MAYBE_RUN,
+	admission.OriginCaller:   peerpb.Origin_ORIGIN_CALLER,
+	admission.OriginMaybeRun: peerpb.Origin_ORIGIN_MAYBE_RUN,
 }
 
 // readBody prepares the head and reads a small body whole.
--- a/internal/proxy/outbound/choose.go
+++ b/internal/proxy/outbound/choose.go
@@ -54,7 +54,7 @@
 	if c.route == nil {
 		return 0
 	}
-	tries := admission.Tries{Refusals: c.refusals, Patient: c.patient, RemoteCost: c.remoteCost()}
+	tries := admission.AttemptHistory{Refusals: c.refusals, FullWait: c.patient, RemoteCost: c.remoteCost()}
 	return c.request.MaxWait(tries, time.Now())
 }
 
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -61,8 +61,8 @@
 	Nested *admission.NestedRoutes
 	// Callees learns what the backend server's runs call, Calls is what gates tell of
 	// theirs.
-	Callees *admission.Callees
-	Calls   *admission.Calls
+	Callees *admission.CalleeStats
+	Calls   *admission.CallGraph
 	// SendBlind sends small bodies without a question, ForgetReturns takes callers that
 	// come back for new ones, TryBusy tries gates known to be busy; all are for trials.
 	SendBlind, ForgetReturns, TryBusy bool
@@ -89,7 +89,7 @@
 	router   *bunrouter.Router
 	lanes    *once.Lanes
 	sizes    sizes
-	usual    admission.UsualTimes
+	usual    admission.InitialTimeouts
 	lines    telemetry.LineLimit
 	inFlight atomic.Int64
 	// running holds the context.CancelCauseFunc of each call in progress.
--- a/internal/proxy/outbound/log.go
+++ b/internal/proxy/outbound/log.go
@@ -61,13 +61,13 @@
 		"attempts", c.attempts, "arrivals", c.arrivals, "refusals", c.refusals, "status", c.status,
 	}
 	if c.route != nil {
-		attrs = append(attrs, "route", c.route.Name, "priority", c.route.Priority, "objective", c.route.Objective, "began_before", c.start.Sub(c.request.Began), "nested", c.request.Nested)
+		attrs = append(attrs, "route", c.route.Name, "priority", c.route.Priority, "objective", c.route.Objective, "began_before", c.start.Sub(c.request.FirstSent), "nested", c.request.Nested)
 	}
 	if c.last != nil {
 		attrs = append(attrs, "to", c.last.server.Host, "to_zone", c.last.server.AvailabilityZone)
 	}
 	if c.request.Nested {
-		attrs = append(attrs, "made_for", c.h.opts.Runs.Requests(c.deadline))
+		attrs = append(attrs, "made_for", c.h.opts.Runs.PossibleParents(c.deadline))
 	}
 	if err != nil {
 		attrs = append(attrs, "kind", string(errkind.Of(err)), "run", string(errkind.RunOf(err)), "error", err)
--- a/recovery/beside.go
+++ b/recovery/beside.go
@@ -30,7 +30,7 @@
 		bounds, err := r.opts.Config.Bounds(ctx)
 		read <- logEnd{bounds, err}
 	}()
-	if !r.opts.TrustDaemons || r.askLog {
+	if !r.opts.PreferPeers || r.askLog {
 		return <-read, false
 	}
 	for {
@@ -52,7 +52,7 @@
 
 // stateOfMany asks the daemons once, and returns a state that may be served by their word
 // alone, nil where they have none.
-func (r *recoverer) stateOfMany(ctx context.Context) (Hearing, *fold.State) {
+func (r *recoverer) stateOfMany(ctx context.Context) (PeerAnswers, *fold.State) {
 	askCtx, cancel := context.WithTimeout(ctx, r.opts.AskTimeout)
 	defer cancel()
 	in := Input{Host: r.opts.Host, MinAnswers: r.opts.MinAnswers, Hearing: r.opts.Peers.Ask(askCtx)}
--- a/recovery/beside_test.go
+++ b/recovery/beside_test.go
@@ -41,11 +41,11 @@
 	broken bool
 }
 
-func (p *startingPeers) Ask(ctx context.Context) Hearing {
+func (p *startingPeers) Ask(ctx context.Context) PeerAnswers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if time.Now().Before(p.then) {
-		return Hearing{Known: p.known}
+		return PeerAnswers{Known: p.known}
 	}
 	return p.with.Ask(ctx)
 }
@@ -67,7 +67,7 @@
 	w.peers.known = 20
 	p := &startingPeers{then: time.Now().Add(time.Second), with: &w.peers, known: 20}
 	log := &slowLog{Log: w.config, takes: 3 * time.Second}
-	w.opts.Peers, w.opts.Config, w.opts.TrustDaemons, w.opts.Stagger = p, log, true, 0
+	w.opts.Peers, w.opts.Config, w.opts.PreferPeers, w.opts.Stagger = p, log, true, 0
 	w.opts.LogTimeout = time.Minute
 	return w, log, p
 }
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -19,8 +19,8 @@
 // PositionOf returns where a state stands.
 func PositionOf(st *fold.State) Position { return Position{st.Offset, st.Chain} }
 
-// Answer is what one daemon said.
-type Answer struct {
+// PeerAnswer is what one daemon said.
+type PeerAnswer struct {
 	// Host of the daemon. It may be the asking host's own: an earlier life of
 	// the process that has not ended yet.
 	Host string
@@ -35,12 +35,12 @@
 	Unusable bool
 }
 
-// Hearing is what was heard from other daemons.
-type Hearing struct {
+// PeerAnswers is what was heard from other daemons.
+type PeerAnswers struct {
 	// Known is the number of other daemons known of. Those believed dead count:
 	// they may be alive on the other side of a cut.
 	Known   int
-	Answers []Answer
+	Answers []PeerAnswer
 }
 
 // LogFacts is what the platform's log said.
@@ -69,7 +69,7 @@
 // Input is all that Decide goes by.
 type Input struct {
 	Host    string
-	Hearing Hearing
+	Hearing PeerAnswers
 	Log     LogFacts
 	// Own is the state at hand, nil in a process that has just started.
 	Own *Position
--- a/recovery/example_test.go
+++ b/recovery/example_test.go
@@ -15,11 +15,11 @@
 // others answers for two daemons, of which one lags.
 type others struct{ states map[string]*fold.State }
 
-func (o others) Ask(context.Context) recovery.Hearing {
-	h := recovery.Hearing{Known: len(o.states)}
+func (o others) Ask(context.Context) recovery.PeerAnswers {
+	h := recovery.PeerAnswers{Known: len(o.states)}
 	for host, st := range o.states {
 		// Both have heard that this host had version 2 in force.
-		h.Answers = append(h.Answers, recovery.Answer{Host: host, Position: recovery.PositionOf(st), Floor: 2})
+		h.Answers = append(h.Answers, recovery.PeerAnswer{Host: host, Position: recovery.PositionOf(st), Floor: 2})
 	}
 	return h
 }
--- a/recovery/helper_test.go
+++ b/recovery/helper_test.go
@@ -48,11 +48,13 @@
 // peers is the daemons' part of a world.
 type peers struct {
 	known   int
-	answers []Answer
+	answers []PeerAnswer
 	states  map[string]*fold.State
 }
 
-func (p *peers) Ask(context.Context) Hearing { return Hearing{Known: p.known, Answers: p.answers} }
+func (p *peers) Ask(context.Context) PeerAnswers {
+	return PeerAnswers{Known: p.known, Answers: p.answers}
+}
 
 func (p *peers) State(_ context.Context, host string) (*fold.State, error) {
 	if st := p.states[host]; st != nil {
@@ -121,7 +123,7 @@
 	if host != own {
 		w.peers.known++
 	}
-	w.peers.answers = append(w.peers.answers, Answer{Host: host, Position: PositionOf(st), Floor: floor})
+	w.peers.answers = append(w.peers.answers, PeerAnswer{Host: host, Position: PositionOf(st), Floor: floor})
 	if st.Offset > 0 {
 		w.peers.states[host] = st
 	}
--- a/recovery/recover.go
+++ b/recovery/recover.go
@@ -14,7 +14,7 @@
 type Peers interface {
 	// Ask asks some daemons what they have in force and what they heard of this
 	// host. It returns the answers that came before ctx ended.
-	Ask(ctx context.Context) Hearing
+	Ask(ctx context.Context) PeerAnswers
 	// State fetches the whole state of one daemon.
 	State(ctx context.Context, host string) (*fold.State, error)
 }
@@ -31,11 +31,11 @@
 	// LoadCheckpoint returns the newest state that the platform keeps, nil if there
 	// is none. It takes the place of Checkpoints where it is set.
 	LoadCheckpoint func(ctx context.Context) (*fold.State, error)
-	// TrustDaemons is whether the log need not be asked where enough daemons have answered
+	// PreferPeers is whether the log need not be asked where enough daemons have answered
 	// and one of them has a state to start from. It suits a log that pushes its records to
 	// the daemons within a bound that callers know: a start then costs no call to the
 	// platform, and none of the bytes of a whole document.
-	TrustDaemons bool
+	PreferPeers bool
 	// Own is the state at hand, nil in a process that has just started. A
 	// running daemon that retention has passed by sets it; its state is then
 	// the least that Recover returns.
@@ -50,10 +50,10 @@
 	// AskPause is about the wait between two rounds of questions while the log is read.
 	AskPause   time.Duration
 	LogTimeout time.Duration
-	// LogPatience bounds the question where the log ends, in a round in which
+	// LogTimeoutWithPeers bounds the question where the log ends, in a round in which
 	// enough daemons have answered: their state may be served without the log.
-	LogPatience  time.Duration
-	FetchTimeout time.Duration
+	LogTimeoutWithPeers time.Duration
+	FetchTimeout        time.Duration
 	// Backoff bounds the wait before the second round; it doubles from one
 	// round to the next up to MaxBackoff. Waits have full jitter.
 	Backoff    time.Duration
@@ -73,18 +73,18 @@
 // Peers and the streams are left to set.
 func DefaultOptions() Options {
 	return Options{
-		MinAnswers:   3,
-		AskTimeout:   500 * time.Millisecond,
-		AskPause:     150 * time.Millisecond,
-		LogTimeout:   2 * time.Second,
-		LogPatience:  2 * time.Second,
-		FetchTimeout: 10 * time.Second,
-		Backoff:      200 * time.Millisecond,
-		MaxBackoff:   5 * time.Second,
-		Stagger:      3 * time.Second,
-		Sleep:        sleep,
-		Report:       func(Decision) {},
-		Logger:       slog.New(slog.DiscardHandler),
+		MinAnswers:          3,
+		AskTimeout:          500 * time.Millisecond,
+		AskPause:            150 * time.Millisecond,
+		LogTimeout:          2 * time.Second,
+		LogTimeoutWithPeers: 2 * time.Second,
+		FetchTimeout:        10 * time.Second,
+		Backoff:             200 * time.Millisecond,
+		MaxBackoff:          5 * time.Second,
+		Stagger:             3 * time.Second,
+		Sleep:               sleep,
+		Report:              func(Decision) {},
+		Logger:              slog.New(slog.DiscardHandler),
 	}
 }
 
--- a/recovery/restore_test.go
+++ b/recovery/restore_test.go
@@ -48,7 +48,7 @@
 			inLog, data := documentAt(t, copyEnd-1, 7)
 			w.opts.Config = copyLog{data: data}
 			w.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) { return inLog, nil }
-			w.opts.Stagger, w.opts.TrustDaemons = 0, true
+			w.opts.Stagger, w.opts.PreferPeers = 0, true
 			theirs, _ := documentAt(t, eventlog.At(1, 8), version)
 			w.peerWith("a", theirs, theirs.Offset)
 			w.peers.known = 20
--- a/recovery/round.go
+++ b/recovery/round.go
@@ -83,7 +83,7 @@
 	defer cancel()
 	in.Hearing = r.opts.Peers.Ask(askCtx)
 	in.Hearing.Answers = slices.Clone(in.Hearing.Answers)
-	if r.opts.TrustDaemons && !r.askLog && in.enoughAnswers() {
+	if r.opts.PreferPeers && !r.askLog && in.enoughAnswers() {
 		r.setOwn(&in)
 		return in
 	}
@@ -102,7 +102,7 @@
 // routes. Callers of a host that starts wait for that only where nobody else has a state.
 func (r *recoverer) logTimeout(in Input) time.Duration {
 	if in.enoughAnswers() {
-		return min(r.opts.LogPatience, r.opts.LogTimeout)
+		return min(r.opts.LogTimeoutWithPeers, r.opts.LogTimeout)
 	}
 	return r.opts.LogTimeout
 }
@@ -220,7 +220,7 @@
 // log was restored from an older copy: it may lack that.
 func (r *recoverer) carryOver(ctx context.Context, in *Input, st *fold.State) *fold.State {
 	st = st.After(r.state)
-	var before Answer
+	var before PeerAnswer
 	for _, a := range in.Hearing.Answers {
 		if !a.Unusable && a.Offset > before.Offset && eventlog.Epoch(a.Offset) < eventlog.Epoch(st.Offset) {
 			before = a
--- a/recovery/trust_test.go
+++ b/recovery/trust_test.go
@@ -24,7 +24,7 @@
 func newTrustingWorld() (*world, *asked) {
 	w := newWorld(9)
 	log := &asked{Log: w.config}
-	w.opts.Config, w.opts.TrustDaemons = log, true
+	w.opts.Config, w.opts.PreferPeers = log, true
 	return w, log
 }
 
