--- a/internal/controller/distribute/distribute.go
+++ b/internal/controller/distribute/distribute.go
@@ -27,7 +27,7 @@
 		KnownOffset:   st.KnownOffset,
 		LogError:      st.LogError,
 		LogErrorSince: st.LogErrorSince,
-		Stuck:         st.Stuck,
+		Stuck:         st.StuckReason,
 	})
 }
 
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -209,7 +209,7 @@
 	o.Host = d.settings.Host
 	o.AvailabilityZone = d.settings.AvailabilityZone
 	o.Log = p.configLog()
-	o.LogKeepsEnd = p.adapter != nil
+	o.LogReportsRestores = p.adapter != nil
 	o.Peers = spread.NewPoolPeers(p.control)
 	o.ReadersPerZone = s.ReadersPerZone
 	o.FanOut = s.FanOut
@@ -226,7 +226,7 @@
 	o.Logger = d.logger
 	p.spreader = spread.New(o)
 	p.distribute.Spreader = p.spreader
-	p.membership.OnOffset(p.spreader.Heard)
+	p.membership.OnOffset(p.spreader.ObserveOffset)
 	p.buildStreams(d)
 	p.members = &members.Controller{Board: d.board, Membership: p.membership, Now: time.Now}
 	p.apply = &apply.Controller{Board: d.board, Logger: d.logger, InForce: telemetry.NewInForce(d.registry)}
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -123,9 +123,9 @@
 	d.logger.Info("daemon: recovered", "offset", r.State.Offset, "floor", r.Floor, "from", r.From.String())
 	d.board.Floor.Store(&blackboard.Floor{Offset: r.Floor, Known: true, Reason: string(r.Problem)})
 	if r.From == recovery.FromCheckpoint {
-		d.spreader.StartFromLog(r.State)
+		d.spreader.InstallStateFromLog(r.State)
 	} else {
-		d.spreader.Start(r.State)
+		d.spreader.InstallState(r.State)
 	}
 	d.lifecycle.Serving()
 	return nil
--- a/spread/example_test.go
+++ b/spread/example_test.go
@@ -70,7 +70,7 @@
 	members := []*membership.Member{daemons[0].member, daemons[1].member}
 	for _, d := range daemons {
 		d.SetView(&membership.View{Self: d.member, Members: members})
-		d.Start(fold.Empty())
+		d.InstallState(fold.Empty())
 		go func() { _ = d.Run(ctx) }()
 	}
 
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -110,7 +110,7 @@
 
 // run starts the node, and stops it at the test's end.
 func (n *node) run() {
-	n.Start(fold.Empty())
+	n.InstallState(fold.Empty())
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	done := make(chan error)
@@ -144,8 +144,8 @@
 		if n.dead.Load() || m.dead.Load() {
 			continue
 		}
-		n.Heard(m.member.Host, m.member.PeerAddr, m.inForce.Load())
-		m.Heard(n.member.Host, n.member.PeerAddr, n.inForce.Load())
+		n.ObserveOffset(m.member.Host, m.member.PeerAddr, m.inForce.Load())
+		m.ObserveOffset(n.member.Host, n.member.PeerAddr, n.inForce.Load())
 	}
 }
 
--- a/spread/options.go
+++ b/spread/options.go
@@ -87,10 +87,10 @@
 	AvailabilityZone string
 	Log              eventlog.Log
 	Peers            Peers
-	// LogKeepsEnd is whether the log loses what it has acknowledged only by a restore from an
+	// LogReportsRestores is whether the log loses what it has acknowledged only by a restore from an
 	// older copy, which it tells (eventlog.RestoredError), so that it need not be asked whether
 	// it still holds the version in force.
-	LogKeepsEnd bool
+	LogReportsRestores bool
 
 	Mode       Mode
 	Redundancy Redundancy
--- a/spread/pack_test.go
+++ b/spread/pack_test.go
@@ -71,7 +71,7 @@
 		f.quiet = true
 		ahead, behind := f.nodes[0], f.nodes[1]
 		f.setViews()
-		ahead.Start(fold.Empty())
+		ahead.InstallState(fold.Empty())
 		behind.run()
 		for v := uint64(1); v <= 3; v++ {
 			must.NoError(t, ahead.foldNext(document(t, v, 100)))
@@ -92,7 +92,7 @@
 // stays.
 func TestDamagedPackedPush(t *testing.T) {
 	s, relayed := lone(t)
-	s.Start(fold.Empty())
+	s.InstallState(fold.Empty())
 	before := s.State()
 	frame, err := packFrame(nil, document(t, 1, 100))
 	must.NoError(t, err)
@@ -109,7 +109,7 @@
 // gets them as they are. It takes a packed push for a digest.
 func TestOlderProgramsGetPlainRecords(t *testing.T) {
 	s, _ := lone(t)
-	s.Start(fold.Empty())
+	s.InstallState(fold.Empty())
 	must.NoError(t, s.foldNext(document(t, 1, 100)))
 	must.Len(t, 1, s.servePull(&peerpb.Pull{}).GetRecords())
 	must.NotNil(t, s.servePull(&peerpb.Pull{WholeState: true}).GetState())
@@ -127,7 +127,7 @@
 // another version is in force.
 func TestPackedStateIsKept(t *testing.T) {
 	s, _ := lone(t)
-	s.Start(startedWith(t, 7, document(t, 1, 100)))
+	s.InstallState(startedWith(t, 7, document(t, 1, 100)))
 	ask := func() []byte {
 		return s.servePull(&peerpb.Pull{WholeState: true, TakesPacked: true}).GetPackedState()
 	}
--- a/spread/pull.go
+++ b/spread/pull.go
@@ -260,7 +260,7 @@
 			s.setFoldStuck(unknown.Error())
 		}
 		if err == nil {
-			s.Start(st)
+			s.InstallState(st)
 		}
 		return err
 	}
--- a/spread/push_test.go
+++ b/spread/push_test.go
@@ -22,27 +22,27 @@
 // to the daemons below.
 func TestDivergedPush(t *testing.T) {
 	n, relayed := lone(t)
-	n.Start(fold.Empty())
+	n.InstallState(fold.Empty())
 	must.False(t, push(t, n, 0, fold.Chain{}, "a").GetDiverged())
 	must.Eq(t, 1, relayed.Load())
 	ack := push(t, n, 1, fold.Chain{1}, "b")
 	must.True(t, ack.GetDiverged())
 	must.Eq(t, 1, ack.GetOffset())
 	must.Eq(t, 1, relayed.Load())
-	must.StrContains(t, n.Status().Stuck, "do not follow")
+	must.StrContains(t, n.Status().StuckReason, "do not follow")
 	must.True(t, push(t, n, 0, fold.Chain{}, "z").GetDiverged())
 	answer := n.servePull(&peerpb.Pull{Offset: 1, Chain: make([]byte, 32)})
 	must.True(t, answer.GetDiverged())
 	push(t, n, 1, n.State().Chain, "b")
 	must.Eq(t, 2, n.State().Offset)
-	must.Eq(t, "", n.Status().Stuck)
+	must.Eq(t, "", n.Status().StuckReason)
 }
 
 // An old program gets a push that it cannot fold. The daemons below it may run
 // a newer one, so it passes the push on.
 func TestUnknownRuleIsPassedOn(t *testing.T) {
 	n, relayed := lone(t)
-	n.Start(fold.Empty())
+	n.InstallState(fold.Empty())
 	rec := change("a", 0)
 	rec.RuleVersion = fold.RuleVersion + 1
 	pushRecord(t, n, 0, fold.Chain{}, rec)
@@ -55,7 +55,7 @@
 func TestOvertakingPushes(t *testing.T) {
 	_, states := logOf(t, 2)
 	n, _ := lone(t)
-	n.Start(fold.Empty())
+	n.InstallState(fold.Empty())
 	must.Eq(t, 0, push(t, n, 1, states[1].Chain, "1").GetOffset())
 	must.Eq(t, 2, push(t, n, 0, fold.Chain{}, "0").GetOffset())
 }
@@ -63,7 +63,7 @@
 // Many daemons pull at once. Those above the bound are told to ask another.
 func TestServedPullsAreBounded(t *testing.T) {
 	n, _ := lone(t)
-	n.Start(fold.Empty())
+	n.InstallState(fold.Empty())
 	push(t, n, 0, fold.Chain{}, "a")
 	for range maxServedPulls {
 		n.serving <- struct{}{}
@@ -81,7 +81,7 @@
 // would double the traffic at each level.
 func TestRepeatedPushIsPassedOnOnce(t *testing.T) {
 	n, relayed := lone(t)
-	n.Start(fold.Empty())
+	n.InstallState(fold.Empty())
 	for range 3 {
 		push(t, n, 0, fold.Chain{}, "a")
 	}
@@ -120,7 +120,7 @@
 func TestDigestNamesNearestSource(t *testing.T) {
 	n, _ := lone(t)
 	_, states := logOf(t, 1)
-	n.Start(states[1])
+	n.InstallState(states[1])
 	var source []byte
 	n.opts.Peers = peersFunc(func(m *peerpb.Push) (*peerpb.PushAck, error) {
 		source = m.GetSource()
--- a/spread/read.go
+++ b/spread/read.go
@@ -71,7 +71,7 @@
 
 // readStep checks the log if need be and waits for new records once.
 func (s *Spreader) readStep(verified *bool) error {
-	if s.opts.LogKeepsEnd {
+	if s.opts.LogReportsRestores {
 		_, err := s.readOnce(min(s.opts.ReadWait, pollWait), readSlack)
 		return err
 	}
@@ -141,7 +141,7 @@
 		return cause
 	}
 	before := s.history.offset()
-	s.Start(st)
+	s.InstallState(st)
 	if s.history.offset() == before {
 		s.noteLogError(cause)
 		return cause
--- a/spread/restore_test.go
+++ b/spread/restore_test.go
@@ -32,11 +32,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := &shorterLog{}
 		o := DefaultOptions()
-		o.Log, o.LogKeepsEnd, o.Mode = log, true, ModeDirect
+		o.Log, o.LogReportsRestores, o.Mode = log, true, ModeDirect
 		s := New(o)
 		st, _, err := fold.Apply(fold.Empty(), 1, document(t, 1, 10))
 		must.NoError(t, err)
-		s.Start(st)
+		s.InstallState(st)
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
@@ -163,7 +163,7 @@
 // to an older document.
 func newRestoredFleet(t *testing.T, log *restoredLog, size, zones int) *fleet {
 	f := newFleet(t, size, zones, func(o *Options) {
-		o.LogKeepsEnd, o.LoadCheckpoint = true, log.latest
+		o.LogReportsRestores, o.LoadCheckpoint = true, log.latest
 		check := o.OnState
 		highest := uint64(0)
 		o.OnState = func(st *fold.State) {
@@ -325,7 +325,7 @@
 		must.NoError(t, err)
 		late.dead.Store(false)
 		late.run()
-		late.StartFromLog(st)
+		late.InstallStateFromLog(st)
 		f.setViews()
 		f.awaitVersion(4, 10*time.Second)
 		must.Eq(t, eventlog.At(2, 2), late.State().Offset)
--- a/spread/sessions_test.go
+++ b/spread/sessions_test.go
@@ -66,10 +66,10 @@
 		ahead, _ := lone(t)
 		late, _ := lone(t)
 		_, states := logOf(t, 3)
-		ahead.Start(states[1])
+		ahead.InstallState(states[1])
 		push(t, ahead, 1, states[1].Chain, "1")
 		push(t, ahead, 2, states[2].Chain, "2")
-		late.Start(states[1])
+		late.InstallState(states[1])
 		if wholeState {
 			ahead.history.ring.reset(3, states[3].Chain, nil)
 		}
@@ -99,7 +99,7 @@
 	for _, size := range []int{0, 200, 2_000, 20_000} {
 		b.Run(fmt.Sprintf("record=%d", size), func(b *testing.B) {
 			s := New(DefaultOptions())
-			s.Start(fold.Empty())
+			s.InstallState(fold.Empty())
 			peers, addr, w := connect(b, s.HandlePush, s.HandlePull)
 			m := &peerpb.Push{Root: "host-1", Source: encodeAddr(addr)}
 			if size > 0 {
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -50,9 +50,9 @@
 	LogError string
 	// LogErrorSince is when reads began to fail.
 	LogErrorSince time.Time
-	// Stuck tells why the daemon must stay at its version, empty if it need
+	// StuckReason tells why the daemon must stay at its version, empty if it need
 	// not.
-	Stuck string
+	StuckReason string
 }
 
 // Spreader takes part in spreading for one daemon. All methods are safe for
@@ -132,10 +132,10 @@
 	return s.t.Wait()
 }
 
-// Start puts in force the state that recovery decided on. A later call with a
+// InstallState puts in force the state that recovery decided on. A later call with a
 // newer state, say from a checkpoint, moves ahead to it; an older one is
 // ignored.
-func (s *Spreader) Start(st *fold.State) {
+func (s *Spreader) InstallState(st *fold.State) {
 	if !s.history.adopt(st) {
 		return
 	}
@@ -149,10 +149,10 @@
 	s.pullWake.Set()
 }
 
-// StartFromLog is Start with a state that the log alone vouches for. If the log was ever
+// InstallStateFromLog is Start with a state that the log alone vouches for. If the log was ever
 // restored from an older copy, others may have something newer in force.
-func (s *Spreader) StartFromLog(st *fold.State) {
-	s.Start(st)
+func (s *Spreader) InstallStateFromLog(st *fold.State) {
+	s.InstallState(st)
 	if eventlog.Epoch(st.Offset) > 0 {
 		s.carryWake.Set()
 	}
@@ -177,9 +177,9 @@
 	s.rootWake.Set()
 }
 
-// Heard tells that a host has an offset in force, as each probe of membership
+// ObserveOffset tells that a host has an offset in force, as each probe of membership
 // does. A daemon that is behind pulls from the host.
-func (s *Spreader) Heard(_ string, addr netip.AddrPort, offset uint64) {
+func (s *Spreader) ObserveOffset(_ string, addr netip.AddrPort, offset uint64) {
 	s.mu.Lock()
 	s.lastHeard = time.Now()
 	s.heard = max(s.heard, offset)
@@ -217,9 +217,9 @@
 	defer s.mu.Unlock()
 	old := s.status
 	f(&s.status)
-	s.status.Stuck = s.logStuck
-	if s.status.Stuck == "" {
-		s.status.Stuck = s.foldStuck
+	s.status.StuckReason = s.logStuck
+	if s.status.StuckReason == "" {
+		s.status.StuckReason = s.foldStuck
 	}
 	if s.status != old {
 		s.opts.OnStatus(s.status)
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -185,7 +185,7 @@
 			f.log.Cut(4)
 			late, peer := f.nodes[0], f.nodes[1]
 			late.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) { return st, nil }
-			peer.Start(st)
+			peer.InstallState(st)
 			peer.dead.Store(alone)
 			f.run()
 			f.await(5, time.Second)
@@ -210,11 +210,11 @@
 			f.log.TruncateEnd(2)
 			f.svc.SetOutage(false)
 			time.Sleep(20 * time.Second)
-			must.StrContains(t, f.nodes[0].Status().Stuck, "log ends before it")
+			must.StrContains(t, f.nodes[0].Status().StuckReason, "log ends before it")
 			f.append(change("c", 1))
 			f.append(change("d", 2))
 			time.Sleep(20 * time.Second)
-			must.StrContains(t, f.nodes[0].Status().Stuck, "another record")
+			must.StrContains(t, f.nodes[0].Status().StuckReason, "another record")
 			must.Eq(t, 2, f.nodes[0].State().Offset)
 		})
 	}
@@ -239,7 +239,7 @@
 		}
 		for _, n := range f.nodes {
 			must.Eq(t, 1, n.State().Offset)
-			must.StrContains(t, n.Status().Stuck, fmt.Sprintf("rule %d", fold.RuleVersion+1))
+			must.StrContains(t, n.Status().StuckReason, fmt.Sprintf("rule %d", fold.RuleVersion+1))
 		}
 		must.Less(t, 60, f.svc.Counters().Reads)
 	})
@@ -327,7 +327,7 @@
 	o := DefaultOptions()
 	o.Logger, o.Meter = slog.New(slog.NewTextHandler(&lines, nil)), meter
 	s := New(o)
-	s.Start(fold.Empty())
+	s.InstallState(fold.Empty())
 	b := batch{records: sequencedFrom(1, []byte("no record"), nil)}
 	_, err := s.fold(b, "log")
 	must.NoError(t, err)
@@ -369,7 +369,7 @@
 		first := document(t, 1, 100)
 		f.publish(first)
 		for _, n := range f.nodes {
-			n.Start(startedWith(t, 1, first))
+			n.InstallState(startedWith(t, 1, first))
 		}
 		f.run()
 		f.publish(randomDocument(t, 2, 3800))
@@ -402,9 +402,9 @@
 		data := document(t, 1, 10)
 		o := DefaultOptions()
 		o.Log = slowLog{data: data, takes: o.ReadWait + time.Minute}
-		o.LogKeepsEnd = true
+		o.LogReportsRestores = true
 		s := New(o)
-		s.Start(fold.Empty())
+		s.InstallState(fold.Empty())
 		verified := false
 		must.NoError(t, s.readStep(&verified))
 		must.Eq(t, 1, s.State().Offset)
@@ -440,9 +440,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		o := DefaultOptions()
 		o.Log = &silentLog{back: time.Now().Add(outage), slack: clientSlack, data: document(t, 1, 10)}
-		o.LogKeepsEnd, o.Mode = true, ModeDirect
+		o.LogReportsRestores, o.Mode = true, ModeDirect
 		s := New(o)
-		s.Start(fold.Empty())
+		s.InstallState(fold.Empty())
 		ctx, stop := context.WithCancel(t.Context())
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
--- a/spread/start_test.go
+++ b/spread/start_test.go
@@ -29,8 +29,8 @@
 	st := startedWith(t, 7, document(t, 1, startRoutes))
 	ahead, _ := lone(t)
 	behind, _ := lone(t)
-	ahead.Start(st)
-	behind.Start(st)
+	ahead.InstallState(st)
+	behind.InstallState(st)
 	must.NoError(t, ahead.foldNext(document(t, 2, startRoutes)))
 	m := firstPush(t, ahead, st)
 	must.Less(t, deltaBytes, proto.Size(m))
@@ -47,12 +47,12 @@
 func TestStartedDaemonUnpacksAChange(t *testing.T) {
 	first := document(t, 1, startRoutes)
 	ahead, _ := lone(t)
-	ahead.Start(fold.Empty())
+	ahead.InstallState(fold.Empty())
 	must.NoError(t, ahead.foldNext(first))
 	st := ahead.State()
 	must.NoError(t, ahead.foldNext(document(t, 2, startRoutes)))
 	behind, _ := lone(t)
-	behind.Start(startedWith(t, 1, first))
+	behind.InstallState(startedWith(t, 1, first))
 	m := firstPush(t, ahead, st)
 	must.False(t, m.GetPacked()[0].GetAlone())
 	must.NoError(t, behind.servePush(m, func(*peerpb.PushAck) error { return nil }))
@@ -72,7 +72,7 @@
 		f.publish(first)
 		st := startedWith(t, 1, first)
 		for _, n := range f.nodes {
-			n.Start(st)
+			n.InstallState(st)
 		}
 		f.run()
 		f.publish(document(t, 2, startRoutes))
@@ -93,8 +93,8 @@
 	for name, st := range map[string]*fold.State{"record rejected": rejected, "no document": bundles[1]} {
 		ahead, _ := lone(t)
 		behind, _ := lone(t)
-		ahead.Start(st)
-		behind.Start(st)
+		ahead.InstallState(st)
+		behind.InstallState(st)
 		_, held := behind.history.recordAt(st.Offset)
 		must.False(t, held, must.Sprint(name))
 		must.NoError(t, ahead.foldNext(document(t, 9, 100)), must.Sprint(name))
@@ -109,7 +109,7 @@
 // state: the document there is no record that was read.
 func TestStateIsNotServedAsARecord(t *testing.T) {
 	ahead, _ := lone(t)
-	ahead.Start(startedWith(t, 7, document(t, 1, 100)))
+	ahead.InstallState(startedWith(t, 7, document(t, 1, 100)))
 	answer := ahead.servePull(&peerpb.Pull{Offset: 6, TakesPacked: true, HoldsRecord: true})
 	must.SliceEmpty(t, answer.GetPacked())
 	must.SliceEmpty(t, answer.GetRecords())
