--- a/internal/controller/quarantines/quarantines.go
+++ b/internal/controller/quarantines/quarantines.go
@@ -36,7 +36,7 @@
 // Options holds what a Controller works with.
 type Options struct {
 	Board      *blackboard.Board
-	Ledger     *quarantine.Ledger
+	Ledger     *quarantine.Tracker
 	Membership *membership.Membership
 	// Directory keeps verdicts through a loss of power everywhere.
 	Directory eventlog.Directory
@@ -89,7 +89,7 @@
 }
 
 func (c *Controller) observe(view *membership.View) {
-	var news []quarantine.Told
+	var news []quarantine.PeerNotes
 	for _, m := range view.Members {
 		if len(m.Notes) == 0 || m.Host == c.opts.Host {
 			delete(c.told, m.Host)
@@ -99,7 +99,7 @@
 			continue
 		}
 		c.told[m.Host] = m
-		news = append(news, quarantine.Told{Host: m.Host, Boot: m.Boot, Notes: m.Notes})
+		news = append(news, quarantine.PeerNotes{Host: m.Host, Boot: m.Boot, Notes: m.Notes})
 	}
 	if len(news) > 0 {
 		c.opts.Ledger.Observe(news)
@@ -181,7 +181,7 @@
 		c.stored[v.Identity] = v.Until
 	}
 	for id := range c.stored {
-		if c.opts.Ledger.Refuses(id) > 0 {
+		if c.opts.Ledger.QuarantinedFor(id) > 0 {
 			continue
 		}
 		if !c.put(ctx, id, nil) {
--- a/internal/controller/rollouts/decide.go
+++ b/internal/controller/rollouts/decide.go
@@ -40,7 +40,7 @@
 		return rollout.Permit{}, errUnknownOrder
 	}
 	if o.Offset > m.GetOrder() {
-		return rollout.Superseded(r), nil
+		return rollout.SupersededPermit(r), nil
 	}
 	p := c.opts.Decider.Report(*o, r, c.opts.Now())
 	c.asked.Set()
@@ -75,7 +75,7 @@
 		return c.load(ctx, t.Order)
 	}
 	if t.Outcome != rollout.Undecided {
-		value, err := rollout.EncodeEntry(rollout.Ended{Order: t.Order, Outcome: t.Outcome})
+		value, err := rollout.EncodeEntry(rollout.RecordedOutcome{Order: t.Order, Outcome: t.Outcome})
 		if err != nil {
 			return err
 		}
@@ -158,7 +158,7 @@
 // recall takes over the outcome of an order from the directory's entries. The caller holds mu.
 func (c *Controller) recall(o rollout.Order, now time.Time) {
 	e, ok := c.entries[o.Service]
-	if ok && e.Of(o) && c.ended[o.Offset].outcome == rollout.Undecided {
+	if ok && e.Matches(o) && c.ended[o.Offset].outcome == rollout.Undecided {
 		c.ended[o.Offset] = endedAt{e.Outcome, now}
 	}
 }
--- a/internal/controller/rollouts/report.go
+++ b/internal/controller/rollouts/report.go
@@ -41,7 +41,7 @@
 
 // interval returns the time to the next report.
 func (c *Controller) interval(w *rollout.Tracker) time.Duration {
-	left := w.Order.Duration - c.opts.Now().Sub(w.Known)
+	left := w.Order.Duration - c.opts.Now().Sub(w.OrderKnownAt)
 	if w.NewVersion || left < moveTime {
 		return reportInterval
 	}
@@ -61,7 +61,7 @@
 		return false
 	}
 	before := w.Mode(sent)
-	w.Permit(p, sent)
+	w.SetPermit(p, sent)
 	mode := w.Mode(c.opts.Now())
 	if mode != before {
 		c.opts.Logger.Info("rollout: gate changed", "service", w.Order.Service, "order", w.Order.Offset, "mode", mode.String(),
--- a/internal/controller/rollouts/rollouts.go
+++ b/internal/controller/rollouts/rollouts.go
@@ -86,7 +86,7 @@
 	// ended holds outcomes by the offset of their order.
 	ended map[uint64]endedAt
 	// entries are the latest outcomes found in the directory, by service.
-	entries map[string]rollout.Ended
+	entries map[string]rollout.RecordedOutcome
 	// recorded is what this daemon has recorded and told last, by service.
 	recorded map[string]rollout.Task
 	// restored is set while that has to be done again.
@@ -112,7 +112,7 @@
 // New returns a controller.
 func New(opts Options) *Controller {
 	return &Controller{
-		opts: opts, ended: make(map[uint64]endedAt), entries: make(map[string]rollout.Ended),
+		opts: opts, ended: make(map[uint64]endedAt), entries: make(map[string]rollout.RecordedOutcome),
 		recorded: make(map[string]rollout.Task), tracked: loop.NewWake(), asked: loop.NewWake(),
 	}
 }
@@ -170,7 +170,7 @@
 		return false
 	}
 	o := c.order(local.Service)
-	l := rollout.Local{Version: local.Version, Seen: local.FirstSeen, Peers: func() rollout.Peers { return c.peers(local, o) }}
+	l := rollout.LocalServer{Version: local.Version, FirstSeen: local.FirstSeen, Peers: func() rollout.PeerCounts { return c.peers(local, o) }}
 	var outcome rollout.Outcome
 	if o != nil {
 		if c.known.offset != o.Offset {
@@ -178,7 +178,7 @@
 		}
 		c.learnOutcome(o, now)
 		l.Unproven = c.isUnproven(o, local)
-		l.Known, l.Ended, outcome = c.known.at, c.ended[o.Offset].at, c.ended[o.Offset].outcome
+		l.OrderKnownAt, l.OutcomeKnownAt, outcome = c.known.at, c.ended[o.Offset].at, c.ended[o.Offset].outcome
 	}
 	role := rollout.RoleOf(o, outcome, l, now)
 	c.setRole(role, c.trackerFor(role, o, local, outcome, now), now)
@@ -205,7 +205,7 @@
 }
 
 func (c *Controller) serverID(local *blackboard.LocalBackend) rollout.ServerID {
-	return rollout.ServerID{Host: c.opts.Host, Boot: c.opts.Boot, Life: members.LifeOf(local)}
+	return rollout.ServerID{Host: c.opts.Host, Boot: c.opts.Boot, Instance: members.LifeOf(local)}
 }
 
 // trackerFor returns the tracker for a role, the present one where it is that.
@@ -221,9 +221,9 @@
 	if w := c.tracker; w != nil && c.role == role && w.Order == order && w.Server == server {
 		return w
 	}
-	w := &rollout.Tracker{Order: order, Server: server, NewVersion: role != rollout.Stable, Known: known}
+	w := &rollout.Tracker{Order: order, Server: server, NewVersion: role != rollout.Stable, OrderKnownAt: known}
 	if role != rollout.Pending {
-		w.Permit(rollout.Permit{Outcome: outcome}, time.Time{})
+		w.SetPermit(rollout.Permit{Outcome: outcome}, time.Time{})
 	}
 	return w
 }
@@ -235,7 +235,7 @@
 	}
 	if c.tracker != w {
 		c.done = false
-		c.opts.Gate.Follow(w)
+		c.opts.Gate.SetTracker(w)
 		c.tracked.Set()
 	}
 	c.role, c.tracker = role, w
@@ -255,8 +255,8 @@
 }
 
 // peers counts the other servers of the service by version. The order may be nil.
-func (c *Controller) peers(local *blackboard.LocalBackend, o *rollout.Order) rollout.Peers {
-	var p rollout.Peers
+func (c *Controller) peers(local *blackboard.LocalBackend, o *rollout.Order) rollout.PeerCounts {
+	var p rollout.PeerCounts
 	view := c.opts.Board.Members.Load()
 	if view == nil {
 		return p
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -183,7 +183,7 @@
 	f.document(5)
 	_, after := newCrashServers(f)
 	f.eventually("all have read the store", func() bool {
-		return !slices.ContainsFunc(f.daemons, func(d *testDaemon) bool { return d.quarantine.Refuses(verdict.Identity) == 0 })
+		return !slices.ContainsFunc(f.daemons, func(d *testDaemon) bool { return d.quarantine.QuarantinedFor(verdict.Identity) == 0 })
 	})
 	for _, d := range f.daemons {
 		resp, _ := f.call(d, http.MethodGet, deadlyPath, "")
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -69,7 +69,7 @@
 	spreader   *spread.Spreader
 	quota      *quota.Manager
 	attempts   *once.Attempts
-	quarantine *quarantine.Ledger
+	quarantine *quarantine.Tracker
 	picker     *balance.Picker
 	budgets    *retry.Budgets
 	keys       *once.Keys
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -170,14 +170,14 @@
 	c := operator.NewClient(srv.URL)
 	id := quarantine.IdentityOf(quarantine.Request{Method: http.MethodGet, Target: "/signs/deadly"})
 	for range quarantine.DefaultOptions().Crashes {
-		ledger.Ended([]quarantine.Identity{id})
+		ledger.RecordCrash([]quarantine.Identity{id})
 	}
 	list, err := c.Quarantine(t.Context())
 	must.NoError(t, err)
 	must.Len(t, 1, list.Requests)
 	must.Eq(t, id.String(), list.Requests[0].Identity)
 	must.NoError(t, c.LiftQuarantine(t.Context(), id.String()))
-	must.Eq(t, 0, ledger.Refuses(id))
+	must.Eq(t, 0, ledger.QuarantinedFor(id))
 	list, err = c.Quarantine(t.Context())
 	must.NoError(t, err)
 	must.SliceEmpty(t, list.Requests)
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -18,7 +18,7 @@
 	paramIdentity  = "identity"
 )
 
-// Quarantine is the part of quarantine.Ledger that operators see.
+// Quarantine is the part of quarantine.Tracker that operators see.
 type Quarantine interface {
 	Verdicts() []quarantine.Verdict
 	// Lift lets a request in again at all daemons, and reports whether anything was held
--- a/internal/proxy/inbound/ending.go
+++ b/internal/proxy/inbound/ending.go
@@ -85,7 +85,7 @@
 
 // quarantined is the refusal of a call that would end the server.
 func (c *call) quarantined() error {
-	if left := c.h.opts.Quarantine.Refuses(c.identity); left > 0 {
+	if left := c.h.opts.Quarantine.QuarantinedFor(c.identity); left > 0 {
 		return quarantine.Refusal(left)
 	}
 	return nil
@@ -102,7 +102,7 @@
 	if first {
 		ids := e.identities()
 		c.h.logEnding(c.site, e)
-		c.h.opts.Quarantine.Ended(ids)
+		c.h.opts.Quarantine.RecordCrash(ids)
 	}
 	return true
 }
--- a/internal/proxy/inbound/forward.go
+++ b/internal/proxy/inbound/forward.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		return gate.Failed, c.refuse(c.brokenOff(err))
 	}
-	c.h.opts.Quarantine.EndedWell(c.identity)
+	c.h.opts.Quarantine.RecordSuccess(c.identity)
 	if err := c.passOn(c.answerHead(resp), start, resp); err != nil {
 		return gate.Failed, linkBroken(err)
 	}
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -67,14 +67,14 @@
 	Logger  *slog.Logger
 }
 
-// Quarantine is the part of quarantine.Ledger that a gate needs.
+// Quarantine is the part of quarantine.Tracker that a gate needs.
 type Quarantine interface {
-	// Refuses returns how long a request is kept from backend servers yet.
-	Refuses(quarantine.Identity) time.Duration
-	// Ended and EndedWell tell of requests under which the server has ended, the latest
+	// QuarantinedFor returns how long a request is kept from backend servers yet.
+	QuarantinedFor(quarantine.Identity) time.Duration
+	// RecordCrash and RecordSuccess tell of requests under which the server has ended, the latest
 	// last, and of one that it has run to its end.
-	Ended([]quarantine.Identity)
-	EndedWell(quarantine.Identity)
+	RecordCrash([]quarantine.Identity)
+	RecordSuccess(quarantine.Identity)
 }
 
 // Handler serves the calls that other daemons send to the backend server
--- a/internal/proxy/inbound/once.go
+++ b/internal/proxy/inbound/once.go
@@ -64,7 +64,7 @@
 		_ = c.brokenOff(err)
 		return gate.Failed, c.refuse(errkind.Wrap(errkind.OutcomeUnknown, err, "the backend server's answer broke off"))
 	}
-	c.h.opts.Quarantine.EndedWell(c.identity)
+	c.h.opts.Quarantine.RecordSuccess(c.identity)
 	if len(start) <= maxKeptBody {
 		c.h.opts.Attempts.Finish(id, keptAnswer(head, start))
 	} else {
--- a/internal/proxy/inbound/rollout.go
+++ b/internal/proxy/inbound/rollout.go
@@ -29,5 +29,5 @@
 	case c.status > 0:
 		return rollout.Answered
 	}
-	return rollout.GivenUp
+	return rollout.Inconclusive
 }
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -283,7 +283,7 @@
 		a.c.h.lanes.Refused(a.gate(), a.id)
 	case errkind.Quarantined:
 		left := errkind.RetryAfterOf(err)
-		a.c.h.opts.Quarantine.Add(quarantine.Verdict{Identity: a.c.identity, Until: time.Now().Add(left), Hold: left})
+		a.c.h.opts.Quarantine.Add(quarantine.Verdict{Identity: a.c.identity, Until: time.Now().Add(left), Duration: left})
 	}
 	return err
 }
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -73,10 +73,10 @@
 	Quarantine Quarantine
 }
 
-// Quarantine is the part of quarantine.Ledger that a call needs.
+// Quarantine is the part of quarantine.Tracker that a call needs.
 type Quarantine interface {
-	// Refuses returns how long a request is kept from backend servers yet.
-	Refuses(quarantine.Identity) time.Duration
+	// QuarantinedFor returns how long a request is kept from backend servers yet.
+	QuarantinedFor(quarantine.Identity) time.Duration
 	// Crashes returns how many servers are known to have ended under a request.
 	Crashes(quarantine.Identity) int
 	// Add takes in the verdict of a gate.
@@ -180,7 +180,7 @@
 	if err := c.readBody(ctx, w, r); err != nil {
 		return c, refusedWithKey(key, err)
 	}
-	if left := h.opts.Quarantine.Refuses(c.identity); left > 0 {
+	if left := h.opts.Quarantine.QuarantinedFor(c.identity); left > 0 {
 		return c, refusedWithKey(key, quarantine.Refusal(left))
 	}
 	if key != "" && c.terms.NonIdempotent && c.route == nil {
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -67,7 +67,7 @@
 		return
 	}
 	at := open[s.rnd.IntN(len(open))]
-	if s.ledgers[at].Refuses(r.id) > 0 {
+	if s.ledgers[at].QuarantinedFor(r.id) > 0 {
 		s.refused[r.id] = true
 		return
 	}
@@ -90,7 +90,7 @@
 			for _, r := range srv.runs {
 				ids = append(ids, r.id)
 			}
-			s.ledgers[i].Ended(ids)
+			s.ledgers[i].RecordCrash(ids)
 			broken = append(broken, srv.runs...)
 			srv.runs, srv.back = nil, s.now.Add(simAway)
 			s.crashes++
@@ -100,7 +100,7 @@
 			if r.ends.After(s.now) {
 				return false
 			}
-			s.ledgers[i].EndedWell(r.id)
+			s.ledgers[i].RecordSuccess(r.id)
 			return true
 		})
 	}
--- a/quarantine/decide.go
+++ b/quarantine/decide.go
@@ -8,7 +8,7 @@
 
 // crashed counts a crash against a request, and keeps the request away where that is one
 // too many.
-func (l *Ledger) crashed(id Identity, from source, now time.Time) {
+func (l *Tracker) crashed(id Identity, from source, now time.Time) {
 	s := l.suspectOf(id, now)
 	if s == nil {
 		return
@@ -29,25 +29,25 @@
 }
 
 // decide keeps a request from backend servers.
-func (l *Ledger) decide(id Identity, s *suspect, now time.Time) {
+func (l *Tracker) decide(id Identity, s *suspect, now time.Time) {
 	if len(l.inForce(now)) >= l.opts.MaxVerdicts {
 		l.opts.Logger.Warn("quarantine: full, a request under which servers ended is let through", "identity", id.String())
 		return
 	}
 	hold := l.opts.Hold
 	if s.verdict != nil {
-		hold = min(2*s.verdict.Hold, l.opts.MaxHold)
+		hold = min(2*s.verdict.Duration, l.opts.MaxHold)
 	}
-	s.verdict = &Verdict{Identity: id, Until: now.Add(hold), Hold: hold}
+	s.verdict = &Verdict{Identity: id, Until: now.Add(hold), Duration: hold}
 	l.opts.Logger.Warn("quarantine: request kept from backend servers", "identity", id.String(),
 		"servers_ended", len(s.crashes), "until", s.verdict.Until)
 	l.publish(now)
 }
 
 // adopt takes in a verdict of others.
-func (l *Ledger) adopt(v Verdict, now time.Time) {
-	v.Hold = min(max(v.Hold, l.opts.Hold), l.opts.MaxHold)
-	if latest := now.Add(v.Hold); v.Until.After(latest) {
+func (l *Tracker) adopt(v Verdict, now time.Time) {
+	v.Duration = min(max(v.Duration, l.opts.Hold), l.opts.MaxHold)
+	if latest := now.Add(v.Duration); v.Until.After(latest) {
 		v.Until = latest
 	}
 	if !v.Until.After(now) || len(l.inForce(now)) >= l.opts.MaxVerdicts {
@@ -64,7 +64,7 @@
 }
 
 // clear takes back what is held against a request, and tells the others.
-func (l *Ledger) clear(id Identity, why string) {
+func (l *Tracker) clear(id Identity, why string) {
 	now := l.opts.Now()
 	until := now.Add(l.opts.Hold)
 	if v := l.suspects[id].verdict; v != nil && v.Until.After(until) {
@@ -77,7 +77,7 @@
 }
 
 // forgive forgets the crashes that are known by now and the verdicts that end by until.
-func (l *Ledger) forgive(id Identity, until, now time.Time) {
+func (l *Tracker) forgive(id Identity, until, now time.Time) {
 	s := l.suspectOf(id, now)
 	if s == nil {
 		return
@@ -92,7 +92,7 @@
 
 // suspectOf returns the entry of a request, a new one where there is none, or nil where the
 // ledger is full of verdicts.
-func (l *Ledger) suspectOf(id Identity, now time.Time) *suspect {
+func (l *Tracker) suspectOf(id Identity, now time.Time) *suspect {
 	s := l.suspects[id]
 	if s == nil {
 		if len(l.suspects) >= l.opts.MaxSuspects && !l.dropOldest(now) {
@@ -108,7 +108,7 @@
 
 // dropOldest forgets the suspect of which nothing was learned for longest, and reports
 // whether there was one without a verdict in force.
-func (l *Ledger) dropOldest(now time.Time) bool {
+func (l *Tracker) dropOldest(now time.Time) bool {
 	var oldest Identity
 	var found *suspect
 	for id, s := range l.suspects {
@@ -121,7 +121,7 @@
 }
 
 // Expire forgets what no longer counts.
-func (l *Ledger) Expire() {
+func (l *Tracker) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
@@ -153,11 +153,11 @@
 
 // onProbation reports whether a verdict has ended not long ago.
 func (s *suspect) onProbation(now time.Time) bool {
-	return s.verdict != nil && !s.inForce(now) && now.Before(s.verdict.Until.Add(s.verdict.Hold))
+	return s.verdict != nil && !s.inForce(now) && now.Before(s.verdict.Until.Add(s.verdict.Duration))
 }
 
 // inForce returns the verdicts in force.
-func (l *Ledger) inForce(now time.Time) []Verdict {
+func (l *Tracker) inForce(now time.Time) []Verdict {
 	var list []Verdict
 	for _, s := range l.suspects {
 		if s.inForce(now) {
@@ -168,7 +168,7 @@
 }
 
 // publish has requests refused by the verdicts in force, and returns how many there are.
-func (l *Ledger) publish(now time.Time) int {
+func (l *Tracker) publish(now time.Time) int {
 	list := l.inForce(now)
 	if len(list) == 0 {
 		l.kept.Store(nil)
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -41,8 +41,8 @@
 type Verdict struct {
 	Identity Identity
 	// Until is when it ends, by the time of day: it outlives the processes that know it.
-	Until time.Time
-	Hold  time.Duration
+	Until    time.Time
+	Duration time.Duration
 }
 
 // source tells one crash from others: who told of it, in which life, under which number.
@@ -65,10 +65,10 @@
 	touched time.Time
 }
 
-// Ledger is what one daemon knows of requests that servers ended under. It decides by
+// Tracker is what one daemon knows of requests that servers ended under. It decides by
 // itself, from its own evidence and what others tell; those who know the same decide the
 // same. It is safe for concurrent use. What a request's path asks takes no lock.
-type Ledger struct {
+type Tracker struct {
 	opts Options
 	// kept holds the ends of the verdicts in force, nil without any.
 	kept atomic.Pointer[map[Identity]time.Time]
@@ -85,15 +85,15 @@
 }
 
 // New returns an empty ledger.
-func New(opts Options) *Ledger {
-	return &Ledger{
+func New(opts Options) *Tracker {
+	return &Tracker{
 		opts: opts, suspects: make(map[Identity]*suspect), seen: make(map[source]time.Time),
 		changed: make(chan struct{}), good: goodRuns{keep: opts.GoodFor},
 	}
 }
 
-// Refuses returns how long a request is kept from backend servers yet, 0 where it is not.
-func (l *Ledger) Refuses(id Identity) time.Duration {
+// QuarantinedFor returns how long a request is kept from backend servers yet, 0 where it is not.
+func (l *Tracker) QuarantinedFor(id Identity) time.Duration {
 	kept := l.kept.Load()
 	if kept == nil {
 		return 0
@@ -106,7 +106,7 @@
 }
 
 // Crashes returns how many servers are known to have ended under a request.
-func (l *Ledger) Crashes(id Identity) int {
+func (l *Tracker) Crashes(id Identity) int {
 	if l.suspected.Load() == 0 {
 		return 0
 	}
@@ -118,9 +118,9 @@
 	return 0
 }
 
-// Ended notes that the server beside this daemon has ended under requests; the latest come
+// RecordCrash notes that the server beside this daemon has ended under requests; the latest come
 // last. Those that have just run well are left out.
-func (l *Ledger) Ended(ids []Identity) {
+func (l *Tracker) RecordCrash(ids []Identity) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
@@ -138,7 +138,7 @@
 // mostSuspect returns at most maxEndedUnder of the requests that a server ended under:
 // those that are suspect already, then the latest. A server may run any number of calls,
 // and what is told of one crash must be short.
-func (l *Ledger) mostSuspect(ids []Identity) []Identity {
+func (l *Tracker) mostSuspect(ids []Identity) []Identity {
 	if len(ids) <= maxEndedUnder {
 		return ids
 	}
@@ -154,9 +154,9 @@
 	return most[:maxEndedUnder]
 }
 
-// EndedWell notes that the server beside this daemon has run a request to its end. What
+// RecordSuccess notes that the server beside this daemon has run a request to its end. What
 // was held against the request is taken back, here and at the others.
-func (l *Ledger) EndedWell(id Identity) {
+func (l *Tracker) RecordSuccess(id Identity) {
 	l.good.add(id, l.opts.Now())
 	if l.suspected.Load() == 0 {
 		return
@@ -170,7 +170,7 @@
 
 // Lift takes a request out of quarantine, here and at the others, and reports whether
 // anything was held against it.
-func (l *Ledger) Lift(id Identity) bool {
+func (l *Tracker) Lift(id Identity) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s := l.suspects[id]
@@ -182,7 +182,7 @@
 }
 
 // Verdicts returns the verdicts in force, in no particular order.
-func (l *Ledger) Verdicts() []Verdict {
+func (l *Tracker) Verdicts() []Verdict {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inForce(l.opts.Now())
@@ -195,25 +195,25 @@
 }
 
 // Stats returns what the ledger holds.
-func (l *Ledger) Stats() Stats {
+func (l *Tracker) Stats() Stats {
 	return Stats{Quarantined: len(l.Verdicts()), Suspected: int(l.suspected.Load())}
 }
 
 // Add takes in a verdict that was found in the platform's directory, or that a gate told.
-func (l *Ledger) Add(v Verdict) {
+func (l *Tracker) Add(v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.adopt(v, l.opts.Now())
 }
 
 // Watch returns a channel that is closed after the next change.
-func (l *Ledger) Watch() <-chan struct{} {
+func (l *Tracker) Watch() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
-func (l *Ledger) notify() {
+func (l *Tracker) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -12,7 +12,7 @@
 // daemons are ledgers of a fleet that tell each other all notes, on one clock.
 type daemons struct {
 	now     time.Time
-	ledgers []*Ledger
+	ledgers []*Tracker
 }
 
 func newDaemons(n int) *daemons {
@@ -23,7 +23,7 @@
 	return d
 }
 
-func (d *daemons) add() *Ledger {
+func (d *daemons) add() *Tracker {
 	o := DefaultOptions()
 	o.Now = func() time.Time { return d.now }
 	l := New(o)
@@ -40,12 +40,12 @@
 
 // tell has all daemons take in what all tell.
 func (d *daemons) tell() {
-	var all []Told
+	var all []PeerNotes
 	for i, l := range d.ledgers {
-		all = append(all, Told{Host: string(rune('a' + i)), Boot: 1, Notes: l.Notes(nil)})
+		all = append(all, PeerNotes{Host: string(rune('a' + i)), Boot: 1, Notes: l.Notes(nil)})
 	}
 	for i, l := range d.ledgers {
-		l.Observe(append(append([]Told(nil), all[:i]...), all[i+1:]...))
+		l.Observe(append(append([]PeerNotes(nil), all[:i]...), all[i+1:]...))
 	}
 }
 
@@ -53,7 +53,7 @@
 func (d *daemons) refusing(id Identity) int {
 	n := 0
 	for _, l := range d.ledgers {
-		if l.Refuses(id) > 0 {
+		if l.QuarantinedFor(id) > 0 {
 			n++
 		}
 	}
@@ -74,7 +74,7 @@
 	d := newDaemons(8)
 	for crash := range 3 {
 		must.Eq(t, 0, d.refusing(deadly))
-		d.ledgers[crash].Ended([]Identity{identity(2 * crash), deadly, identity(2*crash + 1)})
+		d.ledgers[crash].RecordCrash([]Identity{identity(2 * crash), deadly, identity(2*crash + 1)})
 		d.tell()
 		d.tell()
 	}
@@ -92,19 +92,19 @@
 	popular := identity(7)
 	d := newDaemons(8)
 	for _, l := range d.ledgers {
-		l.EndedWell(popular)
+		l.RecordSuccess(popular)
 	}
 	d.pass(DefaultOptions().GoodFor + time.Second)
-	d.ledgers[6].EndedWell(popular)
+	d.ledgers[6].RecordSuccess(popular)
 	for i := range 6 {
-		d.ledgers[i].Ended([]Identity{popular, identity(100 + i)})
+		d.ledgers[i].RecordCrash([]Identity{popular, identity(100 + i)})
 	}
 	d.tell()
 	d.tell()
 	must.Eq(t, 0, d.refusing(popular))
 	// It goes on being served while more servers end.
-	d.ledgers[7].EndedWell(popular)
-	d.ledgers[0].Ended([]Identity{popular})
+	d.ledgers[7].RecordSuccess(popular)
+	d.ledgers[0].RecordCrash([]Identity{popular})
 	d.tell()
 	must.Eq(t, 0, d.refusing(popular))
 }
@@ -115,19 +115,19 @@
 func TestLedger_ProbationAfterAVerdict(t *testing.T) {
 	d := newDaemons(4)
 	for i := range 3 {
-		d.ledgers[i].Ended([]Identity{deadly})
+		d.ledgers[i].RecordCrash([]Identity{deadly})
 	}
 	d.tell()
 	hold := DefaultOptions().Hold
 	d.pass(hold + time.Second)
 	must.Eq(t, 0, d.refusing(deadly))
-	d.ledgers[3].Ended([]Identity{deadly})
+	d.ledgers[3].RecordCrash([]Identity{deadly})
 	d.tell()
 	must.Eq(t, 4, d.refusing(deadly))
 	d.pass(2*hold - time.Second)
 	must.Eq(t, 4, d.refusing(deadly))
 	d.pass(2*hold + 2*time.Second)
-	d.ledgers[3].Ended([]Identity{deadly})
+	d.ledgers[3].RecordCrash([]Identity{deadly})
 	d.tell()
 	must.Eq(t, 0, d.refusing(deadly))
 }
@@ -137,7 +137,7 @@
 func TestLedger_LiftHoldsEverywhere(t *testing.T) {
 	d := newDaemons(5)
 	for i := range 3 {
-		d.ledgers[i].Ended([]Identity{deadly})
+		d.ledgers[i].RecordCrash([]Identity{deadly})
 	}
 	d.tell()
 	must.True(t, d.ledgers[4].Lift(deadly))
@@ -154,16 +154,16 @@
 func TestLedger_VerdictFromTheDirectory(t *testing.T) {
 	d := newDaemons(1)
 	l := d.ledgers[0]
-	b, err := EncodeEntry(Verdict{Identity: deadly, Until: d.now.Add(time.Minute), Hold: 10 * time.Minute})
+	b, err := EncodeEntry(Verdict{Identity: deadly, Until: d.now.Add(time.Minute), Duration: 10 * time.Minute})
 	must.NoError(t, err)
 	v, ok := DecodeEntry(b)
 	must.True(t, ok)
 	l.Add(v)
-	must.Eq(t, time.Minute, l.Refuses(deadly))
-	l.Add(Verdict{Identity: identity(1), Until: d.now.Add(1000 * time.Hour), Hold: 1000 * time.Hour})
-	must.Eq(t, DefaultOptions().MaxHold, l.Refuses(identity(1)))
+	must.Eq(t, time.Minute, l.QuarantinedFor(deadly))
+	l.Add(Verdict{Identity: identity(1), Until: d.now.Add(1000 * time.Hour), Duration: 1000 * time.Hour})
+	must.Eq(t, DefaultOptions().MaxHold, l.QuarantinedFor(identity(1)))
 	d.pass(2 * time.Minute)
-	must.Eq(t, 0, l.Refuses(deadly))
+	must.Eq(t, 0, l.QuarantinedFor(deadly))
 	_, ok = DecodeEntry([]byte("no entry"))
 	must.False(t, ok)
 }
@@ -173,7 +173,7 @@
 func TestLedger_StaysBounded(t *testing.T) {
 	d := newDaemons(3)
 	for i := range 3 {
-		d.ledgers[i].Ended([]Identity{deadly})
+		d.ledgers[i].RecordCrash([]Identity{deadly})
 	}
 	d.tell()
 	o := DefaultOptions()
@@ -182,7 +182,7 @@
 		for j := range ids {
 			ids[j] = identity(100*i + j)
 		}
-		d.ledgers[i%3].Ended(ids)
+		d.ledgers[i%3].RecordCrash(ids)
 		d.tell()
 	}
 	must.Eq(t, 3, d.refusing(deadly))
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -71,7 +71,7 @@
 // Notes returns what this daemon tells the others, the most urgent first: its latest crash,
 // what it has cleared, the verdicts that it carries for daemons which start, and earlier
 // crashes.
-func (l *Ledger) Notes(carried []Verdict) [][]byte {
+func (l *Tracker) Notes(carried []Verdict) [][]byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var notes []*quarantinepb.Note
@@ -96,8 +96,8 @@
 	return encoded
 }
 
-// Told is what another daemon tells, in one of its lives.
-type Told struct {
+// PeerNotes is what another daemon tells, in one of its lives.
+type PeerNotes struct {
 	Host  string
 	Boot  uint64
 	Notes [][]byte
@@ -106,7 +106,7 @@
 // Observe takes in what others tell. Notes that were taken in before change nothing, and
 // those that cannot be read are passed over. Clearings come last: a daemon that starts hears
 // of crashes and of their clearing at once, in any order.
-func (l *Ledger) Observe(all []Told) {
+func (l *Tracker) Observe(all []PeerNotes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
@@ -138,7 +138,7 @@
 	l.notify()
 }
 
-func (l *Ledger) observeCrash(n *quarantinepb.Note, from source, now time.Time) {
+func (l *Tracker) observeCrash(n *quarantinepb.Note, from source, now time.Time) {
 	const size = len(Identity{})
 	for b := n.GetEndedUnder(); len(b) >= size; b = b[size:] {
 		id, _ := IdentityFrom(b[:size])
@@ -147,13 +147,13 @@
 }
 
 func encodeVerdict(v Verdict) *quarantinepb.Verdict {
-	return &quarantinepb.Verdict{Identity: v.Identity[:], UntilUnix: v.Until.Unix(), HoldS: uint32(v.Hold / time.Second)}
+	return &quarantinepb.Verdict{Identity: v.Identity[:], UntilUnix: v.Until.Unix(), HoldS: uint32(v.Duration / time.Second)}
 }
 
 func decodeVerdict(v *quarantinepb.Verdict) (Verdict, bool) {
 	id, ok := IdentityFrom(v.GetIdentity())
 	return Verdict{
-		Identity: id, Until: time.Unix(v.GetUntilUnix(), 0), Hold: time.Duration(v.GetHoldS()) * time.Second,
+		Identity: id, Until: time.Unix(v.GetUntilUnix(), 0), Duration: time.Duration(v.GetHoldS()) * time.Second,
 	}, ok
 }
 
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -39,7 +39,7 @@
 // EncodeReport returns the message of a report on an order.
 func EncodeReport(o Order, r Report) *rolloutpb.Report {
 	m := &rolloutpb.Report{
-		Host: r.Server.Host, Boot: r.Server.Boot, Life: r.Server.Life, Service: o.Service, Order: o.Offset,
+		Host: r.Server.Host, Boot: r.Server.Boot, Life: r.Server.Instance, Service: o.Service, Order: o.Offset,
 		NewVersion: r.NewVersion, OrderAgeMs: uint32(max(r.OrderAge.Milliseconds(), 0)), Outcome: outcomes[r.Outcome],
 		Admitted: r.Admitted, InFlight: uint32(r.InFlight), Mode: modes[r.Mode],
 	}
@@ -63,7 +63,7 @@
 // DecodeReport returns the report of a message. The error is ErrBadReport.
 func DecodeReport(m *rolloutpb.Report) (Report, error) {
 	r := Report{
-		Server:     ServerID{Host: m.GetHost(), Boot: m.GetBoot(), Life: m.GetLife()},
+		Server:     ServerID{Host: m.GetHost(), Boot: m.GetBoot(), Instance: m.GetLife()},
 		NewVersion: m.GetNewVersion(), OrderAge: time.Duration(m.GetOrderAgeMs()) * time.Millisecond,
 		Outcome: keyOf(outcomes, m.GetOutcome()), Mode: keyOf(modes, m.GetMode()),
 		Admitted: m.GetAdmitted(), InFlight: int(m.GetInFlight()), Tally: make(Tally, len(m.GetRoutes())),
@@ -102,15 +102,15 @@
 	return p
 }
 
-// Ended is the outcome of the rollout of an order.
-type Ended struct {
+// RecordedOutcome is the outcome of the rollout of an order.
+type RecordedOutcome struct {
 	Order   Order
 	Outcome Outcome
 }
 
-// Of reports whether it is the outcome of an order: of that very one, or of one that a
+// Matches reports whether it is the outcome of an order: of that very one, or of one that a
 // restore of the log from an older copy has given another offset since.
-func (e Ended) Of(o Order) bool {
+func (e RecordedOutcome) Matches(o Order) bool {
 	if e.Order.Offset == o.Offset {
 		return e.Order.Service == o.Service
 	}
@@ -120,7 +120,7 @@
 }
 
 // EncodeEntry returns the directory's entry of an outcome.
-func EncodeEntry(e Ended) ([]byte, error) {
+func EncodeEntry(e RecordedOutcome) ([]byte, error) {
 	return proto.Marshal(&rolloutpb.Entry{Ended: &rolloutpb.Ended{
 		Service: e.Order.Service, Order: e.Order.Offset, Outcome: outcomes[e.Outcome],
 		ToVersion: e.Order.ToVersion, DurationMs: e.Order.Duration.Milliseconds(),
@@ -128,13 +128,13 @@
 }
 
 // DecodeEntry returns the outcome of an entry of the directory, which also holds others.
-func DecodeEntry(value []byte) (Ended, bool) {
+func DecodeEntry(value []byte) (RecordedOutcome, bool) {
 	var m rolloutpb.Entry
 	if proto.Unmarshal(value, &m) != nil || m.GetEnded() == nil {
-		return Ended{}, false
+		return RecordedOutcome{}, false
 	}
 	ended := m.GetEnded()
-	e := Ended{Outcome: keyOf(outcomes, ended.GetOutcome()), Order: Order{
+	e := RecordedOutcome{Outcome: keyOf(outcomes, ended.GetOutcome()), Order: Order{
 		Service: ended.GetService(), ToVersion: ended.GetToVersion(), Offset: ended.GetOrder(),
 		Duration: time.Duration(ended.GetDurationMs()) * time.Millisecond,
 	}}
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -77,16 +77,16 @@
 		d.opts.Logger.Info("rollout: decides", "service", o.Service, "to_version", o.ToVersion, "order", o.Offset, "duration", o.Duration)
 	}
 	if c.order.Offset > o.Offset {
-		return Superseded(r)
+		return SupersededPermit(r)
 	}
 	c.take(r, now)
 	c.evaluate(now)
 	return c.permit(r, now)
 }
 
-// Superseded answers the report of a gate that has not heard of the order that took the
+// SupersededPermit answers the report of a gate that has not heard of the order that took the
 // place of its own.
-func Superseded(r Report) Permit { return Permit{Mode: safeMode(r), Lease: lease} }
+func SupersededPermit(r Report) Permit { return Permit{Mode: safeMode(r), Lease: lease} }
 
 // safeMode leaves calls where they were before the order.
 func safeMode(r Report) Mode {
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -21,8 +21,8 @@
 // NewGate returns a gate that lets all calls through.
 func NewGate(now func() time.Time) *Gate { return &Gate{now: now} }
 
-// Follow puts a tracker in the place of the one before; nil lets all calls through.
-func (g *Gate) Follow(w *Tracker) { g.tracker.Store(w) }
+// SetTracker puts a tracker in the place of the one before; nil lets all calls through.
+func (g *Gate) SetTracker(w *Tracker) { g.tracker.Store(w) }
 
 // Check returns the error with which Begin would refuse a call that came now.
 func (g *Gate) Check() error {
@@ -67,8 +67,8 @@
 	// Server is this server, NewVersion whether it has the version that traffic is to move to.
 	Server     ServerID
 	NewVersion bool
-	// Known is when the daemon learned of the order.
-	Known time.Time
+	// OrderKnownAt is when the daemon learned of the order.
+	OrderKnownAt time.Time
 
 	recorder recorder
 	admitted atomic.Int64
@@ -84,8 +84,8 @@
 	until time.Time
 }
 
-// Permit holds from the moment at which the report was sent that it answers.
-func (w *Tracker) Permit(p Permit, sent time.Time) {
+// SetPermit holds from the moment at which the report was sent that it answers.
+func (w *Tracker) SetPermit(p Permit, sent time.Time) {
 	if p.Outcome != Undecided {
 		w.outcome.CompareAndSwap(uint32(Undecided), uint32(p.Outcome))
 	}
@@ -136,7 +136,7 @@
 // Report returns what has been seen so far.
 func (w *Tracker) Report(now time.Time) Report {
 	return Report{
-		Server: w.Server, NewVersion: w.NewVersion, OrderAge: now.Sub(w.Known), Outcome: w.Outcome(), Mode: w.modeAt(now),
+		Server: w.Server, NewVersion: w.NewVersion, OrderAge: now.Sub(w.OrderKnownAt), Outcome: w.Outcome(), Mode: w.modeAt(now),
 		Admitted: uint64(max(w.admitted.Load(), 0)), InFlight: int(w.inFlight.Load()), Tally: w.recorder.copy(),
 	}
 }
--- a/rollout/helper_test.go
+++ b/rollout/helper_test.go
@@ -114,8 +114,8 @@
 func (s *sim) server(host string, newVersion bool) *simServer {
 	v := &simServer{open: !newVersion}
 	v.gate = NewGate(func() time.Time { return s.now })
-	v.tracker = &Tracker{Order: s.order, Server: ServerID{Host: host, Boot: 1}, NewVersion: newVersion, Known: s.begun}
-	v.gate.Follow(v.tracker)
+	v.tracker = &Tracker{Order: s.order, Server: ServerID{Host: host, Boot: 1}, NewVersion: newVersion, OrderKnownAt: s.begun}
+	v.gate.SetTracker(v.tracker)
 	v.nextRep = time.Duration(s.rng.Int64N(int64(250 * time.Millisecond)))
 	return v
 }
@@ -152,7 +152,7 @@
 		if !v.tracker.NewVersion && s.order.Duration-s.age() > 4*time.Second {
 			v.nextRep += 250 * time.Millisecond
 		}
-		v.tracker.Permit(s.decider.Report(s.order, v.tracker.Report(s.now), s.now), s.now)
+		v.tracker.SetPermit(s.decider.Report(s.order, v.tracker.Report(s.now), s.now), s.now)
 	}
 }
 
--- a/rollout/permit.go
+++ b/rollout/permit.go
@@ -51,7 +51,7 @@
 	list := slices.DeleteFunc(c.alive(true, now), func(s *server) bool { return s.suspect })
 	slices.SortFunc(list, func(a, b *server) int {
 		return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(a.Server.Host, b.Server.Host),
-			cmp.Compare(a.Server.Boot, b.Server.Boot), cmp.Compare(a.Server.Life, b.Server.Life))
+			cmp.Compare(a.Server.Boot, b.Server.Boot), cmp.Compare(a.Server.Instance, b.Server.Instance))
 	})
 	return list
 }
--- a/rollout/role.go
+++ b/rollout/role.go
@@ -17,28 +17,28 @@
 	stopPatience = 10 * time.Second
 )
 
-// Peers counts the other live servers of a service by version.
-type Peers struct {
+// PeerCounts counts the other live servers of a service by version.
+type PeerCounts struct {
 	// Same have the version of the server beside the daemon, Other another one. Target have
 	// the version that traffic is to move to.
 	Same, Other, Target int
 }
 
 // mostAreOther reports whether the server's version is that of a few.
-func (p Peers) mostAreOther() bool { return p.Other > 1 && p.Same < p.Other }
+func (p PeerCounts) mostAreOther() bool { return p.Other > 1 && p.Same < p.Other }
 
-// Local is what a daemon knows of the backend server beside it and of its service.
-type Local struct {
+// LocalServer is what a daemon knows of the backend server beside it and of its service.
+type LocalServer struct {
 	Version string
-	// Seen is when it was first seen, Known when the daemon learned of the order, and Ended
+	// FirstSeen is when it was first seen, OrderKnownAt when the daemon learned of the order, and OutcomeKnownAt
 	// when it learned of its outcome.
-	Seen, Known, Ended time.Time
+	FirstSeen, OrderKnownAt, OutcomeKnownAt time.Time
 	// Unproven is whether an earlier order for its version was replaced before it had
 	// succeeded, or was rolled back.
 	Unproven bool
 	// Peers counts the servers of the service. It is asked only where that decides: it walks
 	// over all members, at each news of one.
-	Peers func() Peers
+	Peers func() PeerCounts
 }
 
 // Role is what a server has to do with the order for its service.
@@ -71,21 +71,21 @@
 
 // RoleOf decides which role a server has. The order is the latest for its service, nil
 // where none is known.
-func RoleOf(o *Order, outcome Outcome, l Local, now time.Time) Role {
+func RoleOf(o *Order, outcome Outcome, l LocalServer, now time.Time) Role {
 	if o == nil {
-		if l.Version != "" && now.Sub(l.Seen) < unknownPatience && l.Peers().mostAreOther() {
+		if l.Version != "" && now.Sub(l.FirstSeen) < unknownPatience && l.Peers().mostAreOther() {
 			return Pending
 		}
 		return Unaffected
 	}
 	stable := l.Version != o.ToVersion
 	switch {
-	case l.Version == "" && outcome != Succeeded && now.Sub(l.Seen) < unknownPatience && l.Peers().Target > 0:
+	case l.Version == "" && outcome != Succeeded && now.Sub(l.FirstSeen) < unknownPatience && l.Peers().Target > 0:
 		// Its daemon has restarted; it may be one of those.
 		return Pending
 	case stable && l.Unproven && l.Peers().Other > 0:
 		return Pending
-	case outcome == Succeeded && stable && now.Sub(l.Ended) < stopPatience:
+	case outcome == Succeeded && stable && now.Sub(l.OutcomeKnownAt) < stopPatience:
 		return Stable
 	case outcome == Succeeded, outcome == RolledBack && stable:
 		return Unaffected
@@ -93,9 +93,9 @@
 		return Stable
 	case outcome == RolledBack:
 		return Canary
-	case l.Known.Sub(l.Seen) > inServiceAfter:
+	case l.OrderKnownAt.Sub(l.FirstSeen) > inServiceAfter:
 		return Unaffected
-	case now.Sub(l.Seen) > unknownPatience && l.Peers().Other == 0:
+	case now.Sub(l.FirstSeen) > unknownPatience && l.Peers().Other == 0:
 		// No server of another version is left that could take the calls.
 		return Unaffected
 	}
--- a/rollout/role_test.go
+++ b/rollout/role_test.go
@@ -9,7 +9,7 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-func counted(p Peers) func() Peers { return func() Peers { return p } }
+func counted(p PeerCounts) func() PeerCounts { return func() PeerCounts { return p } }
 
 // Guards against a new version that takes its whole share of the calls before its order is
 // known, and against servers withheld that nobody else stands in for.
@@ -20,31 +20,31 @@
 	for name, c := range map[string]struct {
 		order   *Order
 		outcome Outcome
-		local   Local
+		local   LocalServer
 		now     float64
 		want    Role
 	}{
-		"no order":                        {nil, 0, Local{Version: "v1", Seen: at(0), Peers: counted(Peers{Same: 8})}, 1, Unaffected},
-		"no order, in the minority":       {nil, 0, Local{Version: "v2", Seen: at(0), Peers: counted(Peers{Same: 2, Other: 8})}, 1, Pending},
-		"the order never came":            {nil, 0, Local{Version: "v2", Seen: at(0), Peers: counted(Peers{Same: 2, Other: 8})}, 4, Unaffected},
-		"no version told":                 {nil, 0, Local{Seen: at(0), Peers: counted(Peers{Other: 8})}, 1, Unaffected},
-		"new version":                     {order, 0, Local{Version: "v2", Seen: at(1), Known: at(1), Peers: counted(Peers{Other: 8})}, 2, Canary},
-		"old version":                     {order, 0, Local{Version: "v1", Seen: at(-60), Known: at(0)}, 2, Stable},
-		"version not told, none is new":   {order, 0, Local{Seen: at(1), Known: at(0)}, 2, Stable},
-		"version not told":                {order, 0, Local{Seen: at(1), Known: at(0), Peers: counted(Peers{Other: 8, Target: 4})}, 2, Pending},
-		"version not told, rolled back":   {order, RolledBack, Local{Seen: at(1), Known: at(0), Peers: counted(Peers{Other: 8, Target: 4})}, 2, Pending},
-		"version never told":              {order, 0, Local{Seen: at(1), Known: at(0), Peers: counted(Peers{Other: 8, Target: 4})}, 5, Stable},
-		"no other server left":            {order, 0, Local{Version: "v2", Seen: at(0), Known: at(0)}, 4, Unaffected},
-		"in service before the order":     {order, 0, Local{Version: "v2", Seen: at(-60), Known: at(0), Peers: counted(Peers{Same: 8})}, 1, Unaffected},
-		"an earlier order not finished":   {order, 0, Local{Version: "v0", Seen: at(-5), Known: at(0), Unproven: true, Peers: counted(Peers{Other: 8})}, 2, Pending},
-		"rolled back":                     {order, RolledBack, Local{Version: "v2", Seen: at(0), Known: at(0)}, 60, Canary},
-		"rolled back, old version":        {order, RolledBack, Local{Version: "v1", Seen: at(-60), Known: at(0)}, 60, Unaffected},
-		"succeeded":                       {order, Succeeded, Local{Version: "v2", Seen: at(0), Known: at(0), Ended: at(11)}, 12, Unaffected},
-		"succeeded, old version":          {order, Succeeded, Local{Version: "v1", Seen: at(-60), Known: at(0), Ended: at(11)}, 12, Stable},
-		"succeeded, old version not gone": {order, Succeeded, Local{Version: "v1", Seen: at(-60), Known: at(0), Ended: at(11)}, 30, Unaffected},
+		"no order":                        {nil, 0, LocalServer{Version: "v1", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
+		"no order, in the minority":       {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 1, Pending},
+		"the order never came":            {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 4, Unaffected},
+		"no version told":                 {nil, 0, LocalServer{FirstSeen: at(0), Peers: counted(PeerCounts{Other: 8})}, 1, Unaffected},
+		"new version":                     {order, 0, LocalServer{Version: "v2", FirstSeen: at(1), OrderKnownAt: at(1), Peers: counted(PeerCounts{Other: 8})}, 2, Canary},
+		"old version":                     {order, 0, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 2, Stable},
+		"version not told, none is new":   {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0)}, 2, Stable},
+		"version not told":                {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
+		"version not told, rolled back":   {order, RolledBack, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
+		"version never told":              {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 5, Stable},
+		"no other server left":            {order, 0, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 4, Unaffected},
+		"in service before the order":     {order, 0, LocalServer{Version: "v2", FirstSeen: at(-60), OrderKnownAt: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
+		"an earlier order not finished":   {order, 0, LocalServer{Version: "v0", FirstSeen: at(-5), OrderKnownAt: at(0), Unproven: true, Peers: counted(PeerCounts{Other: 8})}, 2, Pending},
+		"rolled back":                     {order, RolledBack, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 60, Canary},
+		"rolled back, old version":        {order, RolledBack, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 60, Unaffected},
+		"succeeded":                       {order, Succeeded, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Unaffected},
+		"succeeded, old version":          {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Stable},
+		"succeeded, old version not gone": {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 30, Unaffected},
 	} {
 		if c.local.Peers == nil {
-			c.local.Peers = counted(Peers{})
+			c.local.Peers = counted(PeerCounts{})
 		}
 		must.Eq(t, c.want, RoleOf(c.order, c.outcome, c.local, at(c.now)), must.Sprint(name))
 	}
@@ -56,14 +56,14 @@
 	now := time.Unix(1000, 0)
 	for _, newVersion := range []bool{true, false} {
 		g := NewGate(func() time.Time { return now })
-		w := &Tracker{NewVersion: newVersion, Known: now}
-		g.Follow(w)
+		w := &Tracker{NewVersion: newVersion, OrderKnownAt: now}
+		g.SetTracker(w)
 		must.Eq(t, newVersion, g.Check() != nil)
-		w.Permit(Permit{Mode: Open, Lease: time.Second}, now)
+		w.SetPermit(Permit{Mode: Open, Lease: time.Second}, now)
 		must.NoError(t, g.Check())
-		w.Permit(Permit{Mode: Closed, Lease: time.Second}, now)
+		w.SetPermit(Permit{Mode: Closed, Lease: time.Second}, now)
 		must.Error(t, g.Check())
-		w.Permit(Permit{Mode: Limited, AdmitUpTo: 2, Lease: time.Second}, now)
+		w.SetPermit(Permit{Mode: Limited, AdmitUpTo: 2, Lease: time.Second}, now)
 		for i := range 4 {
 			c, err := g.Begin()
 			must.Eq(t, i < 2, err == nil)
@@ -78,18 +78,18 @@
 
 // Guards against reports that lose on the way what they tell.
 func TestReport_Codec(t *testing.T) {
-	w := &Tracker{Order: Order{Service: "signs", Offset: 7}, Server: ServerID{"h", 1, 2}, NewVersion: true, Known: time.Unix(1000, 0)}
+	w := &Tracker{Order: Order{Service: "signs", Offset: 7}, Server: ServerID{"h", 1, 2}, NewVersion: true, OrderKnownAt: time.Unix(1000, 0)}
 	w.recorder.ended("r", Answered, 120*time.Millisecond, true)
 	w.recorder.ended("r", Failed, 0, true)
-	w.recorder.ended("r", GivenUp, 0, true)
-	w.Permit(Permit{Mode: Limited, AdmitUpTo: 9, Lease: time.Second}, time.Unix(1000, 0))
+	w.recorder.ended("r", Inconclusive, 0, true)
+	w.SetPermit(Permit{Mode: Limited, AdmitUpTo: 9, Lease: time.Second}, time.Unix(1000, 0))
 	r := w.Report(time.Unix(1000, 5e8))
 	got, err := DecodeReport(EncodeReport(w.Order, r))
 	must.NoError(t, err)
 	must.Eq(t, r, got)
 	p := Permit{Mode: Limited, AdmitUpTo: 5, Lease: time.Second, Outcome: RolledBack, Recorded: true}
 	must.Eq(t, p, DecodePermit(EncodePermit(p)))
-	ended := Ended{Order{Service: "signs", ToVersion: "v2", Offset: 7, Duration: 12 * time.Second}, RolledBack}
+	ended := RecordedOutcome{Order{Service: "signs", ToVersion: "v2", Offset: 7, Duration: 12 * time.Second}, RolledBack}
 	value, err := EncodeEntry(ended)
 	must.NoError(t, err)
 	e, ok := DecodeEntry(value)
@@ -97,14 +97,14 @@
 	must.Eq(t, ended, e)
 	renamed := ended.Order
 	renamed.Offset = eventlog.At(1, 3)
-	must.True(t, e.Of(ended.Order))
-	must.True(t, e.Of(renamed), must.Sprint("the same order, written again after a restore"))
-	must.False(t, Ended{renamed, RolledBack}.Of(ended.Order))
+	must.True(t, e.Matches(ended.Order))
+	must.True(t, e.Matches(renamed), must.Sprint("the same order, written again after a restore"))
+	must.False(t, RecordedOutcome{renamed, RolledBack}.Matches(ended.Order))
 	renamed.ToVersion = "v3"
-	must.False(t, e.Of(renamed))
+	must.False(t, e.Matches(renamed))
 	renamed = ended.Order
 	renamed.Offset++
-	must.False(t, e.Of(renamed), must.Sprint("ordered again"))
+	must.False(t, e.Matches(renamed), must.Sprint("ordered again"))
 	_, ok = DecodeEntry([]byte("\x0a\x04host"))
 	must.False(t, ok)
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -68,9 +68,9 @@
 
 // ServerID tells one life of a backend server, with the daemon beside it, from others.
 type ServerID struct {
-	Host string
-	Boot uint64
-	Life uint32
+	Host     string
+	Boot     uint64
+	Instance uint32
 }
 
 // Report is what one gate has seen of its backend server since it learned of the order.
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -107,7 +107,7 @@
 const (
 	Answered Result = iota
 	Failed
-	GivenUp
+	Inconclusive
 )
 
 // recorder counts what becomes of calls. It is safe for concurrent use.
@@ -117,7 +117,7 @@
 }
 
 func (r *recorder) ended(route string, result Result, latency time.Duration, warm bool) {
-	if result == GivenUp {
+	if result == Inconclusive {
 		return
 	}
 	r.mu.Lock()
