--- a/membership/apply.go
+++ b/membership/apply.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// source is how a record was learned.
+// source is the origin of a record.
 type source uint8
 
 const (
-	// fromGossip records are passed on in the own availability zone if they are news.
+	// fromGossip marks a record received by gossip. If it changes the table, it is gossiped in
+	// the local availability zone.
 	fromGossip source = iota
-	// fromProbe records are what this daemon's own probes show. Nobody else may know, so
-	// they go to the other availability zones as well.
+	// fromProbe marks a record that results from a probe by this daemon. Other daemons may not
+	// have it, so it is also sent to the other availability zones.
 	fromProbe
-	// fromSync records are passed on as well.
+	// fromSync marks a record received in a full-table exchange. It is gossiped like fromGossip.
 	fromSync
-	// fromJoin records are what a daemon learns as it starts; to pass all of
-	// them on would tell the others what they have told it.
+	// fromJoin marks a record received while this daemon joins. It is not gossiped, since the
+	// other daemons already have it.
 	fromJoin
 )
 
-// apply takes a record in that another daemon sent or that this one concluded, and reports
-// whether it is news that this daemon passes on.
+// apply merges a record that another daemon sent or this one produced. It reports whether the
+// record changed the table and was queued for gossip.
 func (m *Membership) apply(r *record, from source, now time.Time) bool {
 	if r.host == m.self.host {
 		m.applySelf(r, now)
@@ -30,8 +31,8 @@
 	}
 	known := m.table.get(r.host) != nil
 	if !known && !r.usable() && r.age > m.opts.TombstoneRetention {
-		// Others may forget a tombstone a little later than this daemon did;
-		// taking it back would keep it going round for good.
+		// Other daemons may expire a tombstone a little later than this one. Accepting it again
+		// would keep it circulating forever.
 		return false
 	}
 	e, c := m.table.merge(r)
@@ -42,32 +43,33 @@
 	if c&changedOffset != 0 {
 		m.stale.Store(true)
 	}
-	if !c.spreads() {
+	if !c.needsGossip() {
 		return false
 	}
 	if c&(changedState|changedInfo) != 0 {
-		m.changedEntry(e, c, r, now)
+		m.entryChanged(e, c, r, now)
 	}
-	m.news(now)
+	m.markChanged(now)
 	if from == fromJoin || (!known && !e.usable()) {
 		return false
 	}
 	m.queue.add(e.host, c&(changedInfo|changedBoot) != 0, isUrgent(e, c))
 	if from == fromProbe {
-		m.far.add(e.host, false, true)
+		m.crossZoneQueue.add(e.host, false, true)
 	}
 	return true
 }
 
-// isUrgent reports whether callers or backend servers wait for the news.
+// isUrgent reports whether an update must be sent at once because callers or backend servers
+// depend on it.
 func isUrgent(e *entry, c change) bool {
 	return c&changedInfo != 0 || (c&changedState != 0 && !e.usable())
 }
 
-// changedEntry keeps what depends on an entry's state in step with it.
-func (m *Membership) changedEntry(e *entry, c change, r *record, now time.Time) {
+// entryChanged updates what depends on the state and info of an entry that r has changed.
+func (m *Membership) entryChanged(e *entry, c change, r *record, now time.Time) {
 	e.since = now.Add(-r.age)
-	m.noteZoneNews(e.availabilityZone(), now)
+	m.markZoneChanged(e.availabilityZone(), now)
 	if c&appeared != 0 {
 		m.prober.add(e.host, m.rng)
 	}
@@ -89,11 +91,11 @@
 	m.log.Info("membership: member is "+e.liveness.String(), "host", e.host, "zone", zone, "incarnation", e.incarnation)
 }
 
-// applySelf answers what others say of this host. What is wrong is outbid by a
-// higher incarnation, which holds wherever it meets the wrong one.
+// applySelf handles a record about this host. It refutes a wrong record with a higher
+// incarnation, which takes precedence over that record at every daemon.
 func (m *Membership) applySelf(r *record, now time.Time) {
 	if r.boot != m.self.boot {
-		m.applyOtherLife(r, now)
+		m.applyOtherBoot(r, now)
 		return
 	}
 	if r.floor > m.self.floor {
@@ -103,32 +105,33 @@
 		return
 	}
 	if r.state.compare(m.self.state) <= 0 {
-		if r.liveness != Alive && !m.queue.holds(m.self.host) {
-			// The refutation did not get through, say in a cut that was one
-			// way, and nobody passes it on any more.
-			m.spreadOwn(true)
+		if r.liveness != Alive && !m.queue.contains(m.self.host) {
+			// The refutation was lost, for example in a one-way partition, and no daemon gossips
+			// it any longer.
+			m.queueSelf(true)
 		}
 		return
 	}
 	m.health.record(false)
 	m.log.Warn("membership: refuting", "claim", r.liveness.String(), "incarnation", r.incarnation)
 	next := state{incarnation: r.incarnation + 1, boot: m.self.boot, liveness: Alive}
-	m.applyOwn(&record{host: m.self.host, state: next}, now)
-	m.spreadOwn(false)
+	m.mergeSelf(&record{host: m.self.host, state: next}, now)
+	m.queueSelf(false)
 }
 
-// applyOtherLife answers a record of another process under this host's name.
-// Either it is an earlier life, and this one goes above it, or it has replaced
-// this one, which was paused or cut off meanwhile, and this one must stop. The
-// later life names those that it replaced; without that, the two would outbid
-// each other for good.
-func (m *Membership) applyOtherLife(r *record, now time.Time) {
+// applyOtherBoot handles a record of another process under this host's name. If that process is
+// an earlier one, this daemon raises its incarnation above it. If it has replaced this process,
+// which was paused or partitioned meanwhile, this process must stop. The later process lists the
+// boots that it has replaced; without that list, the two would raise their incarnations above
+// each other forever.
+func (m *Membership) applyOtherBoot(r *record, now time.Time) {
 	if f := max(r.floor, r.offset); f > m.self.floor {
 		m.raiseFloor(f, now)
 	}
 	above := r.state.compare(m.self.state) > 0
 	if r.info == nil && (!above || r.usable()) {
-		// It may be the later life. The next full-table exchange tells.
+		// The other process may be the later one. The next full-table exchange delivers its
+		// info.
 		return
 	}
 	if r.info != nil && slices.Contains(r.info.replaced, m.self.boot) {
@@ -160,10 +163,10 @@
 	return list
 }
 
-// raiseFloor takes in what an earlier life of this host had in force.
+// raiseFloor raises the floor of this host to an offset that an earlier process had in force.
 func (m *Membership) raiseFloor(floor uint64, now time.Time) {
 	m.self.floor = floor
 	m.self.member = nil
-	m.news(now)
-	m.spreadOwn(false)
+	m.markChanged(now)
+	m.queueSelf(false)
 }
--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -13,21 +13,21 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// bench runs f for each size of fleet that the capacity page rests on.
+// bench runs f for each fleet size that the documentation of the capacity covers.
 func bench(b *testing.B, f func(b *testing.B, n int)) {
 	for _, n := range []int{64, 256, 910} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { f(b, n) })
 	}
 }
 
-// report gives the packets and bytes per daemon since the counts were taken.
+// report reports the packets and bytes per daemon sent since the given counts.
 func (f *fleet) report(b *testing.B, packets, bytes int, per float64, unit string) {
 	per *= float64(len(f.nodes))
 	b.ReportMetric(float64(f.packets-packets)/per, "packets/"+unit)
 	b.ReportMetric(float64(f.bytes-bytes)/per, "bytes/"+unit)
 }
 
-// BenchmarkIdle measures a second in which nothing changes.
+// BenchmarkIdle measures one second without changes.
 func BenchmarkIdle(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		f := newJoinedFleet(b, n)
@@ -42,8 +42,8 @@
 	})
 }
 
-// BenchmarkSpread measures how one drained backend server becomes known, with
-// the three seconds after it.
+// BenchmarkSpread measures how long the drain of one backend server takes to reach all daemons,
+// and the traffic up to three seconds after that.
 func BenchmarkSpread(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		f := newJoinedFleet(b, n)
@@ -53,7 +53,7 @@
 		for i := 0; b.Loop(); i++ {
 			src := f.nodes[i%n]
 			src.SetLocalState([]Announcement{{Service: "sign-feed", Slots: 10, Draining: i%2 == 0}}, false)
-			worst = max(worst, f.run(10*time.Second, f.everyone(src, func(e *entry) bool {
+			worst = max(worst, f.run(10*time.Second, f.allOthers(src, func(e *entry) bool {
 				return e.incarnation == src.self.incarnation
 			})))
 			f.runFor(3*time.Second, nil)
@@ -65,8 +65,9 @@
 	})
 }
 
-// everyone returns whether all other daemons that run hold an entry as wanted.
-func (f *fleet) everyone(of *node, want func(*entry) bool) func() bool {
+// allOthers returns a condition that holds once the entry of a daemon satisfies want at all
+// other running daemons.
+func (f *fleet) allOthers(of *node, want func(*entry) bool) func() bool {
 	return func() bool {
 		for _, nd := range f.nodes {
 			if nd != of && !nd.down && !want(nd.table.get(of.self.host)) {
@@ -77,8 +78,7 @@
 	}
 }
 
-// BenchmarkDeath measures how long a dead daemon goes unnoticed, over as many
-// deaths as iterations.
+// BenchmarkDeath measures how long a dead daemon stays undetected, with one death per iteration.
 func BenchmarkDeath(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		f := newJoinedFleet(b, n)
@@ -87,8 +87,8 @@
 		for i := 0; b.Loop(); i++ {
 			victim := f.nodes[i%n]
 			victim.down = true
-			s := f.run(time.Minute, f.everyone(victim, func(e *entry) bool { return e.liveness >= Suspect }))
-			d := s + f.run(time.Minute, f.everyone(victim, func(e *entry) bool { return e.liveness == Dead }))
+			s := f.run(time.Minute, f.allOthers(victim, func(e *entry) bool { return e.liveness >= Suspect }))
+			d := s + f.run(time.Minute, f.allOthers(victim, func(e *entry) bool { return e.liveness == Dead }))
 			suspect, dead, worst = suspect+s, dead+d, max(worst, d)
 			f.start(i%n, i%n, uint64(1000+i)).join((i+1)%n, (i+2)%n)
 			f.run(time.Minute, func() bool { return f.agree(n) })
@@ -99,13 +99,13 @@
 	})
 }
 
-// BenchmarkRegionCut measures a minute's cut between two halves and its healing.
-func BenchmarkRegionCut(b *testing.B) {
+// BenchmarkRegionPartition measures the healing after a one-minute partition between two halves.
+func BenchmarkRegionPartition(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		for b.Loop() {
 			f := newJoinedFleet(b, n)
 			f.runFor(2*time.Second, nil)
-			f.cut = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
+			f.partitioned = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
 			dead := 0
 			countDead := func() {
 				for _, nd := range f.nodes[:64] {
@@ -113,7 +113,7 @@
 				}
 			}
 			f.runFor(time.Minute, countDead)
-			f.cut = nil
+			f.partitioned = nil
 			packets, bytes := f.packets, f.bytes
 			took := f.run(time.Minute, func() bool { countDead(); return f.agree(n) })
 			f.report(b, packets, bytes, 1, "daemon")
@@ -145,7 +145,7 @@
 	})
 }
 
-// BenchmarkColdStart measures a fleet that starts from nothing at once.
+// BenchmarkColdStart measures a whole fleet that starts at once with empty tables.
 func BenchmarkColdStart(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		for b.Loop() {
@@ -161,7 +161,7 @@
 	})
 }
 
-// wireTable returns the table of a fleet of n as a newcomer gets it.
+// wireTable returns the encoded table of a fleet of n daemons as a joining daemon receives it.
 func wireTable(tb testing.TB, n int) []byte {
 	f := newFleet(tb, n)
 	all := &memberpb.Table{Host: "host-0000", Boot: 1, Digests: make([]uint64, bucketCount)}
@@ -176,8 +176,8 @@
 	return b
 }
 
-// BenchmarkJoin measures one full answer: its bytes, and the time and
-// allocations to decode it and take it in.
+// BenchmarkJoin measures one full answer: its size, and the time and allocations to decode and
+// merge it.
 func BenchmarkJoin(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		wire := wireTable(b, n)
@@ -187,13 +187,13 @@
 			nd.table = newTable(nd.opts.MaxMembers)
 			var answer memberpb.Table
 			must.NoError(b, proto.Unmarshal(wire, &answer))
-			nd.learn(&answer, &exchangeTarget{})
+			nd.applyAnswer(&answer, &exchangeTarget{})
 		}
 		b.ReportMetric(float64(len(wire))/float64(n), "bytes/member")
 	})
 }
 
-// BenchmarkHandleSync measures one full answer at the daemon that gives it.
+// BenchmarkHandleSync measures how a daemon produces one full answer.
 func BenchmarkHandleSync(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		nd := newJoinedFleet(b, n).nodes[0]
@@ -207,7 +207,7 @@
 	})
 }
 
-// BenchmarkMerge measures records that tell nothing new, one for each member.
+// BenchmarkMerge measures merging records that change nothing, one for each member.
 func BenchmarkMerge(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		t, records := newTable(n), mergeRecords(b, n)
@@ -229,8 +229,7 @@
 	return records
 }
 
-// BenchmarkMemory measures what a daemon keeps for each member, its view
-// included.
+// BenchmarkMemory measures the memory that a daemon uses per member, including its view.
 func BenchmarkMemory(b *testing.B) {
 	bench(b, func(b *testing.B, n int) {
 		wire := wireTable(b, n)
@@ -241,7 +240,7 @@
 			runtime.ReadMemStats(&before)
 			var answer memberpb.Table
 			must.NoError(b, proto.Unmarshal(wire, &answer))
-			nd.learn(&answer, &exchangeTarget{})
+			nd.applyAnswer(&answer, &exchangeTarget{})
 			must.Len(b, n, nd.View().Members)
 			answer = memberpb.Table{}
 			runtime.GC()
@@ -252,7 +251,7 @@
 	})
 }
 
-// BenchmarkPing measures a ping taken in and answered.
+// BenchmarkPing measures handling and answering one ping.
 func BenchmarkPing(b *testing.B) {
 	f := newJoinedFleet(b, 910)
 	f.nodes[0].update(func(time.Time) { f.nodes[0].sendPing(f.nodes[1].addr, "host-0001", 7) })
@@ -260,13 +259,13 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		f.nodes[1].handlePacket(ping, f.nodes[0].addr)
-		f.flying = f.flying[:0]
+		f.inFlight = f.inFlight[:0]
 	}
 	b.ReportMetric(float64(len(ping)+len(f.nodes[1].sent)), "bytes/probe")
 }
 
-// The bounds on what repeats exactly. The figures behind them are on the page
-// docs/measure/membership.md; a change that passes a bound must change both.
+// Bounds on the costs that are the same in every run. The measured values are listed in
+// docs/measure/membership.md; a change that exceeds a bound must update both.
 func TestCostsStayBounded(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
@@ -295,6 +294,6 @@
 	ping := f.nodes[0].sent
 	must.LessEq(t, 12, testing.AllocsPerRun(10, func() {
 		f.nodes[1].handlePacket(ping, f.nodes[0].addr)
-		f.flying = f.flying[:0]
+		f.inFlight = f.inFlight[:0]
 	}))
 }
--- a/membership/codec.go
+++ b/membership/codec.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// MaxPacketBytes bounds a datagram, so that no usual path splits it into
-	// fragments, of which losing one would lose all.
+	// MaxPacketBytes bounds a datagram so that common network paths do not fragment it. The loss
+	// of one fragment would lose the whole datagram.
 	MaxPacketBytes = 1200
-	// maxRecordBytes bounds one member's record, so that it fits into a
-	// datagram with its head.
+	// maxRecordBytes bounds the encoded record of one member so that it fits into a datagram
+	// together with the packet header.
 	maxRecordBytes = 1000
 
 	packetVersion = 1
@@ -25,33 +25,34 @@
 	maxAnnouncements = 16
 	maxNotes         = 16
 	maxSlots         = 1 << 20
-	// maxLinkMbps bounds what a host may state of its link: a terabit a second.
+	// maxLinkMbps bounds the link bandwidth that a host may announce: 1 Tbit/s.
 	maxLinkMbps = 1_000_000
-	// maxReplaced bounds how many earlier lives of a host are told. A process
-	// that slept through more restarts than this takes itself for the latest
-	// life until the other one outbids it.
+	// maxReplaced bounds the number of earlier processes that a host announces. A process that
+	// was paused during more restarts than this considers itself the latest one until the other
+	// process raises its incarnation above it.
 	maxReplaced = 4
-	// maxIncarnation leaves a host room to outbid whatever was accepted: one
-	// corrupt record with the highest number would bar it for good.
+	// maxIncarnation is the highest incarnation that is accepted. It leaves room for a host to
+	// refute any accepted record: a corrupt record with the highest possible number would
+	// otherwise exclude the host forever.
 	maxIncarnation = 1 << 62
-	// maxContacts bounds the addresses handed to one who is turned away.
+	// maxContacts bounds the addresses that the answer to a rejected exchange contains.
 	maxContacts = 8
 )
 
-// rejection is the reason why input was refused.
+// rejection is the reason why input from another daemon was rejected.
 type rejection struct {
 	reason RejectReason
 	detail string
 }
 
-// Error gives reason and detail.
+// Error returns the reason and the detail.
 func (r *rejection) Error() string { return fmt.Sprintf("%s: %s", r.reason, r.detail) }
 
 func invalid(format string, args ...any) *rejection {
 	return &rejection{RejectInvalid, fmt.Sprintf(format, args...)}
 }
 
-// packet is a datagram, decoded and checked.
+// packet is a decoded and validated datagram.
 type packet struct {
 	*memberpb.Packet
 	kind    PacketKind
@@ -59,24 +60,24 @@
 	updates []record
 }
 
-// decodePacket reads a datagram. Nothing of it is used unless all of it is
-// valid.
+// decodePacket decodes and validates a datagram. If any part is invalid, the whole datagram is
+// rejected.
 func decodePacket(b []byte) (*packet, *rejection) {
 	if len(b) > MaxPacketBytes {
-		return nil, &rejection{RejectLarge, "datagram exceeds the bound"}
+		return nil, &rejection{RejectLarge, "datagram exceeds the size limit"}
 	}
 	p := &packet{Packet: new(memberpb.Packet)}
 	if err := proto.Unmarshal(b, p.Packet); err != nil {
 		return nil, &rejection{RejectMalformed, err.Error()}
 	}
 	if p.GetVersion() != packetVersion {
-		return nil, &rejection{RejectVersion, fmt.Sprintf("version %d", p.GetVersion())}
+		return nil, &rejection{RejectVersion, fmt.Sprintf("packet version %d", p.GetVersion())}
 	}
 	if rej := checkIdentity(p.GetHost(), p.GetBoot()); rej != nil {
 		return nil, rej
 	}
 	if len(p.GetDigestZone()) > maxNameBytes {
-		return nil, invalid("zone of a digest has %d bytes", len(p.GetDigestZone()))
+		return nil, invalid("digest zone has %d bytes", len(p.GetDigestZone()))
 	}
 	if rej := p.decodeBody(); rej != nil {
 		return nil, rej
@@ -110,10 +111,10 @@
 
 func checkIdentity(host string, boot uint64) *rejection {
 	if host == "" || len(host) > maxNameBytes {
-		return invalid("host has %d bytes", len(host))
+		return invalid("host name has %d bytes", len(host))
 	}
 	if boot == 0 {
-		return invalid("boot of %s is 0", host)
+		return invalid("boot of host %s is 0", host)
 	}
 	return nil
 }
@@ -133,11 +134,11 @@
 		return rej
 	}
 	if n := m.GetIncarnation(); n == 0 || n > maxIncarnation {
-		return invalid("incarnation %d of %s", n, m.GetHost())
+		return invalid("incarnation %d of host %s is out of range", n, m.GetHost())
 	}
 	live := Liveness(m.GetLiveness())
 	if live < Alive || live > Left {
-		return invalid("liveness %d of %s", m.GetLiveness(), m.GetHost())
+		return invalid("unknown liveness %d of host %s", m.GetLiveness(), m.GetHost())
 	}
 	*r = record{
 		host:   m.GetHost(),
@@ -157,16 +158,16 @@
 func decodeInfo(m *memberpb.Member) (*info, *rejection) {
 	p := m.GetInfo()
 	if p.GetRevision() == 0 || p.GetRevision() > m.GetIncarnation() {
-		return nil, invalid("revision %d of %s", p.GetRevision(), m.GetHost())
+		return nil, invalid("info revision %d of host %s is out of range", p.GetRevision(), m.GetHost())
 	}
 	if len(p.GetAvailabilityZone()) > maxNameBytes || len(p.GetRegion()) > maxNameBytes {
-		return nil, invalid("zone or region of %s is too long", m.GetHost())
+		return nil, invalid("zone or region of host %s is too long", m.GetHost())
 	}
 	if len(p.GetReplaced()) > maxReplaced || len(p.GetAnnouncements()) > maxAnnouncements || len(p.GetNotes()) > maxNotes {
-		return nil, invalid("too many entries of %s", m.GetHost())
+		return nil, invalid("too many replaced boots, announcements or notes of host %s", m.GetHost())
 	}
 	if l := p.GetLinkMbps(); !(l >= 0 && l <= maxLinkMbps) {
-		return nil, invalid("link of %g Mbit/s of %s", l, m.GetHost())
+		return nil, invalid("link bandwidth %g Mbit/s of host %s is out of range", l, m.GetHost())
 	}
 	i := &info{
 		revision:         p.GetRevision(),
@@ -198,7 +199,7 @@
 	announcements := make([]Announcement, len(list))
 	for i, a := range list {
 		if a.GetService() == "" || len(a.GetService()) > maxNameBytes || a.GetSlots() > maxSlots {
-			return nil, invalid("announcement of service %q", a.GetService())
+			return nil, invalid("invalid announcement of service %q", a.GetService())
 		}
 		announcements[i] = Announcement{
 			Service:  a.GetService(),
@@ -215,7 +216,7 @@
 func decodeAddr(b []byte) (netip.AddrPort, *rejection) {
 	var a netip.AddrPort
 	if err := a.UnmarshalBinary(b); err != nil || !a.IsValid() || a.Port() == 0 {
-		return a, invalid("address of %d bytes", len(b))
+		return a, invalid("invalid address of %d bytes", len(b))
 	}
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port()), nil
 }
@@ -224,12 +225,13 @@
 	if !a.IsValid() {
 		return nil
 	}
-	// MarshalBinary fails for no address.
+	// MarshalBinary returns no error for any address.
 	b, _ := a.MarshalBinary()
 	return b
 }
 
-// encodeMember returns an entry's message, with its info if full.
+// encodeMember returns the message for an entry. It includes the info if full is set and the
+// info belongs to the current process.
 func encodeMember(e *entry, full bool) *memberpb.Member {
 	m := &memberpb.Member{
 		Host:        e.host,
@@ -270,7 +272,7 @@
 	return p
 }
 
-// milliseconds returns a duration as the wire has it, at most 49 days.
+// milliseconds returns a duration in milliseconds, limited to the range of uint32 (49 days).
 func milliseconds(d time.Duration) uint32 {
 	return uint32(min(max(d.Milliseconds(), 0), math.MaxUint32))
 }
--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -10,7 +10,7 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// goodPacket returns a ping that carries one full update.
+// goodPacket returns a valid ping that carries one full update.
 func goodPacket(t testing.TB) []byte {
 	f := newFleet(t, 1)
 	nd := f.nodes[0]
@@ -23,8 +23,8 @@
 	return nd.sent
 }
 
-// What a daemon says of itself arrives as it was said, within the bound of a
-// datagram whatever is announced.
+// A daemon's own record must decode to the same state and info, and must fit into a datagram
+// regardless of the announcements.
 func TestRecordRoundTrip(t *testing.T) {
 	f := newFleet(t, 1)
 	nd := f.nodes[0]
@@ -42,14 +42,13 @@
 	must.Eq(t, nd.self.state, r.state)
 }
 
-// No field of a record may hold what would break the table: a host without a
-// name, a life without a number, an incarnation that nobody can outbid, an
-// address that cannot be sent to.
+// No accepted field may break the table: a host without a name, a boot of 0, an incarnation that
+// cannot be exceeded, or an address to which nothing can be sent.
 func TestInvalidRecords(t *testing.T) {
 	good := func() *memberpb.Member { return encodeMember(newFleet(t, 1).nodes[0].self, true) }
 	var r record
 	must.Nil(t, decodeMember(good(), &r))
-	for name, spoil := range map[string]func(m *memberpb.Member){
+	for name, corrupt := range map[string]func(m *memberpb.Member){
 		"no host":         func(m *memberpb.Member) { m.Host = "" },
 		"long host":       func(m *memberpb.Member) { m.Host = string(make([]byte, maxNameBytes+1)) },
 		"no boot":         func(m *memberpb.Member) { m.Boot = 0 },
@@ -69,15 +68,15 @@
 		},
 	} {
 		m := good()
-		spoil(m)
+		corrupt(m)
 		rej := decodeMember(m, &r)
 		must.NotNil(t, rej, must.Sprint(name))
 		must.Eq(t, RejectInvalid, rej.reason, must.Sprint(name))
 	}
 }
 
-// The table has a bound, so that a flood of made-up hosts cannot take the
-// daemon's memory; known members still change.
+// The table is bounded, so that a flood of invented hosts cannot exhaust the daemon's memory.
+// Known members must still be updated when it is full.
 func TestTableIsBounded(t *testing.T) {
 	f := newJoinedFleet(t, 2)
 	nd := f.nodes[0]
@@ -91,8 +90,8 @@
 	f.run(2*time.Second, func() bool { return nd.View().Find(f.nodes[1].self.host).Draining })
 }
 
-// FuzzHandlePacket feeds a daemon arbitrary datagrams. None may stop it or break
-// its books, and what it takes in must encode to a datagram that is valid again.
+// FuzzHandlePacket passes arbitrary datagrams to a daemon. None may stop it or make its counts
+// inconsistent, and all accepted data must encode to a valid message again.
 func FuzzHandlePacket(f *testing.F) {
 	good := goodPacket(f)
 	f.Add(good)
@@ -117,7 +116,7 @@
 		nd := fl.nodes[0]
 		nd.handlePacket(b, fl.nodes[1].addr)
 		must.Eq(t, fl.nodes[0].self, nd.table.get("host-0000"))
-		nd.table.checkBooks(t)
+		nd.table.checkCounts(t)
 		fl.step()
 		for _, e := range nd.table.order {
 			var r record
--- a/membership/example_test.go
+++ b/membership/example_test.go
@@ -14,8 +14,8 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// tables carries full tables between the members of one process; between
-// processes that is an exchange over TCP.
+// tables exchanges full tables between the members of one process; separate processes do so over
+// TCP.
 type tables struct {
 	mu     sync.Mutex
 	byAddr map[netip.AddrPort]*membership.Membership
@@ -26,12 +26,12 @@
 	m := t.byAddr[addr]
 	t.mu.Unlock()
 	if m == nil {
-		return nil, errors.Newf("nobody at %s", addr)
+		return nil, errors.Newf("no member at %s", addr)
 	}
 	return m.HandleSync(ctx, table), nil
 }
 
-// start returns a running member of its own UDP socket.
+// start returns a running member with its own UDP socket.
 func (t *tables) start(ctx context.Context, host string, boot uint64) (*membership.Membership, netip.AddrPort) {
 	conn, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
@@ -52,8 +52,8 @@
 	return m, opts.PeerAddr
 }
 
-// One daemon joins by the address of another and announces the backend server
-// beside it. The other one learns of both.
+// One daemon joins through the address of another and announces the backend server beside it.
+// The other one receives both.
 func Example() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -7,10 +7,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A daemon dies. One of the others probes it in vain, asks three more to try,
-// and suspects it; nobody refutes, so it is dead everywhere. Within 2 s callers
-// pick its backend server last, within 10 s not at all.
-func TestDeathIsFound(t *testing.T) {
+// A daemon dies. Another one probes it without an answer, asks three members to probe it, and
+// suspects it; nobody refutes the suspicion, so it is declared dead everywhere. Within 2 s
+// callers should choose its backend server last, within 10 s not at all.
+func TestDeadMemberIsDetected(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
 	f.runFor(2*time.Second, nil)
@@ -33,16 +33,16 @@
 	}
 }
 
-// A process suspects another and stands still before it has told anybody. When
-// it wakes 30 s later, the suspicion looks long overdue. It must not declare the
-// other dead, which would empty routes for a moment everywhere, and callers must
-// see it alive again itself.
-func TestPausedProcess(t *testing.T) {
+// A process suspects a member and is paused before it has gossiped that. When it resumes 30 s
+// later, the suspicion appears overdue. It must not declare the member dead, which would briefly
+// empty routes everywhere, and the other daemons must soon hold the process itself as alive
+// again.
+func TestResumedProcessDeclaresNobodyDead(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
 	f.runFor(20*time.Second, nil)
 	p := f.nodes[7]
-	p.claim(p.table.get("host-0008"), Suspect, fromProbe, f.now)
+	p.declare(p.table.get("host-0008"), Suspect, fromProbe, f.now)
 	p.queue = newQueue()
 	p.paused = true
 	f.runFor(30*time.Second, nil)
@@ -56,70 +56,69 @@
 	})
 }
 
-// What one daemon sends is lost for a while, and its sessions stay broken. It
-// hears that it is suspect and refutes, but nobody hears that, and it is declared
-// dead. When datagrams get through again the others tell it "dead" at an
-// incarnation below its own; it must tell its own again, or it stays dead for
-// them until a table exchange works.
-func TestRefutationLostInACutIsSentAgain(t *testing.T) {
+// All datagrams from a daemon are lost for a while, and its table exchanges fail. It receives a
+// suspicion and refutes it, but the refutation is lost, and it is declared dead. When its
+// datagrams arrive again, the others report it dead at an incarnation below its own. It must
+// gossip its own state again, or it stays dead for them until a table exchange succeeds.
+func TestLostRefutationIsResent(t *testing.T) {
 	const n = 8
 	f := newJoinedFleet(t, n)
 	p := f.nodes[0]
-	f.noSync = func(a, b *node) bool { return a == p || b == p }
-	f.cut = func(from, _ *node) bool { return from == p }
+	f.syncFails = func(a, b *node) bool { return a == p || b == p }
+	f.partitioned = func(from, _ *node) bool { return from == p }
 	f.run(time.Minute, func() bool { return f.nodes[1].count(Dead) == 1 })
 	f.runFor(10*time.Second, nil)
-	f.cut = nil
+	f.partitioned = nil
 	f.run(10*time.Second, func() bool { return f.agree(n) })
 }
 
-// One daemon's packets get out but none get in, or the reverse. It hears no
-// answers and the others get none from it: they declare it dead, while it must
-// keep its table, and tell few lies that the others have to refute.
-func TestOneWayCut(t *testing.T) {
+// Packets to or from one daemon are lost, while those in the other direction arrive. The others
+// declare it dead, since no probe of it succeeds. It must keep its own table and cause only few
+// false suspicions that the others have to refute.
+func TestOneWayPartition(t *testing.T) {
 	for _, inbound := range []bool{true, false} {
 		const n = 64
 		f := newJoinedFleet(t, n)
 		f.runFor(20*time.Second, nil)
 		p := f.nodes[3]
-		f.cut = func(from, to *node) bool { return (inbound && to == p) || (!inbound && from == p) }
+		f.partitioned = func(from, to *node) bool { return (inbound && to == p) || (!inbound && from == p) }
 		most := 0
 		f.runFor(time.Minute, func() { most = max(most, f.nodes[0].count(Suspect)) })
 		must.Eq(t, Dead, f.nodes[0].table.get(p.self.host).liveness)
 		must.Eq(t, 0, p.count(Dead))
 		must.Eq(t, 1, f.nodes[0].count(Dead))
 		must.LessEq(t, 2, most)
-		f.cut = nil
+		f.partitioned = nil
 		f.run(2*time.Minute, func() bool { return f.agree(n) })
 	}
 }
 
-// Two daemons cannot reach each other, while all others reach both. The others
-// probe in their place, and neither is suspected.
-func TestBrokenPathIsNoDeath(t *testing.T) {
+// Two daemons cannot reach each other, while all others reach both. Indirect probes succeed, so
+// neither may be suspected.
+func TestBrokenPathCausesNoSuspicion(t *testing.T) {
 	const n = 16
 	f := newJoinedFleet(t, n)
-	f.cut = func(from, to *node) bool { return from.index+to.index == 1 }
+	f.partitioned = func(from, to *node) bool { return from.index+to.index == 1 }
 	f.runFor(time.Minute, func() { must.Eq(t, 0, f.nodes[0].count(Suspect)+f.nodes[1].count(Suspect)) })
 }
 
-// A probe gets no answer, but meanwhile the member has told something new. It
-// is alive, and to suspect it would make it refute for nothing.
-func TestNewsDuringProbe(t *testing.T) {
+// A probe gets no answer, but meanwhile the member's record has changed. The member is alive,
+// and a suspicion would only cause a needless refutation.
+func TestUpdateDuringProbePreventsSuspicion(t *testing.T) {
 	f := newJoinedFleet(t, 2)
 	nd, other := f.nodes[0], f.nodes[1]
-	f.cut = func(*node, *node) bool { return true }
+	f.partitioned = func(*node, *node) bool { return true }
 	f.run(5*time.Second, func() bool { return nd.prober.pending != nil })
-	underWay, s := nd.prober.pending, other.self.state
+	pending, s := nd.prober.pending, other.self.state
 	s.incarnation++
 	nd.apply(&record{host: other.self.host, state: s}, fromGossip, f.now)
-	f.run(5*time.Second, func() bool { return nd.prober.pending != underWay })
+	f.run(5*time.Second, func() bool { return nd.prober.pending != pending })
 	must.Eq(t, 0, nd.count(Suspect))
 }
 
-// A host joins a fleet that has just begun a pass of probes, and dies. It must
-// be found as fast as any other, not in the next pass only.
-func TestDeathOfNewcomerIsFound(t *testing.T) {
+// A host joins a fleet that has just begun a pass of probes, and dies. Its death must be
+// detected as fast as any other, not only in the next pass.
+func TestDeadNewMemberIsDetected(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
 	f.runFor(2*time.Second, nil)
@@ -129,9 +128,9 @@
 	f.run(15*time.Second, func() bool { return f.agree(n) })
 }
 
-// A host leaves without a word and another takes over its address. Were it to
-// answer the probes meant for the one before, that would live on in the tables.
-func TestAddressTakenOver(t *testing.T) {
+// A host disappears without leaving, and another host takes over its address. If that one
+// answered the probes for the old host, the old host would stay alive in the tables.
+func TestAddressReusedByOtherHost(t *testing.T) {
 	const n = 8
 	f := newJoinedFleet(t, n)
 	f.nodes[3].down = true
@@ -141,14 +140,14 @@
 	must.Eq(t, Alive, f.nodes[0].View().Find("host-0008").Liveness)
 }
 
-// Half of the fleet, one region, is cut off for a minute and comes back.
-// Each side must keep the other's members as suspects, so that no route loses
-// its last backend server, and both must be one fleet again soon after.
-func TestRegionCut(t *testing.T) {
+// One region, half of the fleet, is partitioned for a minute. Each side must keep the members of
+// the other side as suspects, so that no route loses its last backend server, and both sides
+// must converge soon after the partition.
+func TestRegionPartition(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
 	f.runFor(2*time.Second, nil)
-	f.cut = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
+	f.partitioned = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
 	noneDead := func() {
 		for _, nd := range f.nodes {
 			must.Eq(t, 0, nd.count(Dead))
@@ -159,17 +158,17 @@
 		must.Eq(t, n/testRegions, nd.count(Suspect))
 		must.False(t, nd.health.degraded())
 	}
-	f.cut = nil
+	f.partitioned = nil
 	f.run(15*time.Second, func() bool {
 		noneDead()
 		return f.agree(n)
 	})
 }
 
-// Half of a region is suspect for a minute and then refutes, all but one. That
-// one's suspicion is long overdue when the others no longer excuse it; it must
-// have time to refute, as many do so at once after a real cut.
-func TestHoldEndsGently(t *testing.T) {
+// Half of a region is suspect for a minute, and then all but one of these members refute. The
+// last suspicion is long overdue when it is no longer deferred. That member must still have time
+// to refute, since many do so at once after a real partition.
+func TestDeferredSuspectHasTimeToRefute(t *testing.T) {
 	f := newJoinedFleet(t, 16)
 	nd, group := f.nodes[0], f.nodes[1:8]
 	wait := func(d time.Duration) {
@@ -178,7 +177,7 @@
 		}
 	}
 	for _, g := range group {
-		nd.claim(nd.table.get(g.self.host), Suspect, fromProbe, f.now)
+		nd.declare(nd.table.get(g.self.host), Suspect, fromProbe, f.now)
 	}
 	wait(time.Minute)
 	must.Eq(t, len(group), nd.count(Suspect))
@@ -191,18 +190,18 @@
 	must.Eq(t, 1, nd.count(Dead))
 }
 
-// A cut outlasts the hold: both sides declare the other dead and go on alone.
-// After healing nobody probes the dead any more; the attempts to reach one now
-// and then make one fleet again.
-func TestLongCutHeals(t *testing.T) {
+// A partition outlasts PartitionTimeout: each side declares the other one dead and continues
+// alone. Afterwards no daemon probes dead members; only the attempts to reach one from time to
+// time make both sides converge.
+func TestLongPartitionHeals(t *testing.T) {
 	const n = 16
 	f := newJoinedFleet(t, n)
-	f.cut = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
+	f.partitioned = func(from, to *node) bool { return from.index%testRegions != to.index%testRegions }
 	hold := f.nodes[0].opts.PartitionTimeout
 	f.runFor(hold+time.Minute, nil)
 	for _, nd := range f.nodes {
 		must.Eq(t, n/testRegions, nd.count(Dead))
 	}
-	f.cut = nil
+	f.partitioned = nil
 	f.run(2*time.Minute, func() bool { return f.agree(n) })
 }
--- a/membership/fleet_test.go
+++ b/membership/fleet_test.go
@@ -16,48 +16,48 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// fleet runs many Memberships on one thread, one virtual clock and a network in
-// memory. A datagram arrives within the step in which it was sent.
+// fleet runs many Memberships on one goroutine with a virtual clock and an in-memory network. A
+// datagram arrives within the step in which it was sent.
 type fleet struct {
-	t      testing.TB
-	now    time.Time
-	nodes  []*node
-	byAddr map[netip.AddrPort]*node
-	flying []flying
-	// cut tells which packets and exchanges are lost.
-	cut func(from, to *node) bool
-	// noSync tells which exchanges alone are lost.
-	noSync func(a, b *node) bool
+	t        testing.TB
+	now      time.Time
+	nodes    []*node
+	byAddr   map[netip.AddrPort]*node
+	inFlight []inFlight
+	// partitioned reports which packets and exchanges are lost.
+	partitioned func(from, to *node) bool
+	// syncFails reports which exchanges fail although packets arrive.
+	syncFails func(a, b *node) bool
 
 	packets, bytes, syncs, syncBytes int
-	// crossBytes is the part of bytes, and crossSyncBytes of syncBytes, that goes from
-	// one availability zone to another.
+	// crossBytes and crossSyncBytes are the parts of bytes and syncBytes that go from one
+	// availability zone to another.
 	crossBytes, crossSyncBytes int
-	// zones is how many availability zones the daemons are spread over.
+	// zones is the number of availability zones of the fleet.
 	zones    int
 	rejected map[RejectReason]int
 }
 
-type flying struct {
+type inFlight struct {
 	from, to *node
 	data     []byte
 }
 
-// node is one daemon with its ends of the network.
+// node is one daemon with its network endpoint.
 type node struct {
 	*Membership
-	f         *fleet
-	index     int
-	addr      netip.AddrPort
-	down      bool
-	paused    bool
-	err       error
-	joinBy    []Contact
-	joinDue   time.Time
-	joinDelay time.Duration
+	f               *fleet
+	index           int
+	addr            netip.AddrPort
+	down            bool
+	paused          bool
+	err             error
+	pendingContacts []Contact
+	joinDue         time.Time
+	joinDelay       time.Duration
 	// sent is the latest datagram.
 	sent []byte
-	// fullAnswers counts the tables handed out.
+	// fullAnswers counts the full answers sent.
 	fullAnswers int
 }
 
@@ -66,10 +66,10 @@
 	testRegions = 2
 )
 
-// newFleet returns n daemons that do not know of each other.
+// newFleet returns n daemons with empty tables.
 func newFleet(t testing.TB, n int) *fleet { return newFleetIn(t, n, testZones) }
 
-// newFleetIn is newFleet with the daemons spread over a number of availability zones.
+// newFleetIn is newFleet with a given number of availability zones.
 func newFleetIn(t testing.TB, n, zones int) *fleet {
 	f := &fleet{t: t, now: time.Unix(1000, 0), byAddr: map[netip.AddrPort]*node{}, rejected: map[RejectReason]int{}, zones: zones}
 	for i := range n {
@@ -78,7 +78,7 @@
 	return f
 }
 
-// newJoinedFleet returns n daemons whose tables are complete.
+// newJoinedFleet returns n daemons with complete tables.
 func newJoinedFleet(t testing.TB, n int) *fleet { return newFleet(t, n).joined() }
 
 // joined completes the tables of all daemons.
@@ -91,16 +91,16 @@
 			e := other.self
 			nd.apply(&record{host: e.host, state: e.state, info: e.info}, fromJoin, f.now)
 		}
-		nd.queue, nd.far = newQueue(), newQueue()
+		nd.queue, nd.crossZoneQueue = newQueue(), newQueue()
 		nd.sync.settle = time.Time{}
-		nd.lastNews = f.now.Add(-time.Minute)
-		nd.announcedAt, nd.toldAgain = f.now.Add(-time.Minute), true
+		nd.lastChange = f.now.Add(-time.Minute)
+		nd.announcedAt, nd.reannounced = f.now.Add(-time.Minute), true
 		nd.changed = false
 	}
 	return f
 }
 
-// start starts or restarts the daemon of host i at an address.
+// start starts or restarts the daemon of host i at the address with the index addr.
 func (f *fleet) start(i, addr int, boot uint64) *node {
 	ip := netip.AddrFrom4([4]byte{10, 0, byte(addr >> 8), byte(addr)})
 	nd := &node{f: f, index: i, addr: netip.AddrPortFrom(ip, 7000)}
@@ -127,38 +127,38 @@
 	return nd
 }
 
-// join does what Join does, with the waits on the virtual clock, and returns the
-// exchanges of the first attempt.
+// join does what Join does, with the delays on the virtual clock. It returns the number of
+// successful exchanges of the first attempt.
 func (nd *node) join(contacts ...int) int {
 	for _, c := range contacts {
 		to := nd.f.nodes[c]
-		nd.joinBy = append(nd.joinBy, Contact{to.addr, to.opts.AvailabilityZone})
+		nd.pendingContacts = append(nd.pendingContacts, Contact{to.addr, to.opts.AvailabilityZone})
 	}
 	nd.joinDelay = joinBaseDelay
 	return nd.tryJoin()
 }
 
 func (nd *node) tryJoin() int {
-	joined, busy := nd.joinOnce(context.Background(), nd.remember(nd.joinBy))
+	joined, busy := nd.joinOnce(context.Background(), nd.rememberContacts(nd.pendingContacts))
 	if !busy {
 		nd.update(nd.announce)
 	}
 	if joined > 0 {
-		nd.joinBy = nil
+		nd.pendingContacts = nil
 	}
 	nd.joinDue = nd.f.now.Add(nd.randomWait(nd.joinDelay))
 	nd.joinDelay = min(2*nd.joinDelay, joinMaxDelay)
 	return joined
 }
 
-// step moves the clock on by one tick.
+// step advances the clock by one tick.
 func (f *fleet) step() {
 	f.now = f.now.Add(tickInterval)
 	for _, nd := range f.nodes {
 		if nd.down || nd.paused || nd.err != nil {
 			continue
 		}
-		if len(nd.joinBy) > 0 && !f.now.Before(nd.joinDue) {
+		if len(nd.pendingContacts) > 0 && !f.now.Before(nd.joinDue) {
 			nd.tryJoin()
 		}
 		nd.err = nd.tick()
@@ -172,10 +172,10 @@
 }
 
 func (f *fleet) deliver() {
-	var kept []flying
-	for len(f.flying) > 0 {
-		p := f.flying[0]
-		f.flying = f.flying[1:]
+	var kept []inFlight
+	for len(f.inFlight) > 0 {
+		p := f.inFlight[0]
+		f.inFlight = f.inFlight[1:]
 		switch {
 		case p.to.paused:
 			kept = append(kept, p)
@@ -183,24 +183,24 @@
 			p.to.handlePacket(p.data, p.from.addr)
 		}
 	}
-	f.flying = kept
+	f.inFlight = kept
 }
 
-// run steps until done holds, and fails the test where it does not within the
-// time. It returns the time taken.
+// run steps until done returns true and returns the time taken. It fails the test after the
+// limit.
 func (f *fleet) run(limit time.Duration, done func() bool) time.Duration {
 	f.t.Helper()
 	start := f.now
 	for !done() {
 		if f.now.Sub(start) >= limit {
-			f.t.Fatalf("not reached within %v", limit)
+			f.t.Fatalf("condition not met within %v", limit)
 		}
 		f.step()
 	}
 	return f.now.Sub(start)
 }
 
-// runFor steps for a time; check may be nil.
+// runFor steps for a duration; check may be nil.
 func (f *fleet) runFor(d time.Duration, check func()) {
 	for end := f.now.Add(d); f.now.Before(end); {
 		f.step()
@@ -210,7 +210,8 @@
 	}
 }
 
-// agree reports whether all that run hold the same table with n usable members.
+// agree reports whether all running daemons have the same table with n usable members and no
+// suspects.
 func (f *fleet) agree(n int) bool {
 	var sum *uint64
 	for _, nd := range f.nodes {
@@ -226,7 +227,7 @@
 	return true
 }
 
-// count returns how many of the others a daemon believes to be in a state.
+// count returns the number of other members that a daemon holds in a state.
 func (nd *node) count(l Liveness) int {
 	n := 0
 	for _, e := range nd.table.order {
@@ -235,49 +236,49 @@
 	return n
 }
 
-// crosses reports whether another daemon is in another availability zone.
-func (nd *node) crosses(to *node) bool {
+// crossesZone reports whether another daemon is in another availability zone.
+func (nd *node) crossesZone(to *node) bool {
 	return to != nil && nd.index%nd.f.zones != to.index%nd.f.zones
 }
 
-func (nd *node) lost(to *node) bool {
-	return to == nil || to.down || (nd.f.cut != nil && nd.f.cut(nd, to))
+func (nd *node) unreachable(to *node) bool {
+	return to == nil || to.down || (nd.f.partitioned != nil && nd.f.partitioned(nd, to))
 }
 
-// WriteToUDPAddrPort is part of PacketConn.
+// WriteToUDPAddrPort implements PacketConn.
 func (nd *node) WriteToUDPAddrPort(b []byte, addr netip.AddrPort) (int, error) {
 	must.LessEq(nd.f.t, MaxPacketBytes, len(b))
 	nd.sent = b
 	nd.f.packets++
 	nd.f.bytes += len(b)
 	to := nd.f.byAddr[addr]
-	if nd.crosses(to) {
+	if nd.crossesZone(to) {
 		nd.f.crossBytes += len(b)
 	}
-	if !nd.lost(to) {
-		nd.f.flying = append(nd.f.flying, flying{nd, to, b})
+	if !nd.unreachable(to) {
+		nd.f.inFlight = append(nd.f.inFlight, inFlight{nd, to, b})
 	}
 	return len(b), nil
 }
 
-// ReadFromUDPAddrPort is part of PacketConn.
+// ReadFromUDPAddrPort implements PacketConn.
 func (nd *node) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
 	return 0, netip.AddrPort{}, net.ErrClosed
 }
 
-// Close is part of PacketConn.
+// Close implements PacketConn.
 func (nd *node) Close() error { return nil }
 
-// Sync carries an exchange to another daemon, encoded as on the wire.
+// Sync implements Syncer. It encodes both messages as on the wire.
 func (nd *node) Sync(ctx context.Context, addr netip.AddrPort, table *memberpb.Table) (*memberpb.Table, error) {
 	to := nd.f.byAddr[addr]
-	if nd.lost(to) || to.lost(nd) || to.paused || to.err != nil || nd.f.noSync != nil && nd.f.noSync(nd, to) {
+	if nd.unreachable(to) || to.unreachable(nd) || to.paused || to.err != nil || nd.f.syncFails != nil && nd.f.syncFails(nd, to) {
 		return nil, errors.New("unreachable")
 	}
 	nd.f.syncs++
 	before := nd.f.syncBytes
 	answer := nd.f.recode(to.HandleSync(ctx, nd.f.recode(table)))
-	if nd.crosses(to) {
+	if nd.crossesZone(to) {
 		nd.f.crossSyncBytes += nd.f.syncBytes - before
 	}
 	return answer, nil
--- a/membership/membership.go
+++ b/membership/membership.go
@@ -14,28 +14,27 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrSuperseded means that another process has taken this one's place under the
-// same host name; this one must stop.
+// ErrSuperseded means that another process runs under this daemon's host name and has replaced
+// this process, which must stop.
 var ErrSuperseded = errors.New("another process runs under this host's name")
 
-// maxRememberedContacts bounds the contacts kept for healing a cut.
+// maxRememberedContacts bounds the contacts that are kept for healing network partitions.
 const maxRememberedContacts = 64
 
-// OffsetFunc is told of the configuration offset that a member has in force.
+// OffsetFunc is called with the configuration offset that a member has in force.
 type OffsetFunc func(host string, peerAddr netip.AddrPort, offset uint64)
 
-// Membership is one daemon's part in the protocol. It is safe for concurrent
-// use. All state is under one lock; what is sent leaves after the lock is
-// released.
+// Membership runs the membership protocol of one daemon. It is safe for concurrent use. One
+// mutex guards all state; packets are sent after it has been released.
 type Membership struct {
 	opts Options
 	log  *slog.Logger
-	// sleep waits for a backoff; tests replace it.
+	// sleep waits for a backoff delay; tests replace it.
 	sleep func(context.Context, time.Duration) error
-	// syncWanted wakes the loop that runs full-table exchanges.
+	// syncWanted carries the targets of full-table exchanges to syncLoop.
 	syncWanted chan exchangeTarget
 
-	// view is the latest picture; stale is set when the table has moved on.
+	// view caches the latest snapshot; stale is set when the table has changed since.
 	view  atomic.Pointer[View]
 	stale atomic.Bool
 
@@ -43,73 +42,74 @@
 	rng   *mathrand.Rand
 	table *table
 	self  *entry
-	// queue holds the news for the own availability zone, far those for the others.
-	queue    *queue
-	far      *queue
-	prober   prober
-	health   health
-	sync     syncer
-	repairs  map[string]*repair
-	contacts []Contact
-	onHeard  OffsetFunc
+	// queue holds the updates for the local availability zone, crossZoneQueue those for the other
+	// zones.
+	queue          *queue
+	crossZoneQueue *queue
+	prober         prober
+	health         health
+	sync           syncScheduler
+	repairs        map[string]*repair
+	contacts       []Contact
+	onOffset       OffsetFunc
 
 	lastTick   time.Time
 	lastGossip time.Time
-	// lastNews is when the table last changed.
-	lastNews   time.Time
+	// lastChange is when the table last changed.
+	lastChange time.Time
 	nextReview time.Time
 	nextHeal   time.Time
 	nextExpiry time.Time
-	// announced is set once this daemon has tried to learn of its host's
-	// earlier lives; until then it is in nobody's table.
+	// announced is set once this daemon has tried to obtain the state of earlier processes on
+	// its host. Until then it adds itself to no table.
 	announced   bool
 	announcedAt time.Time
-	toldAgain   bool
+	reannounced bool
 	left        bool
 	superseded  bool
 
-	changed bool
-	watch   chan struct{}
-	outbox  []datagram
-	heard   []heardOffset
+	changed         bool
+	watch           chan struct{}
+	outbox          []datagram
+	observedOffsets []observedOffset
 }
 
-// datagram is a packet to send once the lock is released.
+// datagram is an encoded packet that is sent after the lock has been released.
 type datagram struct {
 	to   netip.AddrPort
 	kind PacketKind
-	// across is whether the receiver is in another availability zone.
-	across bool
-	data   []byte
+	// crossZone reports whether the receiver is in another availability zone.
+	crossZone bool
+	data      []byte
 }
 
-type heardOffset struct {
+type observedOffset struct {
 	host   string
 	addr   netip.AddrPort
 	offset uint64
 }
 
-// New returns a Membership that knows of itself alone. It neither sends nor
-// answers before Run, and is no member before Join.
+// New returns a Membership that knows only the local daemon. It neither sends nor answers
+// packets before Run, and does not become a member before Join.
 func New(opts Options) (*Membership, error) {
 	if err := opts.check(); err != nil {
 		return nil, err
 	}
 	m := &Membership{
-		opts:       opts,
-		log:        opts.Logger,
-		sleep:      sleepContext,
-		syncWanted: make(chan exchangeTarget, 1),
-		rng:        mathrand.New(mathrand.NewPCG(seed(), seed())),
-		table:      newTable(opts.MaxMembers),
-		queue:      newQueue(),
-		far:        newQueue(),
-		repairs:    make(map[string]*repair),
-		watch:      make(chan struct{}),
+		opts:           opts,
+		log:            opts.Logger,
+		sleep:          sleepContext,
+		syncWanted:     make(chan exchangeTarget, 1),
+		rng:            mathrand.New(mathrand.NewPCG(seed(), seed())),
+		table:          newTable(opts.MaxMembers),
+		queue:          newQueue(),
+		crossZoneQueue: newQueue(),
+		repairs:        make(map[string]*repair),
+		watch:          make(chan struct{}),
 	}
 	m.prober = newProber(m.rng.Uint32())
 	now := opts.Now()
-	m.sync = syncer{gap: syncGap, last: now}
+	m.sync = syncScheduler{gap: syncGap, last: now}
 	m.self = &entry{
 		host:  opts.Host,
 		state: state{incarnation: 1, boot: opts.Boot, liveness: Alive},
@@ -124,7 +124,7 @@
 			linkMbps:         opts.LinkMbps,
 		},
 	}
-	m.news(now)
+	m.markChanged(now)
 	return m, nil
 }
 
@@ -134,8 +134,7 @@
 	return binary.LittleEndian.Uint64(b[:])
 }
 
-// View returns the current picture of the table. Members whose address is not
-// known yet are left out.
+// View returns a snapshot of the table. Members whose address is not known yet are omitted.
 func (m *Membership) View() *View {
 	if !m.stale.Load() {
 		return m.view.Load()
@@ -152,50 +151,49 @@
 		}
 	}
 	m.view.Store(v)
-	// Last: a reader that finds the picture fresh takes no lock and must find
-	// this one.
+	// Clear stale last: readers that find it cleared take no lock and must load this snapshot.
 	m.stale.Store(false)
 	return v
 }
 
-// Watch returns a channel that is closed after the next change of the members
-// other than of their offsets. Take it before View, so that no change falls in
-// between; changes within one tick are told as one.
+// Watch returns a channel that is closed after the next change to the members other than to
+// their offsets. To miss no change, call Watch before View. Changes within one tick cause a
+// single notification.
 func (m *Membership) Watch() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.watch
 }
 
-// update runs f under the lock, then sends and reports what f left behind.
+// update runs f under the lock, then sends the packets and reports the offsets that f has
+// queued.
 func (m *Membership) update(f func(now time.Time)) {
 	m.mu.Lock()
 	f(m.opts.Now())
-	outbox, heard, onHeard := m.outbox, m.heard, m.onHeard
-	m.outbox, m.heard = nil, nil
+	outbox, observedOffsets, onOffset := m.outbox, m.observedOffsets, m.onOffset
+	m.outbox, m.observedOffsets = nil, nil
 	m.mu.Unlock()
 	for _, d := range outbox {
-		// A datagram that could not be sent is one that was lost, which the
-		// protocol must bear anyway.
+		// A failed send is equivalent to a lost datagram, which the protocol tolerates.
 		_, _ = m.opts.Packets.WriteToUDPAddrPort(d.data, d.to)
-		m.opts.Meter.Sent(d.kind, d.across, len(d.data))
+		m.opts.Meter.Sent(d.kind, d.crossZone, len(d.data))
 	}
-	if onHeard == nil {
+	if onOffset == nil {
 		return
 	}
-	for _, h := range heard {
-		onHeard(h.host, h.addr, h.offset)
+	for _, h := range observedOffsets {
+		onOffset(h.host, h.addr, h.offset)
 	}
 }
 
-// news notes that the table has changed.
-func (m *Membership) news(now time.Time) {
-	m.lastNews = now
+// markChanged records that the table has changed.
+func (m *Membership) markChanged(now time.Time) {
+	m.lastChange = now
 	m.changed = true
 	m.stale.Store(true)
 }
 
-// notify wakes those who watch if there was news.
+// notify closes the watch channel if the table has changed since the last call.
 func (m *Membership) notify() {
 	if !m.changed {
 		return
@@ -205,6 +203,7 @@
 	m.watch = make(chan struct{})
 }
 
+// isOther reports whether e is another usable member whose address is known.
 func (m *Membership) isOther(e *entry) bool { return e != m.self && e.usable() && e.complete() }
 
 func sleepContext(ctx context.Context, d time.Duration) error {
--- a/membership/merge_test.go
+++ b/membership/merge_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawRecord returns a record as one of a few lives of a few hosts could cause
-// it: info always belongs to the incarnation that it names as its revision.
+// drawRecord returns a record as a few processes of a few hosts could produce it: an info always
+// belongs to the incarnation that is its revision.
 func drawRecord(t *rapid.T) record {
 	r := record{
 		host: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "host"),
@@ -30,7 +30,7 @@
 	return r
 }
 
-// converged is what all daemons must agree on of one host.
+// converged is the state of one host on which all daemons must agree.
 type converged struct {
 	state   state
 	info    info
@@ -49,9 +49,9 @@
 	return all
 }
 
-// Whatever the order and repetition in which daemons hear of the same records,
-// they end with the same table and the same digests; on the way no incarnation
-// or floor falls, and the counts and digests match the entries.
+// Daemons that receive the same records in any order and with repetitions must end with the same
+// table and digests. Meanwhile no incarnation or floor may decrease, and the counts and digests
+// must match the entries.
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := rapid.SliceOfN(rapid.Custom(drawRecord), 1, 30).Draw(t, "records")
@@ -70,15 +70,15 @@
 			e, _ := b.merge(r)
 			must.GreaterEq(t, before.incarnation, e.incarnation)
 			must.GreaterEq(t, before.highest(), e.highest())
-			b.checkBooks(t)
+			b.checkCounts(t)
 		}
 		must.Eq(t, a.converged(), b.converged())
 		must.Eq(t, a.digests, b.digests)
 	})
 }
 
-// checkBooks compares counts and digests with the entries.
-func (t *table) checkBooks(tb must.T) {
+// checkCounts checks the counts and digests against the entries.
+func (t *table) checkCounts(tb must.T) {
 	var d digests
 	usable, suspects := 0, 0
 	for _, e := range t.order {
@@ -93,9 +93,9 @@
 	must.Eq(tb, suspects, t.suspects)
 }
 
-// A member that answers a suspicion with a higher incarnation stays alive,
-// however often and late the suspicion arrives again.
-func TestRefutedSuspicionDoesNotStick(t *testing.T) {
+// A member that refutes a suspicion with a higher incarnation must stay alive, regardless of how
+// often and how late the suspicion arrives again.
+func TestRefutedSuspicionStaysRefuted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tb := newTable(1)
 		s := state{incarnation: rapid.Uint64Range(1, 9).Draw(t, "incarnation"), boot: 1, liveness: Suspect}
--- a/membership/offsets.go
+++ b/membership/offsets.go
@@ -1,15 +1,15 @@
 package membership
 
-// SetOffset sets the configuration offset in force that each probe and answer
-// tells.
+// SetOffset sets the configuration offset in force that each packet carries. It ignores an
+// offset below the current one.
 func (m *Membership) SetOffset(offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.raiseOffset(m.self, offset)
 }
 
-// ObserveOffset records the offset that a member was heard to have in force by
-// another way than probes, such as a push or pull of configuration.
+// ObserveOffset records an offset in force that a member has reported by other means than
+// membership packets, such as a push or pull of configuration.
 func (m *Membership) ObserveOffset(host string, boot, offset uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -27,8 +27,8 @@
 	m.stale.Store(true)
 }
 
-// Floor returns the highest offset that any life of the host is known to have
-// had in force, 0 if none is.
+// Floor returns the highest offset that any process of the host is known to have had in force, 0
+// if none is known.
 func (m *Membership) Floor(host string) uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,9 +41,9 @@
 	return 0
 }
 
-// MaxOffset returns the highest offset that any host is known to have had in
-// force. A host's own floor may be known only to those that it probed last; in
-// a fleet whose daemons do not lag, this one is no lower.
+// MaxOffset returns the highest offset that any host is known to have had in force. The floor of
+// a host may be known only to the daemons that it probed last; in a fleet whose daemons do not
+// lag, MaxOffset is at least as high.
 func (m *Membership) MaxOffset() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -54,20 +54,20 @@
 	return highest
 }
 
-// OnOffset sets the function that is called with the offset in each packet from
-// a known member. It must be set before Run and must not block.
+// OnOffset sets the function that is called with the offset in each packet from a known member.
+// It must be called before Run, and f must not block.
 func (m *Membership) OnOffset(f OffsetFunc) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.onHeard = f
+	m.onOffset = f
 }
 
-// hear notes the sender's offset.
-func (m *Membership) hear(pkt *packet) {
+// recordOffset stores the sender's offset and queues it for the function set by OnOffset.
+func (m *Membership) recordOffset(pkt *packet) {
 	e := m.table.get(pkt.GetHost())
 	if e == nil || e.boot != pkt.GetBoot() || !e.complete() {
 		return
 	}
 	m.raiseOffset(e, pkt.GetOffset())
-	m.heard = append(m.heard, heardOffset{e.host, e.info.peerAddr, pkt.GetOffset()})
+	m.observedOffsets = append(m.observedOffsets, observedOffset{e.host, e.info.peerAddr, pkt.GetOffset()})
 }
--- a/membership/own.go
+++ b/membership/own.go
@@ -11,12 +11,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// SetLocalState tells the others what runs on this host. Nothing is sent where the
-// announcements differ from the ones before in a grown age alone. Announcements
-// that do not fit into a datagram with the others are left out.
+// SetLocalState sets the announcements of the backend servers on this host and whether the host
+// is draining, and gossips a change. It sends nothing if the announcements differ from the
+// previous ones only by a higher age. Announcements that do not fit into one datagram are
+// omitted.
 func (m *Membership) SetLocalState(announcements []Announcement, draining bool) {
 	m.update(func(now time.Time) {
-		fits := m.fitting(announcements)
+		fits := m.fittingAnnouncements(announcements)
 		if m.self.info.draining == draining && sameAnnouncements(m.self.info.announcements, fits) {
 			return
 		}
@@ -31,9 +32,10 @@
 	})
 }
 
-// SetNotes tells the others what is to be known of beside the membership, the most urgent
-// first. Notes that do not fit into a datagram with the rest are left out: they share the
-// ways and the repairs of a member's news, which are for small and rare things.
+// SetNotes sets the opaque payloads to distribute with this daemon's record, the most urgent
+// first. Notes that do not fit into a datagram with the rest of the record are omitted. Notes
+// use the gossip and the repair exchanges of membership updates, which are designed for small
+// and rare data.
 func (m *Membership) SetNotes(notes [][]byte) {
 	m.update(func(now time.Time) {
 		fits := m.fittingNotes(*m.self.info, notes)
@@ -47,8 +49,9 @@
 	})
 }
 
-// aged returns announcements as of a later moment. The others take a change of the info for
-// the moment that ages are of, and would take a server for one that has just started.
+// aged returns the announcements with their ages advanced by a duration. Other daemons count the
+// ages from the last change of the info, and would otherwise consider a running server to have
+// just started.
 func aged(list []Announcement, by time.Duration) []Announcement {
 	list = slices.Clone(list)
 	for i := range list {
@@ -57,34 +60,34 @@
 	return list
 }
 
-// fittingNotes returns the notes that a record with the info can carry.
+// fittingNotes returns the notes that fit into a record together with the rest of the info.
 func (m *Membership) fittingNotes(i info, notes [][]byte) [][]byte {
-	probe := *m.self
-	probe.info = &i
+	candidate := *m.self
+	candidate.info = &i
 	i.replaced = make([]uint64, maxReplaced)
 	var fits [][]byte
 	for _, n := range notes {
 		i.notes = append(fits, n)
-		if len(i.notes) <= maxNotes && proto.Size(encodeMember(&probe, true)) <= maxRecordBytes {
+		if len(i.notes) <= maxNotes && proto.Size(encodeMember(&candidate, true)) <= maxRecordBytes {
 			fits = i.notes
 		}
 	}
 	return fits
 }
 
-// setInfo replaces the daemon's own info at a new incarnation.
+// setInfo replaces the daemon's own info at a new incarnation and gossips it.
 func (m *Membership) setInfo(i *info, incarnation uint64, now time.Time) {
 	i.revision = incarnation
-	m.applyOwn(&record{
+	m.mergeSelf(&record{
 		host:  m.self.host,
 		state: state{incarnation: incarnation, boot: m.self.boot, liveness: m.self.liveness},
 		info:  i,
 	}, now)
-	m.spreadOwn(true)
+	m.queueSelf(true)
 }
 
-// applyOwn changes the daemon's own entry.
-func (m *Membership) applyOwn(r *record, now time.Time) {
+// mergeSelf merges a record into the daemon's own entry.
+func (m *Membership) mergeSelf(r *record, now time.Time) {
 	if m.announced {
 		m.table.merge(r)
 	} else {
@@ -92,49 +95,50 @@
 	}
 	m.self.member = nil
 	m.self.since = now
-	m.news(now)
+	m.markChanged(now)
 }
 
-// spreadOwn tells the others of the daemon's own entry.
-func (m *Membership) spreadOwn(full bool) {
+// queueSelf queues the daemon's own entry for gossip in all availability zones. full includes
+// the info.
+func (m *Membership) queueSelf(full bool) {
 	if m.announced {
 		m.queue.add(m.self.host, full, true)
-		m.far.add(m.self.host, full, true)
+		m.crossZoneQueue.add(m.self.host, full, true)
 	}
 }
 
-// announce makes the daemon a member.
+// announce adds the daemon to its own table and gossips its entry, which makes it a member.
 func (m *Membership) announce(now time.Time) {
 	if m.announced {
 		return
 	}
 	m.announced, m.announcedAt = true, now
-	m.table.adopt(m.self)
+	m.table.addEntry(m.self)
 	m.sync.settle = now.Add(settleTime + m.jitter(settleTime))
-	m.news(now)
-	m.spreadOwn(true)
+	m.markChanged(now)
+	m.queueSelf(true)
 }
 
 func sameAnnouncements(old, new []Announcement) bool {
 	return slices.EqualFunc(old, new, func(a, b Announcement) bool {
-		// A lower age means that the backend server is another one.
+		// A lower age indicates a different backend server.
 		return a.Service == b.Service && a.Slots == b.Slots && a.Draining == b.Draining && a.Instance == b.Instance && a.Version == b.Version &&
 			a.Age <= b.Age
 	})
 }
 
-// fitting returns the announcements that one record can carry.
-func (m *Membership) fitting(list []Announcement) []Announcement {
+// fittingAnnouncements returns the announcements that fit into one record.
+func (m *Membership) fittingAnnouncements(list []Announcement) []Announcement {
 	fits := make([]Announcement, 0, len(list))
-	probe := *m.self
+	candidate := *m.self
 	for _, a := range list {
 		a.Slots = min(max(a.Slots, 0), maxSlots)
 		next := *m.self.info
 		next.announcements = append(fits, a)
 		next.replaced = make([]uint64, maxReplaced)
 		next.notes = nil
-		probe.info = &next
-		size := proto.Size(encodeMember(&probe, true))
+		candidate.info = &next
+		size := proto.Size(encodeMember(&candidate, true))
 		if a.Service == "" || len(a.Service) > maxNameBytes || len(fits) == maxAnnouncements || size > maxRecordBytes ||
 			!utf8.ValidString(a.Service) {
 			continue
@@ -144,8 +148,8 @@
 	return fits
 }
 
-// Leave says goodbye and returns when the news has been passed on as often as
-// any update is, or when ctx is done. Run must still be running.
+// Leave gossips that the daemon is leaving. It returns when that update has been sent as many
+// times as any other update, or when ctx is done. Run must still be running.
 func (m *Membership) Leave(ctx context.Context) error {
 	m.update(func(now time.Time) {
 		if m.left {
@@ -153,21 +157,21 @@
 		}
 		m.left = true
 		next := state{incarnation: m.self.incarnation + 1, boot: m.self.boot, liveness: Left}
-		m.applyOwn(&record{host: m.self.host, state: next}, now)
-		m.spreadOwn(false)
+		m.mergeSelf(&record{host: m.self.host, state: next}, now)
+		m.queueSelf(false)
 		m.log.Info("membership: leaving")
 	})
-	for !m.goodbyeSent() {
+	for !m.departureSent() {
 		if err := m.sleep(ctx, m.opts.GossipInterval); err != nil {
-			return errors.Wrap(err, "leave")
+			return errors.Wrap(err, "leave fleet")
 		}
 	}
 	return nil
 }
 
-func (m *Membership) goodbyeSent() bool {
+func (m *Membership) departureSent() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.table.usable == 0 ||
-		(m.neighbours() == 0 || !m.queue.holds(m.self.host)) && (!m.hasOtherZones() || !m.far.holds(m.self.host))
+		(m.neighbors() == 0 || !m.queue.contains(m.self.host)) && (!m.hasOtherZones() || !m.crossZoneQueue.contains(m.self.host))
 }
--- a/membership/packets.go
+++ b/membership/packets.go
@@ -11,19 +11,19 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// updatesField is the number of Packet.updates.
+// updatesField is the field number of Packet.updates.
 const updatesField protowire.Number = 10
 
-// updateOverhead is the most that one update costs besides its data: the tag
-// and the length.
+// updateOverhead is the maximum number of bytes that an update takes besides its data: tag and
+// length.
 const updateOverhead = 3
 
-// handlePacket takes one datagram in.
+// handlePacket processes one datagram.
 func (m *Membership) handlePacket(b []byte, from netip.AddrPort) {
 	pkt, rej := decodePacket(b)
 	if rej != nil {
 		m.opts.Meter.Rejected(rej.reason)
-		m.log.Debug("membership: datagram refused", "from", from, "error", rej)
+		m.log.Debug("membership: datagram rejected", "from", from, "error", rej)
 		return
 	}
 	m.opts.Meter.Received(pkt.kind, len(b))
@@ -32,22 +32,22 @@
 	}
 	from = netip.AddrPortFrom(from.Addr().Unmap(), from.Port())
 	m.update(func(now time.Time) {
-		m.relay(pkt, m.applyUpdates(pkt, now))
-		m.hear(pkt)
+		m.forward(pkt, m.applyUpdates(pkt, now))
+		m.recordOffset(pkt)
 		m.answer(pkt, from, now)
 		m.compare(pkt, from, now)
 	})
 }
 
-// applyUpdates takes the updates of a packet in and returns those that are news.
+// applyUpdates applies the updates of a packet and returns those to pass on.
 func (m *Membership) applyUpdates(pkt *packet, now time.Time) []*record {
-	var news []*record
+	var applied []*record
 	for i := range pkt.updates {
 		if m.apply(&pkt.updates[i], fromGossip, now) {
-			news = append(news, &pkt.updates[i])
+			applied = append(applied, &pkt.updates[i])
 		}
 	}
-	return news
+	return applied
 }
 
 func (m *Membership) answer(pkt *packet, from netip.AddrPort, now time.Time) {
@@ -91,11 +91,11 @@
 	m.send(to, host, boot, PacketGossip, &memberpb.Packet{})
 }
 
-// send completes a packet to the named host with the sender's identity and, within the
-// availability zone, the updates that fit. boot is the life that the receiver showed, 0
-// if unknown.
+// send encodes a packet to the named host and puts it into the outbox. To a receiver in the local
+// availability zone it adds the queued updates that fit. boot identifies the receiver's process,
+// 0 if unknown.
 func (m *Membership) send(to netip.AddrPort, host string, boot uint64, kind PacketKind, pkt *memberpb.Packet) {
-	b, ok := m.head(host, boot, pkt)
+	b, ok := m.encodePacket(host, boot, pkt)
 	if !ok {
 		return
 	}
@@ -104,17 +104,17 @@
 			b = appendUpdate(b, data)
 		}
 	}
-	m.post(to, host, kind, b)
+	m.enqueue(to, host, kind, b)
 }
 
-// post puts a whole packet to the named host into the outbox.
-func (m *Membership) post(to netip.AddrPort, host string, kind PacketKind, b []byte) {
+// enqueue puts an encoded packet to the named host into the outbox.
+func (m *Membership) enqueue(to netip.AddrPort, host string, kind PacketKind, b []byte) {
 	m.outbox = append(m.outbox, datagram{to, kind, !m.inZone(m.table.get(host)), b})
 }
 
-// head encodes a packet to the named host without the updates; ok is false where it
-// cannot be.
-func (m *Membership) head(host string, boot uint64, pkt *memberpb.Packet) (b []byte, ok bool) {
+// encodePacket encodes a packet to the named host without the queued updates; ok is false if
+// that fails.
+func (m *Membership) encodePacket(host string, boot uint64, pkt *memberpb.Packet) (b []byte, ok bool) {
 	pkt.Version = packetVersion
 	pkt.Host = m.self.host
 	pkt.Boot = m.self.boot
@@ -126,17 +126,18 @@
 	}
 	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, 0, MaxPacketBytes), pkt)
 	if err != nil {
-		// Only a name that is not UTF-8 can do this; it cannot have been received.
-		m.log.Error("membership: packet cannot be encoded", "error", err)
+		// Only a name that is not valid UTF-8 causes this, and no such name is received.
+		m.log.Error("membership: cannot encode packet", "error", err)
 		return nil, false
 	}
-	return m.appendReceiver(b, host, boot), true
+	return m.appendReceiverState(b, host, boot), true
 }
 
-// appendReceiver tells the receiver what is believed of itself if it should
-// object: that it is not alive, or that another process runs in its place. A
-// member declared dead while it was paused hears of it with the first answer.
-func (m *Membership) appendReceiver(b []byte, host string, boot uint64) []byte {
+// appendReceiverState appends the entry of the receiver if the receiver must react to it: if the
+// table does not hold the receiver as alive, or holds another process under its host name. A
+// member that was declared dead while it was paused thus receives that state with the first
+// answer.
+func (m *Membership) appendReceiverState(b []byte, host string, boot uint64) []byte {
 	e := m.table.get(host)
 	if e == nil {
 		return b
@@ -160,30 +161,31 @@
 func (m *Membership) encodeUpdate(u *update) []byte {
 	data, err := proto.Marshal(encodeMember(m.table.get(u.host), u.full))
 	if err != nil {
-		m.log.Error("membership: update cannot be encoded", "host", u.host, "error", err)
+		m.log.Error("membership: cannot encode update", "host", u.host, "error", err)
 	}
 	return data
 }
 
-// retransmitLimit is how often each daemon passes one update on. With the
-// default of 5 and 910 members it is 15; the chance that an update then misses
-// a given member is about e^-15.
+// retransmitLimit returns how many times each daemon sends an update. With the default
+// RetransmitMult of 5 and 910 members it is 15; the probability that an update then misses a
+// given member is about e^-15.
 func (m *Membership) retransmitLimit() int {
 	return m.opts.RetransmitMult * int(math.Ceil(math.Log10(float64(m.table.usable+1))))
 }
 
-// backlogUpdates is how many updates fit into one packet, roughly.
-const backlogUpdates = 32
+// updatesPerPacket is the approximate number of updates that fit into one packet.
+const updatesPerPacket = 32
 
-// gossip passes news on to a few neighbours: in each interval while there is any,
-// at once for urgent news that this daemon has not passed on yet, and more often
-// the more there is, up to once a tick. After a cut of a region of 300 members
-// the refutations would else take as long as a suspicion lasts.
+// gossip sends queued updates to a few members of the local availability zone: once per
+// GossipInterval while any are queued, immediately if an urgent update has not been sent yet,
+// and more often the longer the queue is, up to once per tick. Without the shorter interval, the
+// refutations after a partition of a region with 300 members would take as long as
+// SuspicionTimeout.
 func (m *Membership) gossip(now time.Time) {
-	if m.queue.len() == 0 || m.neighbours() == 0 {
+	if m.queue.len() == 0 || m.neighbors() == 0 {
 		return
 	}
-	wait := m.opts.GossipInterval / time.Duration(1+m.queue.len()/backlogUpdates)
+	wait := m.opts.GossipInterval / time.Duration(1+m.queue.len()/updatesPerPacket)
 	if m.queue.urgent() {
 		wait = 0
 	}
@@ -191,7 +193,7 @@
 		return
 	}
 	m.lastGossip = now
-	for _, e := range m.table.sample(m.rng, m.opts.FanOut, m.isNeighbour) {
+	for _, e := range m.table.sample(m.rng, m.opts.FanOut, m.isNeighbor) {
 		m.sendGossip(e.info.peerAddr, e.host, e.boot)
 	}
 }
--- a/membership/queue.go
+++ b/membership/queue.go
@@ -4,26 +4,25 @@
 	"container/heap"
 )
 
-// maxSkips bounds how many updates that do not fit are looked at while a packet
-// is filled.
+// maxSkips bounds how many updates that do not fit are tried while a packet is filled.
 const maxSkips = 4
 
-// update is news of one host on its way to the others.
+// update is a change to the entry of one host that is queued for sending.
 type update struct {
 	host string
-	// full is whether the info is news as well as the state.
+	// full reports whether the update includes the info as well as the state.
 	full bool
-	// urgent updates do not wait for the next round of gossip.
+	// urgent updates do not wait for the next gossip round.
 	urgent    bool
 	transmits int
-	// seq orders updates by age.
+	// seq orders updates by age, the newest highest.
 	seq   uint64
 	data  []byte
 	index int
 }
 
-// queue holds the news to pass on: at most one update for each host, so that it
-// never outgrows the table. Those passed on least go first.
+// queue holds the updates to gossip: at most one per host, so that it is never larger than the
+// table. Updates that were sent the fewest times go first.
 type queue struct {
 	byHost  map[string]*update
 	updates updateHeap
@@ -34,7 +33,7 @@
 
 func (q *queue) len() int { return len(q.updates) }
 
-// add puts news of a host in, in place of older news.
+// add queues an update of a host in place of an older one.
 func (q *queue) add(host string, full, urgent bool) {
 	q.seq++
 	u, ok := q.byHost[host]
@@ -50,13 +49,13 @@
 	heap.Fix(&q.updates, u.index)
 }
 
-// holds reports whether news of a host is still being passed on.
-func (q *queue) holds(host string) bool {
+// contains reports whether an update of a host is queued.
+func (q *queue) contains(host string) bool {
 	_, ok := q.byHost[host]
 	return ok
 }
 
-// drop removes news of a host that was forgotten.
+// drop removes the update of a host whose entry was removed from the table.
 func (q *queue) drop(host string) {
 	if u, ok := q.byHost[host]; ok {
 		heap.Remove(&q.updates, u.index)
@@ -64,14 +63,14 @@
 	}
 }
 
-// urgent reports whether an urgent update has not been passed on at all.
+// urgent reports whether an urgent update has not been sent at all.
 func (q *queue) urgent() bool {
 	return len(q.updates) > 0 && q.updates[0].urgent && q.updates[0].transmits == 0
 }
 
-// take returns the encoded updates that fit into space bytes, and counts each
-// as passed on; after limit times it is dropped. overhead is what each costs
-// besides its data.
+// take returns the encoded updates that fit into space bytes and counts each as sent. It removes
+// an update that was sent limit times. overhead is the number of bytes that each takes besides
+// its data.
 func (q *queue) take(space, overhead, limit int, encode func(*update) []byte) [][]byte {
 	var data [][]byte
 	var taken, skipped []*update
@@ -102,7 +101,8 @@
 	return data
 }
 
-// updateHeap orders updates for container/heap.
+// updateHeap implements heap.Interface. Updates sent the fewest times come first, then urgent ones,
+// then the latest ones.
 type updateHeap []*update
 
 func (h updateHeap) Len() int { return len(h) }
@@ -123,14 +123,14 @@
 	h[i].index, h[j].index = i, j
 }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *updateHeap) Push(x any) {
 	u := x.(*update)
 	u.index = len(*h)
 	*h = append(*h, u)
 }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *updateHeap) Pop() any {
 	old := *h
 	u := old[len(old)-1]
--- a/membership/record.go
+++ b/membership/record.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// state is a host's liveness. States of one host are totally ordered and the
-// higher one holds, so that daemons agree whatever the order in which they
-// hear of them.
+// state is the liveness of a host with its version. The states of one host are totally ordered
+// and the highest one takes precedence, so that daemons agree regardless of the order in which
+// they receive them.
 type state struct {
-	// A member outbids what it wants to overrule by a higher incarnation. This
-	// orders the lives of a host as well: a restarted process learns the
-	// incarnation of the life before from the others and goes above it, which
-	// needs neither clock nor disk.
+	// A member overrides a record about itself with a higher incarnation. The incarnation also
+	// orders the processes of a host: a restarted process obtains the incarnation of its
+	// predecessor from the other daemons and takes a higher one, which requires neither a clock
+	// nor a disk.
 	incarnation uint64
-	// boot breaks the tie of two lives that do not know of each other yet.
+	// boot breaks the tie between two processes that do not know of each other yet.
 	boot uint64
-	// Within one incarnation only bad news is news.
+	// Within one incarnation of a process, the higher Liveness value takes precedence, so that a
+	// record can only make the liveness worse.
 	liveness Liveness
 }
 
@@ -29,13 +30,13 @@
 	)
 }
 
-// usable reports whether work may be sent to a member in this state.
+// usable reports whether requests may be sent to a member in this state.
 func (s state) usable() bool { return s.liveness == Alive || s.liveness == Suspect }
 
-// info is what a host tells of itself, immutable. It is versioned apart from
-// the state, so that a suspicion and its refutation need not carry it.
+// info is what a host announces about itself. It is immutable and versioned separately from the
+// state, so that a suspicion and its refutation need not include it.
 type info struct {
-	// revision is the incarnation at which the info was last changed.
+	// revision is the incarnation at which the info last changed.
 	revision         uint64
 	boot             uint64
 	availabilityZone string
@@ -44,7 +45,7 @@
 	callerAddr       netip.AddrPort
 	draining         bool
 	announcements    []Announcement
-	// replaced lists earlier lives of the host, latest first.
+	// replaced lists the boots of earlier processes of the host, the latest first.
 	replaced []uint64
 	linkMbps float32
 	notes    [][]byte
@@ -54,58 +55,57 @@
 	return cmp.Or(cmp.Compare(i.revision, o.revision), cmp.Compare(i.boot, o.boot))
 }
 
-// record is what one message tells of one host.
+// record is what one message reports about one host.
 type record struct {
 	host string
 	state
 	offset uint64
 	floor  uint64
-	// info is nil where the message only tells the state.
+	// info is nil if the message contains only the state.
 	info *info
 	age  time.Duration
 }
 
-// change is a set of what a merge changed.
+// change is the set of fields that a merge changed.
 type change uint8
 
 const (
 	changedState change = 1 << iota
 	changedInfo
 	changedBoot
-	// appeared means that the host was unknown or a tombstone before.
+	// appeared means that the host was unknown or a tombstone before and is now usable.
 	appeared
-	// changedFloor means that an earlier life is now known to have had a later
+	// changedFloor means that an earlier process of the host is now known to have had a later
 	// offset in force.
 	changedFloor
 	changedOffset
 )
 
-// spreads reports whether others should be told.
-func (c change) spreads() bool { return c&(changedState|changedInfo|changedFloor) != 0 }
+// needsGossip reports whether the change is to be sent to other daemons.
+func (c change) needsGossip() bool { return c&(changedState|changedInfo|changedFloor) != 0 }
 
-// entry is what the table holds of one host.
+// entry is the state of one host in the table.
 type entry struct {
 	host string
 	state
-	// info is nil until it was heard of.
+	// info is nil until it has been received.
 	info   *info
 	offset uint64
 	floor  uint64
 	// since is when state or info last changed.
 	since time.Time
-	// suspectedAt and deadline belong to the state Suspect.
+	// suspectedAt and deadline are valid while the state is Suspect.
 	suspectedAt time.Time
 	deadline    time.Time
 
 	digest uint64
-	// zone is the availability zone under which the table has counted the entry, if it
-	// has.
+	// zone is the availability zone under which the table counts the entry, if counted is set.
 	zone    string
 	counted bool
 	member  *Member
 }
 
-// availabilityZone returns the zone that the host has told, "" while it is not known.
+// availabilityZone returns the zone that the host has announced, or "" if it is not known yet.
 func (e *entry) availabilityZone() string {
 	if e.info == nil {
 		return ""
@@ -113,9 +113,9 @@
 	return e.info.availabilityZone
 }
 
-// merge takes a record in. Each field becomes the maximum of what was heard, so
-// that order and repetition of the records do not matter; only offset is kept
-// for the current life alone, with floor as the maximum over all lives.
+// merge merges a record into the entry. Each field becomes the maximum of all received values,
+// so that the order and repetition of records do not matter. Only offset is kept for the current
+// process alone; floor is the maximum over the other processes of the host.
 func (e *entry) merge(r *record) change {
 	var c change
 	if r.state.compare(e.state) > 0 {
@@ -151,14 +151,14 @@
 	return c
 }
 
-// complete reports whether the info belongs to the life that the state is of.
-// Until it does, the address is that of an earlier life or unknown.
+// complete reports whether the info belongs to the same process as the state. Until it does, the
+// address is unknown or that of an earlier process.
 func (e *entry) complete() bool { return e.info != nil && e.info.boot == e.boot }
 
-// highest returns the highest offset that any life of the host had in force.
+// highest returns the highest offset that any process of the host is known to have had in force.
 func (e *entry) highest() uint64 { return max(e.offset, e.floor) }
 
-// view returns the entry as a Member, nil while it is not complete.
+// view returns the entry as a Member, or nil while it is not complete.
 func (e *entry) view() *Member {
 	if e.member != nil || !e.complete() {
 		return e.member
--- a/membership/rendezvous.go
+++ b/membership/rendezvous.go
@@ -2,8 +2,9 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rendezvous hashes a host under a seed. All whose views hold the same members find the
-// same one to have the highest hash (highest random weight).
+// Rendezvous returns the weight of a host for a seed in rendezvous hashing (highest random
+// weight). Daemons whose views contain the same members select the same one, that with the
+// highest weight.
 func Rendezvous(host, seed string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/membership/run.go
+++ b/membership/run.go
@@ -10,20 +10,20 @@
 )
 
 const (
-	// tickInterval is how often the timers are looked at.
+	// tickInterval is the time between two checks of the timers.
 	tickInterval = 50 * time.Millisecond
-	// pauseThreshold is the time between two ticks from which this process
-	// takes itself for halted. What is shorter cannot fail a probe, since each
-	// of its two waits is followed by a tick of its own.
+	// pauseThreshold is the time between two ticks from which this process counts as paused. A
+	// shorter pause cannot fail a probe, since each of a probe's two waits is followed by a tick
+	// of its own.
 	pauseThreshold = time.Second
-	// expiryInterval is how often tombstones are looked at.
+	// expiryInterval is the time between two checks for expired tombstones.
 	expiryInterval = time.Minute
-	// readBackoff keeps a socket that fails at once from taking a whole core.
+	// readBackoff keeps a socket whose reads fail immediately from occupying a processor core.
 	readBackoff = 50 * time.Millisecond
 )
 
-// Run takes part in the protocol until ctx is done, and closes Packets then.
-// The error is ErrSuperseded where another process has taken this one's place.
+// Run runs the protocol until ctx is done, and then closes Packets. It returns ErrSuperseded if
+// another process has replaced this one.
 func (m *Membership) Run(ctx context.Context) error {
 	t, ctx := tomb.WithContext(ctx)
 	t.Go(func() error {
@@ -41,8 +41,8 @@
 }
 
 func (m *Membership) readLoop(t *tomb.Tomb) error {
-	// One byte more than the bound, so that a longer datagram is seen as such
-	// rather than cut to fit.
+	// The buffer is one byte larger than the bound, so that a longer datagram is detected rather
+	// than truncated to a valid size.
 	buf := make([]byte, MaxPacketBytes+1)
 	for {
 		n, from, err := m.opts.Packets.ReadFromUDPAddrPort(buf)
@@ -53,15 +53,15 @@
 			return errors.Wrap(err, "read packets")
 		}
 		if err != nil {
-			m.log.Warn("membership: read failed", "error", err)
-			pause(t, readBackoff)
+			m.log.Warn("membership: cannot read from socket", "error", err)
+			backoff(t, readBackoff)
 			continue
 		}
 		m.handlePacket(buf[:n], from)
 	}
 }
 
-func pause(t *tomb.Tomb, d time.Duration) {
+func backoff(t *tomb.Tomb, d time.Duration) {
 	select {
 	case <-t.Dying():
 	case <-time.After(d):
@@ -83,7 +83,7 @@
 	}
 }
 
-// syncLoop runs the exchanges that ticks ask for, one at a time.
+// syncLoop runs the exchanges that ticks and packets request, one at a time.
 func (m *Membership) syncLoop(ctx context.Context, t *tomb.Tomb) error {
 	for {
 		select {
@@ -97,11 +97,11 @@
 
 func (m *Membership) runSync(ctx context.Context, target exchangeTarget) {
 	if _, err := m.exchange(ctx, target); err != nil {
-		m.log.Debug("membership: exchange failed", "error", err)
+		m.log.Debug("membership: table exchange failed", "error", err)
 	}
 }
 
-// tick reconciles everything that time decides.
+// tick does everything that is due at the current time.
 func (m *Membership) tick() error {
 	superseded := false
 	m.update(func(now time.Time) {
@@ -113,8 +113,8 @@
 		m.heal(now)
 		m.reconcileSync(now)
 		m.gossip(now)
-		m.tellAgain(now)
-		m.gossipAcross()
+		m.reannounce(now)
+		m.gossipCrossZone()
 		m.notify()
 		superseded = m.superseded
 	})
@@ -124,11 +124,11 @@
 	return nil
 }
 
-// checkPause notices that this process was halted (stopped, starved or its host
-// frozen). The answers to its probes have arrived meanwhile or were lost, and
-// every suspicion looks overdue; acted on, they would have it declare much of
-// the fleet dead. So what was under way is dropped, suspicions start anew, and
-// the daemon asks another for what it has missed, its own death included.
+// checkPause detects that this process was paused (stopped, starved of processor time, or its
+// host frozen). The answers to its probes have arrived unread or were lost, and every suspicion
+// appears overdue; acting on them, the daemon would declare much of the fleet dead. checkPause
+// therefore drops the probes in progress, restarts the suspicions, and plans an exchange to
+// fetch the changes that this daemon has missed, including a declaration of its own death.
 func (m *Membership) checkPause(now time.Time) {
 	gap := now.Sub(m.lastTick)
 	first := m.lastTick.IsZero()
@@ -138,7 +138,7 @@
 	}
 	m.log.Warn("membership: this process was halted", "gap", gap)
 	m.opts.Meter.Paused(gap)
-	m.prober.abandon()
+	m.prober.reset()
 	m.prober.next = now
 	for _, e := range m.table.order {
 		e.suspectedAt = e.suspectedAt.Add(gap)
--- a/membership/run_test.go
+++ b/membership/run_test.go
@@ -16,7 +16,7 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// directSync hands tables over by a call.
+// directSync exchanges tables by a function call.
 type directSync struct {
 	mu     sync.Mutex
 	byAddr map[netip.AddrPort]*Membership
@@ -47,7 +47,7 @@
 	return m
 }
 
-// await waits until a view is as wanted, woken by Watch alone.
+// await waits until a view satisfies want. Only Watch wakes it.
 func await(ctx context.Context, m *Membership, want func(*View) bool) error {
 	for {
 		changed := m.Watch()
@@ -62,9 +62,9 @@
 	}
 }
 
-// Three daemons run over real sockets: each joins by the first, all see all,
-// offsets are told with the probes, one says goodbye and the others know. Run
-// ends without an error with its context.
+// Three daemons run over real sockets. Each joins through the first, all see all members,
+// packets carry the offsets, and one daemon leaves, which the others see. Run must return no
+// error when its context ends.
 func TestRunOverUDP(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -103,10 +103,9 @@
 	must.NoError(t, running.Wait())
 }
 
-// Two readers ask for the picture at once while it is stale. Neither may get the
-// picture from before the change, or none at all at the start: a daemon that took a
-// nil picture for one ended with a panic.
-func TestViewIsNeverOlderThanTheChange(t *testing.T) {
+// Concurrent readers request the view while it is stale. None may get a view from before the
+// change, or nil before the first view was built: a nil view caused a panic of the daemon.
+func TestViewIsNeverOlderThanLastChange(t *testing.T) {
 	f := newJoinedFleet(t, 64)
 	m := f.nodes[0].Membership
 	for offset := uint64(1); offset <= 500; offset++ {
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -12,56 +12,55 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// A daemon hears nothing while a drain goes round. Nobody repeats the news, but
-// the digests in the probes differ from then on, and it has it from an exchange.
-func TestMissedNewsIsMadeUpFor(t *testing.T) {
+// A daemon receives no packets while a drain is gossiped. Nobody repeats the update, but the
+// digests in the probes differ from then on, and an exchange must deliver it.
+func TestMissedUpdateIsFetched(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
 	f.runFor(2*time.Second, nil)
-	src, deaf := f.nodes[1], f.nodes[2]
-	f.cut = func(_, to *node) bool { return to == deaf }
+	src, isolated := f.nodes[1], f.nodes[2]
+	f.partitioned = func(_, to *node) bool { return to == isolated }
 	src.SetLocalState(nil, true)
 	f.runFor(2*time.Second, nil)
-	f.cut = nil
-	must.False(t, deaf.View().Find(src.self.host).Draining)
-	f.run(15*time.Second, func() bool { return deaf.View().Find(src.self.host).Draining && f.agree(n) })
+	f.partitioned = nil
+	must.False(t, isolated.View().Find(src.self.host).Draining)
+	f.run(15*time.Second, func() bool { return isolated.View().Find(src.self.host).Draining && f.agree(n) })
 }
 
-// One daemon hears of a change before another, and their digests differ for a
-// moment. That alone must not lead to an exchange of tables.
-func TestNoExchangeWhileNewsSpreads(t *testing.T) {
+// One daemon receives a change before another, and their digests differ for a moment. That alone
+// must not cause a table exchange.
+func TestNoExchangeDuringGossip(t *testing.T) {
 	f := newJoinedFleet(t, 2)
 	nd, other := f.nodes[0], f.nodes[1]
 	other.SetLocalState(nil, true)
 	nd.compareDigest(other.table.digests.sum(), other.addr, f.now)
-	must.True(t, nd.sync.want.IsValid())
+	must.True(t, nd.sync.target.IsValid())
 	f.now = f.now.Add(tickInterval)
 	nd.apply(&record{host: other.self.host, state: other.self.state, info: other.self.info}, fromGossip, f.now)
 	nd.reconcileSync(f.now.Add(syncQuiet))
 	must.Eq(t, 0, len(nd.syncWanted))
 }
 
-// Backend servers are about to leave while ten other changes a second go round.
-// Every daemon must know within 800 ms, which leaves more than half of the 2 s
-// for what the daemon does with it. The fleet is still again after that: no
-// exchange, few bytes.
-func TestDrainIsKnownEverywhere(t *testing.T) {
+// Backend servers drain while ten other changes per second are gossiped. Every daemon must know
+// within 800 ms, which leaves more than half of the 2 s in which daemons must have reacted.
+// Afterwards the fleet must be quiet again: no exchange, few bytes.
+func TestDrainReachesAllDaemons(t *testing.T) {
 	const n = 256
 	f := newJoinedFleet(t, n)
 	steps := 0
-	noise := func() {
+	backgroundChanges := func() {
 		if steps++; steps%2 == 0 {
 			nd := f.nodes[steps*37%n]
-			claim := state{incarnation: nd.self.incarnation, boot: nd.self.boot, liveness: Suspect}
-			nd.update(func(now time.Time) { nd.applySelf(&record{host: nd.self.host, state: claim}, now) })
+			suspicion := state{incarnation: nd.self.incarnation, boot: nd.self.boot, liveness: Suspect}
+			nd.update(func(now time.Time) { nd.applySelf(&record{host: nd.self.host, state: suspicion}, now) })
 		}
 	}
-	f.runFor(3*time.Second, noise)
+	f.runFor(3*time.Second, backgroundChanges)
 	leaving := []Announcement{{Service: "site-ops", Slots: 10, Draining: true}}
 	for _, src := range f.nodes[:8] {
 		src.SetLocalState(leaving, true)
 		f.run(800*time.Millisecond, func() bool {
-			noise()
+			backgroundChanges()
 			for _, nd := range f.nodes {
 				if m := nd.View().Find(src.self.host); !m.Draining || !m.Announcements[0].Draining {
 					return false
@@ -69,7 +68,7 @@
 			}
 			return true
 		})
-		f.runFor(time.Second, noise)
+		f.runFor(time.Second, backgroundChanges)
 	}
 	f.runFor(4*time.Second, nil)
 	bytes := f.bytes
@@ -80,9 +79,9 @@
 	must.Zero(t, f.syncs)
 }
 
-// Somebody floods the daemons with datagrams that are cut short, too long, of
-// another version or nonsense. Each is counted and dropped, nothing of it gets
-// into a table, and news spreads as ever.
+// The daemons are flooded with datagrams that are truncated, too long, corrupt or of an unknown
+// version. Each must be counted and dropped without a change to a table, and updates must spread
+// as usual.
 func TestFloodOfBadDatagrams(t *testing.T) {
 	const n = 16
 	f := newJoinedFleet(t, n)
@@ -106,8 +105,8 @@
 	}
 }
 
-// Dead members are forgotten after a day, by each daemon at its own time. What
-// one has forgotten must not come back from another's table.
+// Each daemon expires the tombstones of dead members after a day, at its own time. An expired
+// tombstone must not return from the table of another daemon.
 func TestTombstonesExpire(t *testing.T) {
 	f := newJoinedFleet(t, 4)
 	gone := f.nodes[3]
@@ -117,7 +116,7 @@
 	f.now = f.now.Add(f.nodes[0].opts.TombstoneRetention + time.Minute)
 	f.nodes[0].tick()
 	must.Nil(t, f.nodes[0].table.get(gone.self.host))
-	f.nodes[0].learn(f.nodes[1].HandleSync(context.Background(), &memberpb.Table{
+	f.nodes[0].applyAnswer(f.nodes[1].HandleSync(context.Background(), &memberpb.Table{
 		Host: "x", Boot: 9, Digests: slices.Repeat([]uint64{1}, bucketCount),
 	}), &exchangeTarget{})
 	must.Nil(t, f.nodes[0].table.get(gone.self.host))
--- a/membership/start_test.go
+++ b/membership/start_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// All daemons start at once with three contacts that know nobody. Each gets the
-// part of the table that its contacts have by then; gossip and the comparison
-// of digests bring the rest, so callers see the whole fleet within seconds.
+// All daemons start at once with three contacts whose tables are empty. Each gets the entries
+// that its contacts have by then; gossip and the comparison of digests must deliver the rest, so
+// that callers see the whole fleet within seconds.
 func TestColdStart(t *testing.T) {
 	const n = 128
 	f := newFleet(t, n)
@@ -19,11 +19,11 @@
 	f.run(6*time.Second, func() bool { return f.agree(n) })
 }
 
-// Two daemons start at the same moment and have each other as their only
-// contact. The one asked knows nobody and is no member itself yet; the one that
-// asks must be known to it all the same, or the two would not meet until one
-// looks for lost contacts half a minute later.
-func TestTwoStartByEachOther(t *testing.T) {
+// Two daemons start at the same moment with each other as their only contact. The daemon asked
+// has an empty table and is no member itself yet. It must still store the entry of the other
+// one, or the two would not connect until one of them retries missing contacts half a minute
+// later.
+func TestTwoDaemonsJoinThroughEachOther(t *testing.T) {
 	f := newFleet(t, 2)
 	must.Eq(t, 1, f.nodes[0].join(1))
 	must.NotNil(t, f.nodes[1].table.get(f.nodes[0].self.host))
@@ -31,25 +31,25 @@
 	f.run(time.Second, func() bool { return f.agree(2) })
 }
 
-// Two fleets that started apart know nothing of each other, and each daemon has
-// joined its own. That they have contacts in the other makes them one.
+// Two fleets started separately, and each daemon has joined its own one. The contacts that each
+// has in the other fleet must merge them.
 func TestSeparateFleetsMerge(t *testing.T) {
 	const n = 32
 	f := newFleet(t, n)
-	f.cut = func(from, to *node) bool { return from.index < n/2 != (to.index < n/2) }
+	f.partitioned = func(from, to *node) bool { return from.index < n/2 != (to.index < n/2) }
 	for _, nd := range f.nodes {
 		nd.join(0, 1, n/2, n/2+1)
 	}
 	f.runFor(20*time.Second, nil)
 	must.Eq(t, n/2, f.nodes[0].table.usable)
-	f.cut = nil
+	f.partitioned = nil
 	f.run(5*time.Minute, func() bool { return f.agree(n) })
 }
 
-// A third of the fleet restarts at once, each host as a new life, and all ask
-// the same three contacts. The contacts must hand out no more full tables than
-// their limit, the rest must be served by others, and the new lives must
-// replace the old ones everywhere within seconds.
+// A third of the fleet restarts at once, each host with a new process, and all ask the same
+// three contacts. The contacts must not send more full answers than their limit, other members
+// must serve the rest, and the new processes must replace the old ones everywhere within
+// seconds.
 func TestThirdRestartsAtOnce(t *testing.T) {
 	const n = 192
 	f := newJoinedFleet(t, n)
@@ -70,36 +70,36 @@
 	}
 }
 
-// A host restarts while all who could tell it of its earlier life are busy. It
-// must not become a member before it has heard: it would start below the offset
-// that it had in force, and take an incarnation that the earlier life had.
-func TestNoMemberBeforeItsEarlierLifeIsKnown(t *testing.T) {
+// A host restarts while all daemons that could send it the state of its previous process are
+// busy. It must not become a member before it has that state: it would start below the offset
+// that it had in force, and reuse an incarnation of the previous process.
+func TestNoMemberBeforePreviousProcessIsKnown(t *testing.T) {
 	const n = fullSyncMembers + 1
 	f := newJoinedFleet(t, n)
 	for _, nd := range f.nodes {
 		nd.ObserveOffset("host-0004", 5, 100)
 		nd.sync.tokens, nd.sync.refilled = 0, f.now
 	}
-	again := f.start(4, 4, 1000)
-	must.Zero(t, again.join(0, 1, 2))
-	must.False(t, again.announced)
-	f.run(5*time.Second, func() bool { return again.announced })
-	must.Eq(t, 100, again.Floor("host-0004"))
+	restarted := f.start(4, 4, 1000)
+	must.Zero(t, restarted.join(0, 1, 2))
+	must.False(t, restarted.announced)
+	f.run(5*time.Second, func() bool { return restarted.announced })
+	must.Eq(t, 100, restarted.Floor("host-0004"))
 	f.run(5*time.Second, func() bool { return f.agree(n) })
 }
 
-// A host is replaced twice while its first process is paused. The new lives
-// must hold everywhere at once, though the first answers probes before it has
-// joined, and inherit the offset that the old one had in force. The old process
-// wakes, finds itself replaced and stops; were it to outbid the new one, the
-// host would be lost.
-func TestNewLifeReplacesOldOne(t *testing.T) {
+// A host's process is replaced twice while the first process is paused. The new processes must
+// be accepted everywhere at once, although the first of them answers probes before it has
+// joined, and must inherit the offset that the old process had in force. The old process
+// resumes, and must detect that it was replaced and stop; if it raised its incarnation above
+// that of the new one, the host would be lost.
+func TestNewProcessReplacesOldOne(t *testing.T) {
 	const n, host, elsewhere = 16, 4, 100
-	t.Run("same address first", func(t *testing.T) { testNewLives(t, n, host, []int{host, elsewhere}) })
-	t.Run("other address first", func(t *testing.T) { testNewLives(t, n, host, []int{elsewhere, elsewhere + 1}) })
+	t.Run("same address first", func(t *testing.T) { testReplacedProcess(t, n, host, []int{host, elsewhere}) })
+	t.Run("other address first", func(t *testing.T) { testReplacedProcess(t, n, host, []int{elsewhere, elsewhere + 1}) })
 }
 
-func testNewLives(t *testing.T, n, host int, addrs []int) {
+func testReplacedProcess(t *testing.T, n, host int, addrs []int) {
 	f := newJoinedFleet(t, n)
 	first := f.nodes[host]
 	first.SetOffset(100)
--- a/membership/table.go
+++ b/membership/table.go
@@ -11,13 +11,13 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// bucketCount is how many parts of the table have a digest of their own. Two
-// daemons that differ in one member exchange one bucket: at 910 members 14
-// records in place of 910, for 512 bytes of digests.
+// bucketCount is the number of parts of the table that have their own digest. Two daemons whose
+// tables differ in one member exchange one bucket: at 910 members, 14 records instead of 910, at
+// the cost of 512 bytes of digests.
 const bucketCount = 64
 
-// digests holds the exclusive or of the digests of the usable members by
-// bucket. Tombstones stay out, since daemons forget them at different times.
+// digests holds, for each bucket, the XOR of the digests of its usable members. Tombstones are
+// excluded, since daemons expire them at different times.
 type digests [bucketCount]uint64
 
 // sum returns the digest of the whole table.
@@ -29,10 +29,10 @@
 	return s
 }
 
-// toggle puts an entry's digest in, or takes it out again.
+// toggle adds the digest of an entry, or removes it if it is included.
 func (d *digests) toggle(e *entry) { d[bucketOf(e.host)] ^= e.digest }
 
-// differing returns the buckets in which two tables differ.
+// differing returns the buckets in which two tables differ, and whether there are any.
 func (d *digests) differing(o *digests) (buckets [bucketCount]bool, differ bool) {
 	for i := range d {
 		buckets[i] = d[i] != o[i]
@@ -43,34 +43,33 @@
 
 func bucketOf(host string) int { return int(xxhash.Sum64String(host) % bucketCount) }
 
-// table holds the entries of all hosts and the digests over them. It uses
-// neither clock nor I/O.
+// table holds the entries of all hosts and their digests. It uses neither a clock nor I/O.
 type table struct {
 	limit   int
 	byHost  map[string]*entry
-	order   []*entry // by host
+	order   []*entry // sorted by host
 	digests digests
 	// usable and suspects count entries.
 	usable   int
 	suspects int
-	// zones tells of the members of each availability zone.
-	zones map[string]zoneMembers
+	// zones summarizes the usable members of each availability zone.
+	zones map[string]zoneSummary
 }
 
-// zoneMembers sums up the usable members of one availability zone whose info is known.
-type zoneMembers struct {
+// zoneSummary summarizes the usable members of one availability zone whose info is known.
+type zoneSummary struct {
 	usable int
-	// digest is the exclusive or of the members' digests, 0 without members.
+	// digest is the XOR of the members' digests, 0 if there are no members.
 	digest uint64
 }
 
 func newTable(limit int) *table {
-	return &table{limit: limit, byHost: make(map[string]*entry), zones: make(map[string]zoneMembers)}
+	return &table{limit: limit, byHost: make(map[string]*entry), zones: make(map[string]zoneSummary)}
 }
 
 func (t *table) get(host string) *entry { return t.byHost[host] }
 
-// merge takes a record in. The entry is nil where the table has no room.
+// merge merges a record into the entry of its host. The entry is nil if the table is full.
 func (t *table) merge(r *record) (*entry, change) {
 	e, known := t.byHost[r.host]
 	if !known {
@@ -95,17 +94,17 @@
 
 func (t *table) insert(host string) *entry {
 	e := &entry{host: host}
-	t.place(e)
+	t.insertEntry(e)
 	return e
 }
 
-// adopt puts in an entry that was made elsewhere.
-func (t *table) adopt(e *entry) {
-	t.place(e)
+// addEntry adds an entry that was created elsewhere.
+func (t *table) addEntry(e *entry) {
+	t.insertEntry(e)
 	t.recount(state{}, e)
 }
 
-func (t *table) place(e *entry) {
+func (t *table) insertEntry(e *entry) {
 	i, _ := t.find(e.host)
 	t.order = slices.Insert(t.order, i, e)
 	t.byHost[e.host] = e
@@ -115,7 +114,7 @@
 	return slices.BinarySearchFunc(t.order, host, func(e *entry, h string) int { return cmp.Compare(e.host, h) })
 }
 
-// remove forgets a tombstone.
+// remove removes a tombstone.
 func (t *table) remove(e *entry) {
 	if i, ok := t.find(e.host); ok {
 		t.order = slices.Delete(t.order, i, i+1)
@@ -123,7 +122,7 @@
 	delete(t.byHost, e.host)
 }
 
-// recount brings counts and digests up to date after an entry has changed.
+// recount updates the counts and digests after an entry has changed.
 func (t *table) recount(before state, e *entry) {
 	t.usable += count(e.usable()) - count(before.usable())
 	t.suspects += count(e.liveness == Suspect) - count(before.liveness == Suspect)
@@ -138,7 +137,7 @@
 	t.countZone(e, 1)
 }
 
-// countZone adds an entry to what is summed up of its zone, or takes it out.
+// countZone adds an entry to the summary of its zone (by is 1) or removes it (by is -1).
 func (t *table) countZone(e *entry, by int) {
 	if !e.counted {
 		return
@@ -153,7 +152,7 @@
 	t.zones[e.zone] = z
 }
 
-// zoneDigests returns the digests by bucket of one availability zone's members alone.
+// zoneDigests returns the digests by bucket of the members of one availability zone.
 func (t *table) zoneDigests(zone string) *digests {
 	var d digests
 	for _, e := range t.order {
@@ -184,7 +183,7 @@
 	return xxhash.Sum64(b)
 }
 
-// expire forgets the tombstones that are older than the retention.
+// expire removes and returns the tombstones that are older than the retention.
 func (t *table) expire(now time.Time, retention time.Duration) []*entry {
 	var old []*entry
 	for _, e := range t.order {
@@ -198,7 +197,7 @@
 	return old
 }
 
-// sampleZones returns up to n random entries that match from each availability zone.
+// sampleZones returns up to n random matching entries of each availability zone.
 func (t *table) sampleZones(rng *rand.Rand, n int, match func(*entry) bool) []*entry {
 	byZone := make(map[string][]*entry, len(t.zones))
 	for _, e := range t.order {
@@ -216,7 +215,7 @@
 	return picked
 }
 
-// sample returns up to n random entries that match.
+// sample returns up to n random matching entries.
 func (t *table) sample(rng *rand.Rand, n int, match func(*entry) bool) []*entry {
 	picked := make([]*entry, 0, n)
 	seen := 0
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,6 +1,7 @@
-// Package membership keeps the table of the fleet's daemons without a
-// coordination service: each daemon probes others in turn, suspects those that
-// stay silent, and passes changes on with its probes (the SWIM family).
+// Package membership maintains the table of all daemons in the fleet without a coordination
+// service. It implements a SWIM-style gossip protocol: each daemon probes the other members in
+// random order, suspects those that do not answer, and piggybacks changes to the table on its
+// packets.
 package membership
 
 import (
@@ -8,11 +9,11 @@
 	"time"
 )
 
-// Liveness is what is believed of a member.
+// Liveness is the state of a member in the local table.
 type Liveness uint8
 
-// Suspect members have missed probes and may still refute; Dead ones did not;
-// Left ones said goodbye.
+// A Suspect member has not answered a probe and may still refute the suspicion. A Dead member
+// did not refute it in time. A Left member announced its departure.
 const (
 	Alive Liveness = iota + 1
 	Suspect
@@ -20,7 +21,7 @@
 	Left
 )
 
-// String returns the name in lower case.
+// String returns the name of the state in lower case, or "unknown" for an invalid value.
 func (l Liveness) String() string {
 	switch l {
 	case Alive:
@@ -35,27 +36,26 @@
 	return "unknown"
 }
 
-// Announcement tells of one backend server beside a daemon.
+// Announcement describes a backend server that runs beside a daemon.
 type Announcement struct {
 	Service  string
 	Slots    int
 	Draining bool
-	// Age is the time since the server first announced itself, when the
-	// announcement was last changed.
+	// Age is the time since the server first announced itself, as of the last change of the
+	// announcement.
 	Age time.Duration
-	// Instance tells this life of the server from others beside the same daemon; 0
-	// where the server has no id.
+	// Instance is a digest that distinguishes this run of the server from earlier ones beside
+	// the same daemon. It is 0 if the server has no ID.
 	Instance uint32
-	// Version is a digest of the version that the server announced, 0 where it announced
-	// none.
+	// Version is a digest of the version that the server announced, 0 if it announced none.
 	Version uint32
 }
 
-// Member is what is known of one daemon. Members are immutable.
+// Member is an immutable snapshot of the table entry of one daemon.
 type Member struct {
 	Host string
-	// Boot is random for each life of the process, so that a host replaced
-	// under the same name is told from the one before.
+	// Boot is the random identifier of the daemon process. It distinguishes processes that run
+	// one after the other under the same host name.
 	Boot             uint64
 	Incarnation      uint64
 	Liveness         Liveness
@@ -65,35 +65,36 @@
 	CallerAddr       netip.AddrPort
 	Draining         bool
 	Announcements    []Announcement
-	// Offset is the latest configuration offset that the member was heard to
-	// have in force. It survives the member's death as the floor for its next
-	// life.
+	// Offset is the latest configuration offset that the process is known to have in force. It
+	// is kept after the member has died, and counts toward Floor once another process runs under
+	// the same host name.
 	Offset uint64
-	// Floor is the latest configuration offset heard of in the host's earlier
-	// lives. See Membership.Floor for both taken together.
+	// Floor is the latest configuration offset that earlier processes of the host are known to
+	// have had in force. Membership.Floor returns the maximum of Offset and Floor.
 	Floor uint64
-	// LinkMbps is the bandwidth of the host's link in Mbit/s, 0 where it is not
-	// stated.
+	// LinkMbps is the bandwidth of the host's link in Mbit/s, 0 if it is not configured.
 	LinkMbps float32
-	// Notes are what the member tells all others beside its membership.
+	// Notes are opaque payloads that the member distributes with its record, the most urgent
+	// first.
 	Notes [][]byte
-	// Since is when the liveness, boot or announcements last changed, as far as
-	// this process or those that it learned the member from have seen.
+	// Since is when the state (liveness, incarnation or boot) or the info of the member last
+	// changed, as observed by this process or by the daemon that sent it the record.
 	Since time.Time
 }
 
-// Usable reports whether work may be sent to the member.
+// Usable reports whether requests may be sent to the member, which holds for Alive and Suspect
+// members.
 func (m *Member) Usable() bool {
 	return m.Liveness == Alive || m.Liveness == Suspect
 }
 
-// View is an immutable picture of the table. Members are sorted by host.
+// View is an immutable snapshot of the table. Members are sorted by host.
 type View struct {
 	Self    *Member
 	Members []*Member
 }
 
-// Find returns the member of a host, nil if there is none.
+// Find returns the member with the given host name, or nil if there is none.
 func (v *View) Find(host string) *Member {
 	lo, hi := 0, len(v.Members)
 	for lo < hi {
@@ -110,8 +111,7 @@
 	return nil
 }
 
-// Live returns the members that work may be sent to, the daemon itself
-// included.
+// Live returns the usable members, including the daemon itself.
 func (v *View) Live() []*Member {
 	live := make([]*Member, 0, len(v.Members))
 	for _, m := range v.Members {
--- a/membership/zones_bench_test.go
+++ b/membership/zones_bench_test.go
@@ -9,23 +9,23 @@
 // benchZones is the number of availability zones in these benchmarks.
 const benchZones = 6
 
-// benchInZones runs f for each size of fleet that the bytes between availability zones
-// are compared at.
+// benchInZones runs f for each fleet size at which the traffic between availability zones is
+// compared.
 func benchInZones(b *testing.B, f func(b *testing.B, n int)) {
 	for _, n := range []int{64, 295, 910} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { f(b, n) })
 	}
 }
 
-// traffic is what a fleet has sent up to a moment.
+// traffic is the number of bytes that a fleet has sent up to a moment.
 type traffic struct{ bytes, syncBytes, crossBytes, crossSyncBytes int }
 
 func (f *fleet) traffic() traffic {
 	return traffic{f.bytes, f.syncBytes, f.crossBytes, f.crossSyncBytes}
 }
 
-// reportZones gives what was sent since: in all for each daemon, and between availability
-// zones for the whole fleet.
+// reportZones reports what was sent since a moment: in total per daemon, and between
+// availability zones for the whole fleet.
 func (f *fleet) reportZones(b *testing.B, since traffic) {
 	now, n := f.traffic(), float64(len(f.nodes)*b.N)
 	b.ReportMetric(float64(now.bytes-since.bytes)/n, "gossip-B/daemon")
@@ -34,8 +34,8 @@
 	b.ReportMetric(float64(now.crossSyncBytes-since.crossSyncBytes)/1e3/float64(b.N), "sync-kB-across")
 }
 
-// newServingFleet returns a fleet in which each daemon is beside a backend server and
-// nothing is news any more.
+// newServingFleet returns a fleet in which each daemon has a backend server beside it and no
+// updates are queued.
 func newServingFleet(tb testing.TB, n int) *fleet {
 	f := newFleetIn(tb, n, benchZones)
 	for i, nd := range f.nodes {
@@ -46,14 +46,13 @@
 	return f
 }
 
-// serving is what daemon i announces.
+// serving returns the announcements of daemon i.
 func serving(i int) []Announcement {
 	return []Announcement{{Service: fmt.Sprintf("service-%02d", i%26), Slots: 10, Instance: uint32(i + 1)}}
 }
 
-// restart starts the hosts that match anew. Each joins by contacts drawn from the fleet
-// and announces its backend server once it has.
-// The seed makes other lives of them.
+// restart restarts the hosts that match. Each joins through contacts drawn from the fleet and
+// then announces its backend server. A different seed gives the new processes different boots.
 func (f *fleet) restart(seed int, match func(i int) bool) {
 	var started []*node
 	for i := range f.nodes {
@@ -71,7 +70,7 @@
 	}
 }
 
-// BenchmarkZonesOneRestart measures the restart of one host and the ten seconds after it.
+// BenchmarkZonesOneRestart measures the restart of one host and the following ten seconds.
 func BenchmarkZonesOneRestart(b *testing.B) {
 	benchInZones(b, func(b *testing.B, n int) {
 		f := newServingFleet(b, n)
@@ -92,7 +91,7 @@
 	benchInZones(b, func(b *testing.B, n int) { benchRestarts(b, n, func(i int) bool { return i%2 == 0 }) })
 }
 
-// BenchmarkZonesAllRestart measures a loss of power everywhere.
+// BenchmarkZonesAllRestart measures all hosts restarting at once, as after a power loss.
 func BenchmarkZonesAllRestart(b *testing.B) {
 	benchInZones(b, func(b *testing.B, n int) { benchRestarts(b, n, func(int) bool { return true }) })
 }
@@ -126,22 +125,22 @@
 	t.crossSyncBytes += now.crossSyncBytes - since.crossSyncBytes
 }
 
-// BenchmarkZonesCut measures an availability zone that is cut off for a minute, from the
-// moment at which it is back.
-func BenchmarkZonesCut(b *testing.B) {
+// BenchmarkZonesPartition measures the healing after an availability zone was partitioned for a
+// minute.
+func BenchmarkZonesPartition(b *testing.B) {
 	benchInZones(b, func(b *testing.B, n int) {
 		var took time.Duration
 		var sum traffic
 		dead := 0
 		for b.Loop() {
 			f := newServingFleet(b, n)
-			f.cut = func(from, to *node) bool { return (from.index%benchZones == 0) != (to.index%benchZones == 0) }
+			f.partitioned = func(from, to *node) bool { return (from.index%benchZones == 0) != (to.index%benchZones == 0) }
 			f.runFor(time.Minute, nil)
 			for _, nd := range f.nodes {
 				dead = max(dead, nd.count(Dead))
 			}
 			since := f.traffic()
-			f.cut = nil
+			f.partitioned = nil
 			took += f.run(time.Minute, func() bool { return f.agree(n) })
 			f.runFor(10*time.Second, nil)
 			sum.add(f.traffic(), since)
