--- a/membership/codec_test.go
+++ b/membership/codec_test.go
@@ -61,7 +61,7 @@
 		"no address":      func(m *memberpb.Member) { m.Info.PeerAddr = nil },
 		"short address":   func(m *memberpb.Member) { m.Info.PeerAddr = []byte{1, 2, 3} },
 		"port 0":          func(m *memberpb.Member) { m.Info.PeerAddr = []byte{10, 0, 0, 1, 0, 0} },
-		"many lives":      func(m *memberpb.Member) { m.Info.Replaced = make([]uint64, maxReplaced+1) },
+		"many replaced":   func(m *memberpb.Member) { m.Info.Replaced = make([]uint64, maxReplaced+1) },
 		"no service":      func(m *memberpb.Member) { m.Info.Announcements = []*memberpb.Announcement{{}} },
 		"many slots": func(m *memberpb.Member) {
 			m.Info.Announcements = []*memberpb.Announcement{{Service: "s", Slots: maxSlots + 1}}
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -37,7 +37,7 @@
 // later, the suspicion appears overdue. It must not declare the member dead, which would briefly
 // empty routes everywhere, and the other daemons must soon hold the process itself as alive
 // again.
-func TestResumedProcessDeclaresNobodyDead(t *testing.T) {
+func TestResumedProcessDeclaresNoMemberDead(t *testing.T) {
 	const n = 64
 	f := newJoinedFleet(t, n)
 	f.runFor(20*time.Second, nil)
--- a/membership/packets.go
+++ b/membership/packets.go
@@ -142,11 +142,11 @@
 	if e == nil {
 		return b
 	}
-	otherLife := boot != 0 && boot != e.boot
-	if e.liveness == Alive && !otherLife {
+	otherBoot := boot != 0 && boot != e.boot
+	if e.liveness == Alive && !otherBoot {
 		return b
 	}
-	data, err := proto.Marshal(encodeMember(e, otherLife))
+	data, err := proto.Marshal(encodeMember(e, otherBoot))
 	if err != nil {
 		return b
 	}
--- a/membership/run_test.go
+++ b/membership/run_test.go
@@ -71,7 +71,7 @@
 	d := &directSync{byAddr: map[netip.AddrPort]*Membership{}}
 	var members []*Membership
 	var running tomb.Tomb
-	heard := make(chan uint64, 1)
+	received := make(chan uint64, 1)
 	for i := range 3 {
 		m := d.start(t, i)
 		members = append(members, m)
@@ -79,7 +79,7 @@
 			m.OnOffset(func(host string, _ netip.AddrPort, offset uint64) {
 				if host == "host-1" && offset == 42 {
 					select {
-					case heard <- offset:
+					case received <- offset:
 					default:
 					}
 				}
@@ -93,7 +93,7 @@
 	for _, m := range members {
 		must.NoError(t, await(ctx, m, func(v *View) bool { return len(v.Live()) == 3 }))
 	}
-	must.Eq(t, 42, <-heard)
+	must.Eq(t, 42, <-received)
 	must.Eq(t, 42, members[0].Floor("host-1"))
 	must.NoError(t, members[2].Leave(ctx))
 	for _, m := range members[:2] {
--- a/membership/spread_test.go
+++ b/membership/spread_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// A daemon receives no packets while a drain is gossiped. Nobody repeats the update, but the
+// A daemon receives no packets while a drain is gossiped. No daemon repeats the update, but the
 // digests in the probes differ from then on, and an exchange must deliver it.
 func TestMissedUpdateIsFetched(t *testing.T) {
 	const n = 64
--- a/membership/start_test.go
+++ b/membership/start_test.go
@@ -106,8 +106,8 @@
 	f.runFor(30*time.Second, nil)
 	first.paused = true
 	var last *node
-	for life, addr := range addrs {
-		last = f.start(host, addr, uint64(1000+life))
+	for restart, addr := range addrs {
+		last = f.start(host, addr, uint64(1000+restart))
 		f.runFor(15*time.Second, nil)
 		last.join(1)
 		must.Eq(t, 100, last.Floor(last.self.host))
--- a/membership/zones.go
+++ b/membership/zones.go
@@ -70,8 +70,8 @@
 	// addition to the quiet period.
 	differsSince time.Time
 	delay        time.Duration
-	// lastChange is when the members of the zone last changed in the local table.
-	lastChange time.Time
+	// lastZoneChange is when the members of the zone last changed in the local table.
+	lastZoneChange time.Time
 	// next is the earliest time for the next exchange, gap the time to the one after that.
 	next time.Time
 	gap  time.Duration
@@ -233,7 +233,7 @@
 		return
 	}
 	r.mismatches++
-	if r.mismatches == 1 || r.lastChange.After(r.differsSince) && r.mismatches < repairMismatches {
+	if r.mismatches == 1 || r.lastZoneChange.After(r.differsSince) && r.mismatches < repairMismatches {
 		// Updates of the zone that are in transit may have reached the sender first.
 		r.differsSince, r.delay = now, m.jitter(m.repairSpread())
 		return
@@ -262,7 +262,7 @@
 // markZoneChanged records that the members of a zone have changed in the local table.
 func (m *Membership) markZoneChanged(zone string, now time.Time) {
 	if r := m.repairs[zone]; r != nil {
-		r.lastChange = now
+		r.lastZoneChange = now
 	}
 }
 
--- a/membership/zones_test.go
+++ b/membership/zones_test.go
@@ -65,7 +65,7 @@
 }
 
 // The daemons of one zone to which the origin sends an update die at that moment, or the packets
-// are lost. Nobody repeats the update there, and callers of that zone would continue to call a
+// are lost. No daemon repeats the update there, and callers of that zone would continue to call a
 // backend server that is gone. The digests of the next probes differ, and one daemon of the zone
 // must fetch what is missing for all.
 func TestZoneFetchesMissedUpdate(t *testing.T) {
