--- a/membership/bench_test.go
+++ b/membership/bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/crocuscross/crocuscross/memberpb"
 )
 
-// bench runs f for each fleet size that the documentation of the capacity covers.
+// bench runs f for each fleet size that the capacity documentation covers.
 func bench(b *testing.B, f func(b *testing.B, n int)) {
 	for _, n := range []int{64, 256, 910} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { f(b, n) })
--- a/membership/failure_test.go
+++ b/membership/failure_test.go
@@ -128,8 +128,8 @@
 	f.run(15*time.Second, func() bool { return f.agree(n) })
 }
 
-// A host disappears without leaving, and another host takes over its address. If that one
-// answered the probes for the old host, the old host would stay alive in the tables.
+// A host disappears without leaving, and another host takes over its address. If the new host
+// answered the probes for the old one, the old one would stay alive in the tables.
 func TestAddressReusedByOtherHost(t *testing.T) {
 	const n = 8
 	f := newJoinedFleet(t, n)
--- a/membership/notes_test.go
+++ b/membership/notes_test.go
@@ -47,8 +47,9 @@
 	}
 }
 
-// A note about one crash reaches all of 64, 295 and 910 daemons after 0.3, 0.4 and 0.65 s.
-// Meanwhile 6, 14 and 51 kB go between zones, including idle probes.
+// BenchmarkNotes_OneCrash measures how a note about one crash reaches all daemons: 64, 295 and
+// 910 of them have it after 0.3, 0.4 and 0.65 s. Meanwhile 6, 14 and 51 kB go between zones,
+// including idle probes.
 func BenchmarkNotes_OneCrash(b *testing.B) {
 	for _, n := range []int{64, 295, 910} {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
@@ -69,7 +70,8 @@
 }
 
 // Notes must never displace the announcement of the backend server, and must not make the server
-// appear as just started: callers would send it less, as to a cold one.
+// appear to have just started: callers would send it fewer requests, as they do to a cold
+// server.
 func TestNotes_KeepAnnouncementAndAge(t *testing.T) {
 	f := newZonedFleet(t, 4, 2)
 	publisher, other := f.nodes[0], f.nodes[1]
