--- a/quota/account.go
+++ b/quota/account.go
@@ -9,63 +9,63 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// account is the holder's side of one customer. The upper part is read and
-// changed by calls with atomics alone; the lower part belongs to the holder,
-// under its lock.
+// account is the holder's state for one customer. Calls read and change the fields before
+// contract concurrently, with atomics only. The fields from contract on belong to the holder
+// and are guarded by its mutex.
 type account struct {
 	customer string
 	grant    Grant
-	// lease is what the owner granted last.
+	// lease is the latest lease from the owner.
 	lease atomic.Pointer[lease]
-	// spare is what may be used without a lease.
+	// fallback is the small amount that may be used without a valid lease.
 	spare atomic.Pointer[lease]
-	// arrivals counts calls, refused ones included.
+	// arrivals counts all calls, including refused ones.
 	arrivals atomic.Int64
 	inFlight atomic.Int64
-	// peak of inFlight since the last tick, refused calls included.
+	// peak is the maximum of inFlight since the last tick, including refused calls.
 	peak atomic.Int64
-	// unleased counts calls admitted out of the spare.
+	// unleased counts the calls admitted from fallback since the last claim.
 	unleased atomic.Int64
-	// active is whether the holder looks after the account.
+	// active is set while the holder maintains the account.
 	active atomic.Bool
-	// kicked is whether the holder has been told of a miss.
+	// queued is set while the account is in the holder's queue.
 	kicked atomic.Bool
-	// round is the next claim, for the calls that wait for its answer.
+	// pending is the next claim. Calls that wait for its answer register there.
 	round atomic.Pointer[round]
-	// notBefore is the time before which a miss is not worth a claim.
+	// notBefore is the time before which a call without a token triggers no claim.
 	notBefore atomic.Int64
-	// promised is the latest time at which a refused call was told to return.
+	// lastRetryAt is the latest time at which a refused call was told to retry.
 	promised atomic.Int64
 
 	contract *snapshot.Contract
 	demand   demand
-	// listed is whether the account is among the holder's active ones.
+	// listed is set while the account is in the holder's list of active accounts.
 	listed bool
-	// wanting is whether a call missed since the latest claim.
+	// missed is set if a call found no token or slot since the latest claim.
 	wanting bool
 	owner   *membership.Member
-	// asking is whether an answer is awaited.
+	// awaiting is set while the answer to a claim is outstanding.
 	asking bool
-	// nextClaim is when the account is due.
+	// nextClaim is the time at which the next claim is due.
 	nextClaim time.Duration
-	// reported is the demand told in the latest claim.
+	// reported is the demand in the latest claim, in calls per second.
 	reported float64
-	// over is tokens that no longer fit into the bucket, to be returned to the
-	// owner's pool.
+	// overflow is the number of tokens that did not fit into the bucket. They are returned
+	// to the owner's pool.
 	over float64
-	// failures counts claims without an answer in a row.
+	// failures counts consecutive claims that were not granted.
 	failures int
-	// tickPeak is the peak of the last tick, claimPeak that since the latest
-	// claim.
+	// tickPeak is the peak of the last tick, claimPeak the peak since the latest claim.
 	tickPeak, claimPeak int64
-	// lastArrivals and lastArrivalAt tell how long the customer has been idle.
+	// lastArrivals is the value of arrivals at lastArrivalAt, the time of the last tick
+	// that saw new calls. They show how long the customer has been idle.
 	lastArrivals  int64
 	lastArrivalAt time.Duration
-	// busyRate was the demand at that time.
+	// busyRate is the demand at lastArrivalAt, in calls per second.
 	busyRate float64
 }
 
-// round is one claim, seen by the calls that wait for it.
+// pendingClaim is one claim as seen by the calls that wait for its answer.
 type round struct {
 	waiters atomic.Int64
 	done    chan struct{}
@@ -80,7 +80,8 @@
 	return a
 }
 
-// current returns what calls are admitted from.
+// current returns the lease that calls are admitted from: the owner's lease while it is valid,
+// otherwise the fallback.
 func (a *account) current(now time.Duration) (l *lease, leased bool) {
 	if l := a.lease.Load(); l.valid(now) {
 		return l, true
@@ -88,7 +89,7 @@
 	return a.spare.Load(), false
 }
 
-// admit takes a slot and a token. A nil error means that both are taken.
+// admit takes a slot and a token. It returns nil if it has taken both.
 func (a *account) admit(now time.Duration, maxConcurrent int) *errkind.Error {
 	l, leased := a.current(now)
 	if !a.enter(l, maxConcurrent) {
@@ -104,7 +105,7 @@
 	return nil
 }
 
-// enter counts a call in flight if there is a slot for it.
+// acquireSlot counts a call in flight if a slot is free for it.
 func (a *account) enter(l *lease, maxConcurrent int) bool {
 	n := a.inFlight.Add(1)
 	raise(&a.peak, n)
@@ -115,15 +116,14 @@
 	return true
 }
 
-// hasMeans reports whether the account could admit a call, so that a claim for
-// it would be wasted.
+// canAdmit reports whether the account holds a token, so that a claim for one would be wasted.
 func (a *account) hasMeans(now time.Duration) bool {
 	l, leased := a.current(now)
 	return leased && (l.prepaid.Load() > 0 || l.nextToken(now) == 0)
 }
 
-// retryAfter returns when a refused call finds a token: those refused before it
-// have been told to return one after another, at the rate that new calls leave.
+// retryAfter returns the time after which a refused call should find a token. Refused calls are
+// told to retry one after another, at the rate that new calls leave unused.
 func (a *account) retryAfter(now time.Duration) time.Duration {
 	l, leased := a.current(now)
 	interval := intervalOf(l.returnRate)
@@ -143,7 +143,7 @@
 	}
 }
 
-// raise sets v to n if n is larger.
+// storeMax sets v to n if n is larger.
 func raise(v *atomic.Int64, n int64) {
 	for {
 		old := v.Load()
--- a/quota/admit.go
+++ b/quota/admit.go
@@ -9,30 +9,28 @@
 )
 
 const (
-	// retryWithoutLease is when a call that found no lease may return: the
-	// owner has answered by then.
+	// retryWithoutLease is the retry time of a call that found no lease. The owner has
+	// answered by then.
 	retryWithoutLease = time.Second
-	// maxRetryAfter bounds what a refused call is told.
+	// maxRetryAfter bounds the retry time of a refused call.
 	maxRetryAfter = 30 * time.Second
 )
 
-// The errors that refusals are copied from; making one anew would record the
-// stack for each.
+// These errors are templates that refusals are copied from. Creating an error for each refusal
+// would record a stack trace each time.
 var (
 	errRate        = errkind.New(errkind.RateLimited, "contracted rate is used up")
 	errConcurrency = errkind.New(errkind.ConcurrencyLimit, "contracted number of calls in flight is used up")
 )
 
-// Grant is the right to run one call. It must be given back by Done exactly
-// once.
+// Grant is the permission to run one call. Done must be called exactly once.
 type Grant struct{ account *account }
 
-// Done tells that the call has ended.
+// Done releases the slot of a call that has ended.
 func (g *Grant) Done() { g.account.inFlight.Add(-1) }
 
-// Admit admits a call out of the lease at hand and never waits. The error is
-// of kind RateLimited with the time at which a token will be there, or
-// ConcurrencyLimit.
+// Admit admits a call from the current lease and never waits. The error is of kind RateLimited,
+// with the time after which a token should be available, or of kind ConcurrencyLimit.
 func (m *Manager) Admit(c *snapshot.Contract) (*Grant, error) {
 	a, now := m.account(c), m.now()
 	a.arrivals.Add(1)
@@ -44,10 +42,10 @@
 	return nil, m.refusal(a, now, err)
 }
 
-// AdmitWait is Admit, but a call that finds no token here waits for the
-// owner's answer if it may bring one: at most admitWait, and not where the
-// owner has just said that there is none. It serves a customer whose calls are
-// spread so thin that no daemon's share holds a whole call.
+// AdmitWait is like Admit, but a call that finds no token waits for the owner's answer if the
+// answer may bring one. It waits at most admitWait, and not at all if the owner has just
+// answered that its pool is empty. AdmitWait serves customers whose calls are spread so thinly
+// that no daemon's share amounts to a whole call.
 func (m *Manager) AdmitWait(ctx context.Context, c *snapshot.Contract) (*Grant, error) {
 	a, now := m.account(c), m.now()
 	a.arrivals.Add(1)
@@ -57,8 +55,7 @@
 	}
 	timeout := time.NewTimer(admitWait)
 	defer timeout.Stop()
-	// The first claim may be on its way already; the one after it carries this
-	// call.
+	// The first claim may have been sent already; the second one includes this call.
 	for range 2 {
 		if !a.worthAsking(now) || !m.await(ctx, a, timeout.C) {
 			break
@@ -78,14 +75,15 @@
 	return a.admit(now, c.MaxConcurrent)
 }
 
-// miss asks for a claim without waiting for it.
+// requestClaim queues the account for a claim if one is worthwhile, and does not wait for it.
 func (m *Manager) miss(a *account, now time.Duration) {
 	if a.worthAsking(now) {
 		m.kick(a)
 	}
 }
 
-// await joins the next claim and waits for its answer.
+// awaitClaim registers with the next claim and waits for its answer. It returns false if ctx or
+// timeout ends first.
 func (m *Manager) await(ctx context.Context, a *account, timeout <-chan time.Time) bool {
 	r := a.round.Load()
 	r.waiters.Add(1)
@@ -99,7 +97,8 @@
 	return false
 }
 
-// worthAsking reports whether the owner may have something to give.
+// claimAllowed reports whether the owner may have tokens to give, so that a claim is
+// worthwhile.
 func (a *account) worthAsking(now time.Duration) bool {
 	return int64(now) >= a.notBefore.Load()
 }
@@ -112,8 +111,7 @@
 	return err
 }
 
-// kick wakes the holder for an account. Where the channel is full the next call
-// tries again.
+// enqueue queues an account for the holder. If the queue is full, the next call tries again.
 func (m *Manager) kick(a *account) {
 	if !a.kicked.CompareAndSwap(false, true) {
 		return
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -9,11 +9,11 @@
 
 // amount is a part of a contract.
 type amount struct {
-	// rate in calls per second.
+	// rate is in calls per second.
 	rate float64
-	// burst in calls that may be stored.
+	// burst is the number of calls that may accumulate.
 	burst float64
-	// slots in calls in flight. It stays 0 where the contract has no limit.
+	// slots is the number of calls in flight. It is 0 if the contract does not limit them.
 	slots float64
 }
 
@@ -25,11 +25,11 @@
 	return amount{rate: sane(p.GetRate()), burst: sane(p.GetBurst()), slots: float64(p.GetSlots())}
 }
 
-// maxAmount is above any rate or burst that a contract may have.
+// maxAmount exceeds any rate or burst that a contract may have.
 const maxAmount = 1e10
 
-// sane returns a number that a peer sent if it can be one, and 0 if not: a NaN
-// would poison every later sum.
+// validOrZero returns x, a number from a peer, if it is in the valid range, and 0 otherwise. A
+// NaN would corrupt every later sum.
 func sane(x float64) float64 {
 	if x >= 0 && x <= maxAmount {
 		return x
@@ -64,10 +64,10 @@
 	return amount{max(a.rate, b.rate), max(a.burst, b.burst), max(a.slots, b.slots)}
 }
 
-// atLeastZero replaces negative parts by 0.
+// atLeastZero replaces negative fields by 0.
 func (a amount) atLeastZero() amount { return a.max(amount{}) }
 
-// wholeSlots rounds the slots down: half a call cannot be in flight.
+// wholeSlots rounds slots down, since a fraction of a call cannot be in flight.
 func (a amount) wholeSlots() amount {
 	a.slots = math.Floor(a.slots)
 	return a
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -14,14 +14,14 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// warmed returns a Manager with a lease that admits millions of calls.
+// managerWithLease returns a Manager with a lease that admits millions of calls.
 func warmed(tb testing.TB) (*Manager, *snapshot.Contract) {
 	tb.Helper()
 	c := &snapshot.Contract{Customer: "acme", Rate: 1e6, Burst: 1e6, MaxConcurrent: 1000}
 	m := New(Options{Host: "a"})
 	self := &membership.Member{Host: "a", Boot: 1, Liveness: membership.Alive, Since: time.Now()}
 	m.SetView(&membership.View{Self: self, Members: []*membership.Member{self}})
-	// The contract is new to the fleet, so that its ledger need not settle.
+	// The contract is new to the fleet, so its ledger need not settle.
 	m.SetContracts(map[string]*snapshot.Contract{})
 	m.SetContracts(map[string]*snapshot.Contract{c.Customer: c})
 	l := newLease(amount{rate: 1e9, burst: 1e9, slots: 1e6}, true, m.now(), forever)
@@ -64,7 +64,7 @@
 	}
 }
 
-// BenchmarkServe is the owner's cost of one claim, with many holders.
+// BenchmarkServe measures the owner's cost of one claim, for different numbers of holders.
 func BenchmarkServe(b *testing.B) {
 	for _, holders := range []int{10, 100, 900} {
 		b.Run(fmt.Sprintf("holders=%d", holders), func(b *testing.B) {
@@ -86,8 +86,8 @@
 	}
 }
 
-// BenchmarkExchange is the cost of one claim on both sides, encoding included
-// and the network not.
+// BenchmarkExchange measures the cost of one claim on both sides, including encoding but not
+// the network.
 func BenchmarkExchange(b *testing.B) {
 	m, c := warmed(b)
 	b.ReportAllocs()
@@ -115,7 +115,7 @@
 	}
 }
 
-// BenchmarkSetView is the cost of a changed membership at the users' size.
+// BenchmarkSetView measures the cost of a membership change in a fleet of 910 members.
 func BenchmarkSetView(b *testing.B) {
 	m, contracts, view := large()
 	m.SetContracts(contracts)
@@ -131,7 +131,7 @@
 	}
 }
 
-// large returns a Manager with 910 members in view, and 300 contracts.
+// largeFleet returns a Manager with 910 members in its view, and 300 contracts.
 func large() (*Manager, map[string]*snapshot.Contract, *membership.View) {
 	view := &membership.View{}
 	for i := range 910 {
@@ -150,8 +150,8 @@
 	return m, contracts, view
 }
 
-// BenchmarkState gives the memory of one contract known, of one lease held and
-// of one lease granted.
+// BenchmarkState reports the memory used per known contract, per lease held and per lease
+// granted.
 func BenchmarkState(b *testing.B) {
 	for b.Loop() {
 		m, contracts, _ := large()
@@ -182,9 +182,9 @@
 	return s.HeapAlloc
 }
 
-// BenchmarkFleet gives the messages of a fleet at the users' load by the
-// daemon: 56 calls/s at each, every customer's demand spread over all daemons of
-// one zone, at half or nine tenths of its contract.
+// BenchmarkFleet reports the messages per daemon of a fleet under a typical load: 56 calls/s at
+// each daemon, each customer's demand spread over all daemons of one zone, at half or nine
+// tenths of its contract.
 func BenchmarkFleet(b *testing.B) {
 	const callsPerDaemon, length = 56, 30 * time.Second
 	for _, n := range []struct {
--- a/quota/claim.go
+++ b/quota/claim.go
@@ -8,13 +8,15 @@
 )
 
 const (
-	// keepShare of a lease is kept as it is rather than shrunk by a little.
+	// shrinkThreshold is the share of a lease's rate below which the wanted rate must fall
+	// before the lease shrinks. Smaller differences are not worth a change.
 	keepShare = 0.9
-	// quietDemand in calls per second is as good as none.
+	// negligibleDemand is the demand in calls per second below which it is reported as
+	// zero.
 	quietDemand = 0.02
 )
 
-// due reports whether a claim should go out.
+// due reports whether a claim should be sent now.
 func (a *account) due(now time.Duration) bool {
 	if a.asking || a.owner == nil {
 		return false
@@ -25,7 +27,7 @@
 	return a.wanting && int64(now) >= a.notBefore.Load()
 }
 
-// drifted reports whether the owner should hear of a change before the next
+// needsEarlyClaim reports whether the owner should be informed of a change before the next
 // renewal.
 func (a *account) drifted(now time.Duration) bool {
 	if a.failures > 0 || a.asking {
@@ -38,8 +40,8 @@
 	return l.valid(now) && l.slotsContended && int64(l.slots) > a.tickPeak
 }
 
-// useAlone takes a pooled rate into use here once the owner has not answered
-// and its pool has stopped to use it.
+// useWithoutPool starts to use a pooled rate locally once the owner has failed to answer and
+// its pool has stopped using the rate.
 func (a *account) useAlone(now time.Duration) {
 	l := a.lease.Load()
 	if a.failures > 0 && !a.asking && l.valid(now) && l.pooled && !l.local && now >= l.loan.until {
@@ -47,14 +49,14 @@
 	}
 }
 
-// samplePeak notes the calls in flight of the last tick.
+// samplePeak records the peak of calls in flight during the last tick.
 func (a *account) samplePeak() {
 	a.tickPeak = a.peak.Swap(a.inFlight.Load())
 	a.claimPeak = max(a.claimPeak, a.tickPeak)
 }
 
-// claim tells the owner what the account uses and wants. What it does not need
-// it gives up before it says so.
+// claim returns a claim that reports what the account uses and needs. Unneeded parts of the
+// lease are given up before the claim is made.
 func (a *account) claim(now time.Duration, owner uint64, r *round) *quotapb.Claim {
 	a.asking = true
 	a.measure(now)
@@ -75,7 +77,7 @@
 	return c
 }
 
-// measure brings the demand up to date.
+// updateDemand computes the demand that the next claim reports.
 func (a *account) measure(now time.Duration) {
 	arrivals := a.arrivals.Load()
 	a.demand.observe(arrivals, now)
@@ -86,7 +88,7 @@
 	}
 }
 
-// tellHeld fills in what the account uses until the answer.
+// fillHeld sets the fields of c that state what the account uses until the answer arrives.
 func (a *account) tellHeld(c *quotapb.Claim, held *lease, owner uint64, now time.Duration) {
 	inFlight := amount{slots: a.slotsInFlight()}
 	if held == nil {
@@ -95,16 +97,16 @@
 	}
 	c.Held = held.max(inFlight).proto()
 	c.GrantedBy = held.grantedBy
-	// An owner that has just failed to answer is lent nothing again, or the time
-	// until the rate may be used here would never end.
+	// Nothing is delegated to an owner that has just failed to answer. Otherwise the time
+	// after which the rate may be used locally would be extended without end.
 	c.Pooled = a.failures == 0 && held.lend(owner, now)
 	if held.grantedBy != owner {
 		c.Origin = held.origin.proto(now)
 	}
 }
 
-// need returns how many tokens to ask for: one for each call that waits, or one
-// for the call that was refused and may return.
+// need returns how many tokens to request: one for each waiting call, or one for a refused call
+// that may retry.
 func (a *account) need(now time.Duration, r *round) uint32 {
 	n := min(r.waiters.Load(), math.MaxUint16)
 	if n == 0 && a.wanting && !a.hasMeans(now) {
@@ -113,7 +115,8 @@
 	return uint32(n)
 }
 
-// slotsInFlight returns the calls in flight where the contract bounds them.
+// slotsInFlight returns the number of calls in flight if the contract limits them, and 0
+// otherwise.
 func (a *account) slotsInFlight() float64 {
 	if a.contract.MaxConcurrent == 0 {
 		return 0
@@ -121,9 +124,9 @@
 	return float64(a.inFlight.Load())
 }
 
-// slotsWanted returns the calls in flight to be reported: the most since the
-// latest claim, and one at least for a customer that calls now and then. Where
-// others wait for slots, only what is in use right now counts.
+// slotsWanted returns the number of calls in flight to report: the peak since the latest claim,
+// and at least one for a customer with any demand. If slots are contended, only the most recent
+// peak counts.
 func (a *account) slotsWanted(contended bool) uint32 {
 	if a.contract.MaxConcurrent == 0 {
 		return 0
@@ -139,8 +142,8 @@
 	return uint32(wanted)
 }
 
-// giveBack shrinks the lease to what the account has use for and returns it,
-// nil if there is none.
+// giveUpUnneeded shrinks the lease to what the account needs and returns it, or nil if there is
+// no valid lease.
 func (a *account) giveBack(now time.Duration, slots float64, contended bool) *lease {
 	l := a.lease.Load()
 	if !l.valid(now) {
--- a/quota/compare_test.go
+++ b/quota/compare_test.go
@@ -11,10 +11,10 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// scenario is a demand and the faults during it.
+// scenario is a distribution of demand over zones, and the faults during the run.
 type scenario struct {
 	name string
-	// sun returns the share of the demand at a zone.
+	// demandShare returns the share of the demand that arrives in a zone.
 	sun    func(zone int, at time.Duration) float64
 	faults func(w *world, c *snapshot.Contract)
 }
@@ -29,11 +29,10 @@
 	faultStart = simWarm + 100*time.Second
 )
 
-// walking demand stays at a zone for simDwell and goes over to the next within
-// simFade.
+// movingDemand stays in a zone for simDwell and moves to the next zone within simFade.
 func walking(zone int, at time.Duration) float64 { return walk(zone, at, 0, simZones) }
 
-// walk is demand that walks over zones from first on.
+// demandInZones moves the demand through the given number of zones, starting at first.
 func walk(zone int, at time.Duration, first, zones int) float64 {
 	if zone < first || zone >= first+zones {
 		return 0
@@ -51,7 +50,8 @@
 	return 0
 }
 
-// twoSuns walk in regions 0 and 1.
+// demandInTwoRegions moves half of the demand through the zones of region 0 and half through
+// those of region 1.
 func twoSuns(zone int, at time.Duration) float64 {
 	return (walk(zone, at, 0, zonesPerRegion) + walk(zone, at, zonesPerRegion, zonesPerRegion)) / 2
 }
@@ -66,32 +66,32 @@
 }
 
 var scenarios = []scenario{
-	{"calm", walking, func(*world, *snapshot.Contract) {}},
+	{"no faults", walking, func(*world, *snapshot.Contract) {}},
 	{"owner killed", walking, func(w *world, c *snapshot.Contract) {
 		w.at(faultStart, func() { w.kill(w.owner(c)) })
 	}},
 	{"owner killed while demand moves", walking, func(w *world, c *snapshot.Contract) {
 		w.at(simWarm+115*time.Second, func() { w.kill(w.owner(c)) })
 	}},
-	{"owner paused 40 s and woken", walking, func(w *world, c *snapshot.Contract) {
+	{"owner paused for 40 s and resumed", walking, func(w *world, c *snapshot.Contract) {
 		w.at(faultStart, func() {
 			o := w.owner(c)
 			w.pause(o)
 			w.after(40*time.Second, func() { w.wake(o) })
 		})
 	}},
-	{"region cut for 60 s", twoSuns, func(w *world, c *snapshot.Contract) {
+	{"region partitioned for 60 s", twoSuns, func(w *world, c *snapshot.Contract) {
 		w.at(faultStart, func() { w.cutOff(func(d *daemon) bool { return d.region == 1 }) })
 		w.at(faultStart+60*time.Second, w.heal)
 	}},
-	{"zone of demand restarted", walking, func(w *world, c *snapshot.Contract) {
+	{"zone with demand restarted", walking, func(w *world, c *snapshot.Contract) {
 		w.at(faultStart, func() { w.herd(3, c) })
 	}},
 }
 
 func (w *world) at(t time.Duration, run func()) { w.after(t-w.now, run) }
 
-// herd restarts all daemons of a zone within 3 s.
+// restartZone restarts all daemons of a zone within 3 s.
 func (w *world) herd(zone int, c *snapshot.Contract) {
 	for _, d := range w.daemons {
 		if d.zone != zone {
@@ -102,8 +102,8 @@
 	}
 }
 
-// reachable returns the daemon that a caller finds who wants the one with the
-// index: the next that runs, in the same zone if there is one.
+// reachable returns the daemon that serves a caller of the daemon with the given index: that
+// daemon if it is running, otherwise the next running one in the same zone.
 func (w *world) reachable(index int) *daemon {
 	perZone := len(w.daemons) / simZones
 	first := index / perZone * perZone
@@ -116,10 +116,10 @@
 	return w.daemons[index]
 }
 
-// result of one run. usable is the share of what one bucket for the whole fleet
-// would have admitted; excess is by how much the calls of the worst window went
-// over the contracted rate; messages are per second; authority is the largest
-// rate that all daemons together could admit at, as a share of the contract.
+// result is the outcome of one run. usable is the number of admitted calls relative to one
+// bucket for the whole fleet. excess is the share of the contracted rate by which the worst
+// window exceeded it. messages is per second. admissibleRate is the largest rate at which all
+// daemons together could admit, as a share of the contract.
 type result struct{ usable, excess, messages, authority float64 }
 
 func (s *scenario) run(build func(*snapshot.Contract, *world) strategy, perZone int, c *snapshot.Contract, load float64) result {
@@ -152,8 +152,8 @@
 	}
 }
 
-// worstExcess returns by what share of the contracted rate the calls of any
-// window went over it.
+// worstExcess returns the largest share of the contracted rate by which the calls of any window
+// exceeded it.
 func worstExcess(admitted []time.Duration, rate float64) float64 {
 	worst, lo := 0, 0
 	for hi, at := range admitted {
@@ -165,7 +165,7 @@
 	return max(0, float64(worst)/(rate*window.Seconds())-1)
 }
 
-// ideal counts what one token bucket for the whole fleet admits.
+// ideal returns the number of calls that one token bucket for the whole fleet admits.
 func ideal(list []arrival, c *snapshot.Contract) int {
 	b, n := bucket{level: c.Burst}, 0
 	for _, a := range list {
@@ -177,10 +177,10 @@
 	return n
 }
 
-// Demand of 1.2 and 0.8 times the contract walks over eight zones in three
-// regions. Of the four ways only the leases keep within 5 % of the contract in
-// any 10 s and give 95 % of it in calm and through each fault. Virtual time, so
-// that the table is the same on each run.
+// Demand of 1.2 and 0.8 times the contract moves through eight zones in three regions. Without
+// faults and through each fault, the leases admit at most 5 % more than the contract in any 10
+// s, and at least 95 % of it overall. The results of the other strategies are only logged. Time
+// is virtual, so each run logs the same table.
 func TestCompareWays(t *testing.T) {
 	const perZone = 6
 	for _, load := range []float64{1.2, 0.8} {
@@ -209,7 +209,7 @@
 	return h
 }
 
-// compare runs all ways and returns their row of the table.
+// compare runs all strategies and returns their row of the table.
 func (s *scenario) compare(t *testing.T, perZone int, c *snapshot.Contract, load float64) string {
 	row := fmt.Sprintf("\n%-34s", s.name)
 	for _, st := range strategies {
@@ -232,9 +232,9 @@
 	test.LessEq(t, 1+settlingShare+unleasedShare, r.authority)
 }
 
-// The same demand is spread over four times as many daemons, more than the
-// burst has calls to give each a bucket, so that every call asks for its token.
-// The leases keep to the same bounds.
+// The same demand is spread over four times as many daemons. The burst is too small to give
+// each of them a bucket, so every call requests a token from the pool. The leases stay within
+// the same bounds.
 func TestCompareWays_spreadThin(t *testing.T) {
 	const perZone, load = 24, 1.2
 	for _, s := range scenarios {
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -6,46 +6,46 @@
 )
 
 const (
-	// demandTime is the time constant of the mean that is reported. A daemon
-	// that sees about one call per second needs several seconds to tell demand
-	// from chance.
+	// demandTimeConstant is the time constant of the mean that is reported to the owner. A
+	// daemon that receives about one call per second needs several seconds to distinguish
+	// demand from random variation.
 	demandTime = 4 * time.Second
-	// surgeTime is the time constant of the mean that finds sudden changes; it
-	// spans about twice that time.
+	// changeTimeConstant is the time constant of the mean that detects sudden changes. The
+	// mean covers about twice this time.
 	surgeTime = 500 * time.Millisecond
-	// surgeRoots is by how much the roots of the counts that the two means
-	// expect in a second differ when demand has changed. The root of a Poisson
-	// count deviates by half from its mean, whatever the mean: three
-	// deviations.
+	// changeThreshold is the difference between the square roots of the two means, in calls
+	// per second, above which demand counts as changed. The square root of a Poisson count
+	// has a standard deviation of about 0.5 whatever its mean, so the threshold is three
+	// standard deviations.
 	surgeRoots = 1.5
-	// minSample is the shortest time over which a rate is taken.
+	// minSample is the shortest time over which a rate is computed.
 	minSample = 50 * time.Millisecond
-	// minIdle is the shortest time without calls that is taken for idleness.
+	// minIdle is the shortest time without calls that counts as idle.
 	minIdle = 200 * time.Millisecond
-	// idleCalls is how many calls are missing when demand is taken to have
-	// ended; chance leaves out as many once in 150 times.
+	// idleCalls is the number of expected calls that must be missing before demand is taken
+	// to have ended. Random variation leaves out that many calls about once in 150 times.
 	idleCalls = 5
 )
 
-// demand estimates the calls per second that arrive at one daemon.
+// demand estimates the rate of calls that arrive at one daemon, in calls per second.
 type demand struct {
-	// since is the time from which long is taken.
+	// since is the time from which longMean is computed.
 	since time.Duration
 	at    time.Duration
 	seen  int64
 	long  float64
-	// short follows sudden changes.
+	// shortMean follows sudden changes.
 	short float64
-	// surges counts sudden changes.
+	// changes counts sudden changes of demand.
 	surges int
 }
 
-// restart forgets the past.
+// reset discards all earlier samples.
 func (d *demand) restart(arrivals int64, now time.Duration) {
 	*d = demand{since: now, at: now, seen: arrivals}
 }
 
-// observe takes in the calls that have arrived up to now.
+// observe adds a sample of the calls that have arrived since the previous one.
 func (d *demand) observe(arrivals int64, now time.Duration) {
 	dt := now - d.at
 	if dt < minSample {
@@ -66,7 +66,8 @@
 	return math.Abs(math.Sqrt(d.short)-math.Sqrt(d.long)) > surgeRoots
 }
 
-// rate returns the demand. The first calls count before there is a sample.
+// rate returns the estimated demand. Calls that no sample includes yet count during the first
+// second.
 func (d *demand) rate(arrivals int64) float64 {
 	if d.at-d.since >= time.Second {
 		return d.long
@@ -74,14 +75,13 @@
 	return d.long + float64(arrivals-d.seen)
 }
 
-// gain is the weight of a sample: that of a plain mean at first, of an
-// exponential one later.
+// gain returns the weight of a sample: that of an arithmetic mean at first, of an exponential
+// moving average later.
 func gain(dt, constant, age time.Duration) float64 {
 	return max(1-math.Exp(-dt.Seconds()/constant.Seconds()), dt.Seconds()/max(age, time.Second).Seconds())
 }
 
-// idleAfter returns how long no call comes before demand is taken to have
-// ended.
+// idleAfter returns the time without calls after which demand is taken to have ended.
 func idleAfter(rate float64, atMost time.Duration) time.Duration {
 	if rate*atMost.Seconds() <= idleCalls {
 		return atMost
--- a/quota/doc.go
+++ b/quota/doc.go
@@ -1,40 +1,40 @@
-// Package quota holds each customer to its contract over the whole fleet,
-// wherever the customer's calls arrive.
+// Package quota enforces each customer's contract across the whole fleet, whichever daemons
+// receive the customer's calls.
 //
-// For each customer one daemon is the owner: the winner of a rendezvous hash
-// over the daemons that are heard. The owner keeps a ledger and leases parts of
-// the contract (rate, burst, calls in flight) to the holders, the daemons where
-// the customer's calls arrive, in proportion to their recent demand. A holder
-// admits calls out of its lease without asking anybody. What is not leased
-// fills a pool at the owner, out of which a holder whose bucket is empty is
-// sent single tokens. Where the burst does not give each holder a bucket, the
-// holders lend their rates to the pool and ask for every token.
+// One daemon owns each customer: the winner of a rendezvous hash over the reachable daemons.
+// The owner keeps a ledger and leases parts of the contract (rate, burst, calls in flight) to
+// holders, the daemons that receive the customer's calls, in proportion to their recent demand.
+// A holder admits calls from its lease without contacting another daemon. The unleased
+// remainder fills a token bucket at the owner, the pool. A holder whose own bucket is empty
+// requests single tokens from the pool. If the contract's burst is too small to give every
+// holder a bucket, the holders delegate their leased rates to the pool and request every token
+// from it.
 //
-// What keeps the sum of all that is in use within the contract:
+// The following rules keep the sum of all use within the contract:
 //
-//   - A lease is a duration. The holder counts it from before it sent the
-//     request, the owner from when it answered, so it ends at the holder first.
-//   - A claim tells all that the holder uses and voids what it does not tell.
-//     Until the next claim the owner charges the larger of what was held and
-//     what was granted, so a lost answer frees nothing.
-//   - A rate that is lent to the pool of an owner that no longer answers is not
-//     used elsewhere until that pool has certainly stopped to use it.
-//   - A new owner, and one that finds that it was paused, first settles: it
-//     renews what holders report, and grants no more than that (and
-//     settlingShare of the contract) until every holder has had time to report.
-//     Leases of the earlier owner that nobody reports are charged until they
-//     have ended; how much that is follows from what the others saw granted.
-//   - While next to nothing of a region is heard it is taken to be cut off, not
-//     dead: its leases stay charged, and owners that are new go on settling.
-//     Each side lives on what it held.
-//   - A daemon that hears at most half of its own region takes itself to be the
-//     part that is cut off, and scales what it owns by the share of the fleet
-//     that it hears.
+//   - A lease has a duration. The holder counts it from before it sends the request, the owner
+//     from when it answers, so the lease always ends at the holder first.
+//   - A claim reports everything that the holder still uses and gives up the rest. Until the
+//     next claim the owner charges the larger of the reported and the granted amount, so a lost
+//     answer frees nothing.
+//   - A rate that is delegated to the pool of an owner that no longer answers is not used
+//     elsewhere until that pool has certainly stopped using it.
+//   - A new owner, and an owner that detects that its process was paused, first settles: until
+//     every holder has had time to report, it renews what holders report and grants no more
+//     than that and settlingShare of the contract. Leases of the previous owner that no holder
+//     reports stay charged until they have ended. Their sum follows from the totals that the
+//     other holders saw when they received their leases.
+//   - A region of which almost no member is reachable is treated as partitioned, not as dead:
+//     its leases stay charged, and new owners keep settling. Each side continues with the
+//     leases that it had.
+//   - A daemon that can reach at most half of its own region treats itself as partitioned, and
+//     scales the contracts that it owns by the reachable share of the fleet.
 //
-// The sum stays within the contract, settlingShare and unleasedShare, but: while
-// a zone is cut off and lives, by its share of the fleet; when a region is cut
-// off for longer than lossMemory; and while daemons that hear one another take
-// different ones for the owner for longer than it settles.
+// The sum stays within the contract plus settlingShare and unleasedShare of it, with three
+// exceptions: while a zone is partitioned but still receives calls, it may exceed that by the
+// zone's share of the fleet; while a region is partitioned for longer than
+// unreachableRetention; and while daemons that can reach one another disagree on the owner for
+// longer than the settling time.
 //
-// Only monotonic durations decide.
+// All decisions use durations from the monotonic clock.
 package quota
--- a/quota/earlier.go
+++ b/quota/earlier.go
@@ -7,23 +7,24 @@
 	"github.com/crocuscross/crocuscross/quota/quotapb"
 )
 
-// earlierOwners is what is known of the leases that other owners granted.
+// earlierOwners records what is known of the leases that earlier owners granted.
 type earlierOwners []*earlierOwner
 
-// earlierOwner is the ledger of another owner as its holders saw it last.
+// earlierOwner describes the ledger of an earlier owner, as its holders last reported it.
 type earlierOwner struct {
 	boot uint64
-	// charged to all holders at the time of the latest grant that was reported.
+	// charged is the sum charged to all holders at the time of the latest reported grant.
 	charged amount
 	at      time.Duration
-	// reported holders with what was charged for each, and the sum.
+	// reported maps each holder that has reported to the amount charged for it; sum is the
+	// total.
 	reported map[holderID]amount
 	sum      amount
-	// until is when all leases have ended.
+	// until is the time at which all leases of this owner have ended.
 	until time.Duration
 }
 
-// report notes the origin of a lease.
+// report records the origin of a lease that a holder reports.
 func (o *earlierOwners) report(owner uint64, id holderID, p *quotapb.Origin, now, until time.Duration) {
 	e := o.find(owner)
 	at := now - time.Duration(p.GetAgeMs())*time.Millisecond
@@ -47,7 +48,7 @@
 	return e
 }
 
-// silent returns what holders may use that have not reported.
+// unreported returns the sum of what holders that have not reported may use.
 func (o *earlierOwners) silent(now time.Duration) amount {
 	var sum amount
 	*o = slices.DeleteFunc(*o, func(e *earlierOwner) bool { return now >= e.until })
--- a/quota/entry.go
+++ b/quota/entry.go
@@ -6,50 +6,50 @@
 	"github.com/crocuscross/crocuscross/quota/quotapb"
 )
 
-// maxUnheard is how many answers to a holder may be lost in a row before it is
-// granted nothing, as it could not use it: requests may still arrive where
-// answers do not. The empty lease that it then gets shows whether they do again.
+// maxUnconfirmed is the number of consecutive answers to a holder that may be lost before the
+// holder is granted nothing, since it could not use a grant: requests may still arrive while
+// answers do not. The empty lease that it is then granted shows when answers arrive again.
 const maxUnheard = 2
 
-// holderID is one process.
+// holderID identifies one process.
 type holderID struct {
 	host string
 	boot uint64
 }
 
-// entry is what a ledger knows of one holder.
+// entry is the ledger's state for one holder.
 type entry struct {
 	holder   holderID
 	sequence uint64
-	// held is what the holder told to use, granted what it was answered. The
-	// answer may be lost or be on its way, so both count.
+	// held is what the holder reported as in use, and granted is what it was answered. The
+	// answer may be lost or under way, so both count.
 	held, granted amount
-	// leaves is whether the holder leaves its rate to the pool, and pooled
-	// whether the rate feeds the pool: the holder was answered that it shall.
+	// delegates is set if the holder delegates its rate to the pool. pooled is set if the
+	// rate does feed the pool, because the answer to the holder said so.
 	leaves, pooled bool
-	// lentUntil is when that ends, unless the holder claims again.
+	// pooledUntil is when pooled ends unless the holder claims again.
 	lentUntil time.Duration
 	expires   time.Duration
 	demand    float64
 	inUse     float64
-	// unheard counts claims in a row that show no answer to have arrived.
+	// unconfirmed counts consecutive claims that show that no answer has arrived.
 	unheard int
-	// seen is whether membership has shown this process on its host. If it
-	// then shows another, this one is gone.
+	// seen is set once membership has shown this process on its host. If membership shows a
+	// different process later, this one has ended.
 	seen bool
-	// cutOff entries are those of a region that is taken to be cut off.
+	// partitioned is set if the holder is in a region that is treated as partitioned.
 	cutOff bool
 }
 
-// lentElsewhere reports whether the rate may still feed the pool of an earlier
-// owner, so that none of it is free yet.
+// delegatedElsewhere reports whether the rate may still feed the pool of an earlier owner, so
+// that none of it is free yet.
 func (e *entry) lentElsewhere() bool { return e.held.burst == 0 && !e.leaves }
 
-// charged returns what the holder may be using.
+// charged returns the most that the holder may be using.
 func (e *entry) charged() amount { return e.held.max(e.granted) }
 
-// gone reports whether the process has ended: its host runs another one by now,
-// or it has said goodbye.
+// ended reports whether the process has ended: its host runs another process, or the process
+// has left.
 func (e *entry) gone(f *fleet) bool {
 	if f.runs(e.holder) {
 		e.seen = true
@@ -58,7 +58,7 @@
 	return e.seen && f.moved(e.holder)
 }
 
-// report takes over what the holder tells.
+// recordClaim stores what the holder reports.
 func (e *entry) report(sequence uint64, f *fleet, c *quotapb.Claim) {
 	if c.GetGrantedBy() == f.boot() {
 		e.unheard = 0
@@ -76,7 +76,7 @@
 	e.seen = e.seen || f.runs(e.holder)
 }
 
-// answer notes what the holder is told.
+// recordGrant stores what the holder is answered.
 func (e *entry) answer(granted amount, now, expires time.Duration) {
 	e.granted = granted
 	e.pooled = e.leaves && granted.burst == 0
@@ -84,12 +84,12 @@
 	e.expires = expires
 }
 
-// totals sums up entries.
+// totals is the sum over entries.
 type totals struct {
 	charged amount
 	// feeding is the part of the charged rate that feeds the pool.
 	feeding float64
-	// cutOff is the part that belongs to regions taken to be cut off.
+	// partitioned is the part charged to regions that are treated as partitioned.
 	cutOff amount
 	crowd
 }
--- a/quota/example_test.go
+++ b/quota/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// A fleet of one daemon holds a customer to a burst of two calls.
+// A fleet of one daemon limits a customer to a burst of two calls.
 func ExampleManager() {
 	m := quota.New(quota.Options{Host: "host-1"})
 	self := &membership.Member{Host: "host-1", Boot: 1, Liveness: membership.Alive, Since: time.Now()}
--- a/quota/exchange.go
+++ b/quota/exchange.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// missGap is the shortest time between two claims that bring nothing.
+	// minEmptyClaimInterval is the shortest time between two claims that bring no tokens.
 	missGap = 100 * time.Millisecond
-	// firstBackoff and maxBackoff bound the time between claims to an owner
-	// that does not answer.
+	// firstBackoff and maxBackoff bound the time between claims to an owner that does not
+	// answer.
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 2 * time.Second
-	// minReturnShare of what a holder may expect is promised to calls that
-	// return, also where new calls alone want more than there is.
+	// minRetryShare is the share of a holder's expected rate that is promised to retried
+	// calls, even if new calls alone demand more than is available.
 	minReturnShare = 0.25
 )
 
-// ask is one exchange with an owner.
+// exchange is one request to an owner and its answer.
 type ask struct {
 	owner    *membership.Member
 	request  *quotapb.Request
@@ -28,8 +28,8 @@
 	sentAt   time.Duration
 }
 
-// step does all that is due and returns the exchanges to be made. Each must be
-// ended by finish.
+// step does all work that is due and returns the exchanges to make. The caller must pass each
+// of them to finish.
 func (h *holder) step(now time.Duration) []*ask {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -41,7 +41,7 @@
 	return h.collect(now)
 }
 
-// takeKick looks after one account that a call has missed on.
+// handleQueued activates an account that was received from the queue.
 func (h *holder) takeKick(a *account, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,7 +61,8 @@
 	}
 }
 
-// kicked makes an account due after a miss, and takes it up if it was idle.
+// activate marks an account for a claim after a call missed, and adds it to the active accounts
+// if it was idle.
 func (h *holder) kicked(a *account, now time.Duration) {
 	if !a.listed {
 		a.listed = true
@@ -74,7 +75,7 @@
 	a.wanting = true
 }
 
-// tick looks at all active accounts.
+// tick updates all active accounts.
 func (h *holder) tick(now time.Duration) {
 	kept := h.active[:0]
 	for _, a := range h.active {
@@ -93,8 +94,8 @@
 	h.active = kept
 }
 
-// retire drops an account that has become idle. The lease is returned first, so
-// that others need not wait until it lapses.
+// retireIfIdle deactivates an account that has become idle and reports whether it did. The
+// lease is returned first, so that other holders need not wait until it expires.
 func (h *holder) retire(a *account, now time.Duration) bool {
 	if n := a.arrivals.Load(); n != a.lastArrivals {
 		a.lastArrivals, a.lastArrivalAt = n, now
@@ -121,8 +122,8 @@
 	return true
 }
 
-// collect makes one request for each owner that has something due and no
-// exchange in progress.
+// collect builds one request for each owner that has a due claim and no exchange in progress.
+// Claims to the same owner that are due soon are included.
 func (h *holder) collect(now time.Duration) []*ask {
 	var asks []*ask
 	byOwner := map[string]*ask{}
@@ -152,7 +153,7 @@
 	return asks
 }
 
-// fillIn writes the request.
+// buildRequest adds the claims of the exchange's accounts to its request.
 func (h *holder) fillIn(q *ask, now time.Duration) {
 	h.asking[q.owner.Host] = true
 	h.sequence++
@@ -164,7 +165,7 @@
 	}
 }
 
-// finish takes in the answer of an exchange, or its error.
+// finish applies the answer of an exchange, or its error.
 func (h *holder) finish(q *ask, answer *quotapb.Answer, err error, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -180,7 +181,7 @@
 			}
 			h.unanswered(a, now)
 		case leases[i].GetVerdict() != quotapb.Verdict_VERDICT_GRANTED:
-			// An owner that serves nobody fills no pool either.
+			// An owner that refuses the claim does not use a delegated rate either.
 			a.lease.Load().endLoan(answer.GetBoot(), now)
 			h.unanswered(a, now)
 		default:
@@ -190,7 +191,7 @@
 	}
 }
 
-// unanswered keeps the lease until it lapses and tries again later.
+// backOff keeps the current lease until it expires and schedules a retry of the claim.
 func (h *holder) unanswered(a *account, now time.Duration) {
 	backoff := min(firstBackoff<<min(a.failures, 8), maxBackoff)
 	a.failures++
@@ -198,7 +199,7 @@
 	a.notBefore.Store(int64(a.nextClaim))
 }
 
-// answered takes over a lease.
+// applyLease replaces the account's lease by the one from the answer.
 func (h *holder) answered(a *account, sentAt time.Duration, c *quotapb.Claim, p *quotapb.Lease, owner uint64, now time.Duration) {
 	prev, l := a.lease.Load(), leaseFromProto(c, p, owner, sentAt, now)
 	prev.endLoan(owner, now+lendTime+lendMargin)
@@ -215,13 +216,12 @@
 	a.nextClaim = now + renew - h.jitter(renew/5)
 	a.notBefore.Store(0)
 	if p.GetTokens() < c.GetNeed() {
-		// The pool is empty; asking again at once would bring nothing.
+		// The pool is empty; another claim right away would bring nothing.
 		a.notBefore.Store(int64(now + missGap))
 	}
 }
 
-// leaseFromProto returns the lease that was granted for a claim, with an empty
-// bucket.
+// leaseFromProto returns the lease that was granted for a claim, with an empty bucket.
 func leaseFromProto(c *quotapb.Claim, p *quotapb.Lease, owner uint64, sentAt, now time.Duration) *lease {
 	expires := sentAt + time.Duration(p.GetLeaseMs())*time.Millisecond
 	l := newLease(amountFromProto(p.GetGranted()), !p.GetPooled(), now, expires)
--- a/quota/fault_test.go
+++ b/quota/fault_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// counter counts the calls of a run by the second.
+// counter counts the calls of a run per second.
 type counter struct {
 	offered, admitted []int
 }
@@ -23,7 +23,7 @@
 	}
 }
 
-// load sends calls at a rate to one daemon until a time and counts them.
+// load sends calls to one daemon at a rate until the given time and counts them.
 func (w *world) load(d *daemon, c *snapshot.Contract, rate float64, until time.Duration, k *counter) {
 	list := arrivals(uint64(d.index+1), 1, until-w.now, func(int, time.Duration) float64 { return rate })
 	w.feed(list, func(arrival) {
@@ -46,16 +46,15 @@
 	return n
 }
 
-// share returns the part of the calls offered in a time that was admitted.
+// share returns the share of the calls offered in a period that was admitted.
 func (k *counter) share(from, to time.Duration) float64 {
 	return float64(sum(k.admitted, from, to)) / float64(sum(k.offered, from, to))
 }
 
-// A customer's demand ends in one zone and begins in the same moment at one
-// daemon of another, at nine tenths of the contract. The callers there get what
-// they ask for from the second second on: the zone's holders notice that calls
-// are missing and return their leases, and the pool serves the new daemon until
-// it has one.
+// A customer's demand ends in one zone and, at the same moment, begins at a single daemon of
+// another zone, at nine tenths of the contract. From the second second on the new calls are
+// admitted: the holders of the first zone detect that calls are missing and return their
+// leases, and the pool serves the new daemon until it has a lease.
 func TestFault_demandBeginsAtOneDaemon(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
@@ -71,10 +70,10 @@
 	must.GreaterEq(t, 0.95, after.share(2*simWarm+time.Second, 2*simWarm+5*time.Second))
 }
 
-// A daemon holds nearly the whole contract, is stopped for longer than its
-// lease lasts, and is woken into a queue of calls, while another daemon has been
-// given the contract. The woken one admits none of them: it reads the clock
-// before it looks at its lease.
+// A daemon that holds nearly the whole contract is paused for longer than its lease lasts,
+// while another daemon is granted the contract. When it resumes with a queue of calls, it
+// admits none of them from its expired lease, because it reads the clock before it checks the
+// lease.
 func TestFault_holderWokenBeyondItsLease(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 600}
 	w := newWorld(simZones, 6, c)
@@ -98,10 +97,10 @@
 	must.LessEq(t, 1.0, w.authority(c)/c.Rate)
 }
 
-// The owner is killed while a holder of half the contract is stopped for 8 s,
-// less than its lease lasts. The new owner cannot hear of that lease but from
-// the others, who saw how much was granted in all; it keeps as much back, so the
-// holder may wake and go on.
+// The owner is killed while a holder of half the contract is paused for 8 s, less than its
+// lease lasts. The new owner knows of that lease only from the other holders, which report the
+// total that was granted. It reserves the unreported part, so the holder may resume and
+// continue.
 func TestFault_ownerKilledWhileHolderIsStopped(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
@@ -121,9 +120,9 @@
 	must.GreaterEq(t, 0.95, float64(sum(k.admitted, 3*simWarm, 4*simWarm))/(c.Rate*simWarm.Seconds()))
 }
 
-// All daemons of the fleet restart within 3 s. Nobody reports any lease, so the
-// new owner opens its ledger once all have had the time to, and the contract is
-// usable again; at no time is more in use than the contract.
+// All daemons of the fleet restart within 3 s, so no holder reports a lease. The new owner
+// opens its ledger once all holders have had time to report, and the contract is usable again.
+// At no time does use exceed the contract.
 func TestFault_wholeFleetRestarts(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
@@ -143,10 +142,10 @@
 	must.GreaterEq(t, 0.95, k.share(simWarm+8*time.Second, 2*simWarm))
 }
 
-// A zone of a region is cut off from everybody, callers included who ask there
-// for the whole contract. Those outside take the zone for dead and go on with
-// the whole contract; the zone knows that it is the smaller part and keeps to
-// its share of the fleet, which bounds the excess.
+// A zone is partitioned from the rest of the fleet while callers inside it request the whole
+// contract. The daemons outside declare the zone dead and continue with the whole contract. The
+// daemons inside detect that they are the smaller part and limit themselves to their share of
+// the fleet, which bounds the excess.
 func TestFault_zoneCutOffKeepsToItsShare(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
@@ -165,9 +164,9 @@
 	must.GreaterEq(t, 0.95, outside.share(from, to))
 }
 
-// Answers of the owner to one holder are lost while its requests arrive. The
-// owner goes on to charge the holder, so no one is given what the holder may
-// still use; the holder's callers are refused once its lease has ended.
+// The owner's answers to one holder are lost while the holder's requests arrive. The owner
+// keeps charging the holder, so no other holder is granted what this one may still use. The
+// holder's calls are refused once its lease has expired.
 func TestFault_oneWayCut(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
@@ -186,8 +185,8 @@
 	must.GreaterEq(t, 0.9, rest.share(4*simWarm-5*time.Second, 4*simWarm))
 }
 
-// A customer's demand ends. Its holders tell that once, so that the owner has
-// all of the contract back within 2 s, and send nothing after that.
+// A customer's demand ends. Its holders report that once, so the owner has the whole contract
+// back within 2 s, and send nothing afterwards.
 func TestIdleCustomer_costsNothing(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
@@ -207,9 +206,9 @@
 	}
 }
 
-// A contract is revised to half while it is fully used. No more than the new
-// contract is in use from then on, although leases of the old one last for
-// another 10 s: each holder shrinks its own with the contract.
+// A contract is revised to half while it is fully used. From then on use stays within the new
+// contract, although leases of the old one last for another 10 s, because each holder shrinks
+// its lease with the contract.
 func TestFault_contractRevisedDown(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	half := &snapshot.Contract{Customer: "acme", Rate: 300, Burst: 30}
@@ -232,9 +231,8 @@
 	must.GreaterEq(t, 0.95, admitted)
 }
 
-// Calls in flight over all daemons never exceed the contract's bound while
-// demand for three times as many moves from zone to zone, and most of the bound
-// is in use.
+// Demand for three times the concurrency limit moves from zone to zone. The calls in flight on
+// all daemons together never exceed the limit, and most of the limit is in use.
 func TestFault_concurrencyOverTheFleet(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 10000, Burst: 10000, MaxConcurrent: 24}
 	w := newWorld(simZones, 6, c)
@@ -258,9 +256,9 @@
 	must.GreaterEq(t, 0.8, inFlight/float64(samples)/float64(c.MaxConcurrent))
 }
 
-// A hundred daemons with 1.5 calls/s each share 20 slots, which 150 calls/s of
-// 20 ms would use a sixth of. Most calls get one: a slot goes back as soon as it
-// has been idle for a tick, since others wait for it.
+// A hundred daemons with 1.5 calls/s each share 20 slots. Together they have 150 calls/s of 20
+// ms, which occupy about a sixth of the slots. Most calls get a slot, because a holder returns
+// a slot that has been idle for a tick while others need one.
 func TestFault_fewSlotsForManyDaemons(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 1000, Burst: 1000, MaxConcurrent: 20}
 	w := newWorld(2, 50, c)
@@ -273,9 +271,9 @@
 	must.GreaterEq(t, 0.7, k.share(simWarm+5*time.Second, 2*simWarm))
 }
 
-// A burst of callers three times the size of what is there is refused and each
-// returns when it was told to. It then finds a token, since the times are
-// handed out one after another at the rate at which tokens come.
+// A burst of calls three times the size of the bucket is refused, and each call is retried
+// after the time in its refusal. The retry then finds a token, because the retry times are
+// assigned one after another at the rate at which tokens become available.
 func TestRetryAfter_isHonest(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 20, Burst: 20}
 	w := newWorld(simZones, 6, c)
@@ -305,8 +303,8 @@
 	must.GreaterEq(t, 0.9, float64(admitted)/float64(returned))
 }
 
-// A member that is suspect for a moment keeps what it owns; one that is suspect
-// for longer does not, though membership holds on to it.
+// A member that is suspect only briefly keeps its ownership. A member that is suspect for
+// longer loses it, even though membership has not declared it dead.
 func TestFleet_suspectLosesOwnership(t *testing.T) {
 	base := time.Unix(1000, 0)
 	a := &membership.Member{Host: "a", Boot: 1, Liveness: membership.Alive, Since: base}
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -8,27 +8,27 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// fleet is what a membership view says about ownership, at one time. Times are
-// counted from the start of the Manager.
+// fleet is the ownership state derived from a membership view at one point in time. Times are
+// relative to the start of the Manager.
 type fleet struct {
 	view  *membership.View
 	start time.Time
 	at    time.Duration
-	// candidates may own customers: members that are heard and not draining.
+	// candidates are the members that may own customers: those reachable and not draining.
 	candidates []candidate
-	// known is the number of members, less those that left or have not been
-	// heard for lossMemory.
+	// known is the number of members, except those that left or have been unreachable for
+	// unreachableRetention.
 	known int
-	// heardShare of the known members, 0 to 1.
+	// reachableShare is the share of the known members that are reachable, from 0 to 1.
 	heardShare float64
-	// lostRegions are those of which next to no member is heard.
+	// partitionedRegions are the regions of which almost no member is reachable.
 	lostRegions map[string]bool
-	// rejoining are regions that were lost, with the time at which all of their
+	// rejoining maps each region that was partitioned to the time by which all of its
 	// holders have reported.
 	rejoining map[string]time.Duration
-	// isolated is whether at most half of the own region is heard.
+	// isolated is set if at most half of the daemon's own region is reachable.
 	isolated bool
-	// changesAt is when time alone will change the fleet.
+	// changesAt is the time at which the fleet changes without a new view.
 	changesAt time.Duration
 }
 
@@ -37,11 +37,11 @@
 	member *membership.Member
 }
 
-// regionCount counts members of one region.
+// regionCount counts the members of one region.
 type regionCount struct{ known, heard int }
 
-// newFleet reads a view. prev is the fleet before, nil if there is none;
-// rejoinTime is how long a region that was lost is rejoining.
+// newFleet derives a fleet from a view. prev is the previous fleet, or nil. rejoinTime is how
+// long a region that was partitioned is rejoining.
 func newFleet(view *membership.View, start time.Time, now time.Duration, prev *fleet, rejoinTime time.Duration) *fleet {
 	f := &fleet{view: view, start: start, at: now, lostRegions: map[string]bool{}, changesAt: forever}
 	regions := map[string]regionCount{}
@@ -74,7 +74,7 @@
 	return f
 }
 
-// follow notes which regions are heard again.
+// trackRejoining records which partitioned regions have become reachable again.
 func (f *fleet) follow(prev *fleet, rejoinTime time.Duration) {
 	if prev == nil {
 		return
@@ -92,11 +92,11 @@
 	}
 }
 
-// since returns when the member's state changed last.
+// since returns the time of the member's last state change.
 func (f *fleet) since(m *membership.Member) time.Duration { return m.Since.Sub(f.start) }
 
-// hears reports whether the member counts as heard, and notes when that will
-// change by itself.
+// reachable reports whether the member counts as reachable, and updates changesAt if that will
+// change without a new view.
 func (f *fleet) hears(m *membership.Member) bool {
 	switch m.Liveness {
 	case membership.Alive:
@@ -116,7 +116,7 @@
 	return m.Liveness != membership.Alive && f.at-f.since(m) >= lossMemory
 }
 
-// owner returns the member that owns a customer, nil if there is none.
+// owner returns the member that owns a customer, or nil if there is none.
 func (f *fleet) owner(customer string) *membership.Member {
 	h := xxhash.Sum64String(customer)
 	var best *membership.Member
@@ -130,14 +130,13 @@
 	return best
 }
 
-// ownsSelf reports whether this daemon owns a customer.
+// selfOwns reports whether this daemon owns a customer.
 func (f *fleet) ownsSelf(customer string) bool {
 	o := f.owner(customer)
 	return o != nil && o.Host == f.view.Self.Host
 }
 
-// sameOwners reports whether both fleets give every customer the same owner
-// process.
+// sameOwners reports whether both fleets assign every customer to the same owner process.
 func (f *fleet) sameOwners(g *fleet) bool {
 	if g == nil || len(f.candidates) != len(g.candidates) {
 		return false
@@ -151,23 +150,23 @@
 	return true
 }
 
-// boot returns the life of this daemon.
+// boot returns the boot ID of this daemon.
 func (f *fleet) boot() uint64 { return f.view.Self.Boot }
 
-// runs reports whether a process is known to run.
+// runs reports whether a process is known to be running.
 func (f *fleet) runs(id holderID) bool {
 	m := f.view.Find(id.host)
 	return m != nil && m.Boot == id.boot && m.Liveness != membership.Left
 }
 
-// moved reports whether a process's host runs another one, or the process has
-// said goodbye.
+// replaced reports whether the host of a process runs a different process, or the process has
+// left.
 func (f *fleet) moved(id holderID) bool {
 	m := f.view.Find(id.host)
 	return m != nil && (m.Boot != id.boot && m.Liveness == membership.Alive || m.Boot == id.boot && m.Liveness == membership.Left)
 }
 
-// region returns the region of a host.
+// region returns the region of a host, or "" if the host is not in the view.
 func (f *fleet) region(host string) string {
 	if m := f.view.Find(host); m != nil {
 		return m.Region
@@ -175,8 +174,8 @@
 	return ""
 }
 
-// lost reports whether a host is not heard and in a region that is taken to be
-// cut off.
+// partitioned reports whether a host is unreachable and in a region that is treated as
+// partitioned.
 func (f *fleet) lost(host string) bool {
 	if len(f.lostRegions) == 0 {
 		return false
@@ -185,8 +184,8 @@
 	return m != nil && f.lostRegions[m.Region] && !f.hears(m)
 }
 
-// rejoins reports whether a host that was just heard from is in a region that
-// was lost until now or lately.
+// rejoins reports whether a host that has just sent a request is in a region that is
+// partitioned or was until recently.
 func (f *fleet) rejoins(host string, now time.Duration) bool {
 	if len(f.rejoining) == 0 && len(f.lostRegions) == 0 {
 		return false
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// kickBacklog is how many accounts may wait to be looked after.
+	// queueSize is the number of accounts that may wait in the holder's queue.
 	kickBacklog = 4096
-	// unleasedShare of the contract is what all daemons together may admit per
-	// second without leases, and unleasedBurst, in seconds of the rate, at
-	// once.
+	// unleasedShare is the share of the contract's rate that all daemons together may admit
+	// without leases. unleasedBurst is the corresponding burst, in seconds of the
+	// contract's rate.
 	unleasedShare = 0.02
 	unleasedBurst = 0.1
 )
@@ -31,7 +31,7 @@
 	mu     sync.Mutex
 	fleet  *fleet
 	active []*account
-	// asking names the owners with an exchange in progress.
+	// awaiting contains the hosts of the owners with an exchange in progress.
 	asking   map[string]bool
 	sequence uint64
 	nextTick time.Duration
@@ -49,8 +49,8 @@
 	return h
 }
 
-// account returns the account of a contract, and makes one for a contract that
-// the holder has not been told of yet.
+// account returns the account of a contract, and creates one if the contract has not been
+// passed to setContracts yet.
 func (h *holder) account(c *snapshot.Contract, now time.Duration) *account {
 	if a := (*h.accounts.Load())[c.Customer]; a != nil {
 		return a
@@ -77,9 +77,8 @@
 	return a
 }
 
-// setSpare works out what the account may admit without a lease: an equal part
-// of a small share of the contract, so that all daemons together stay within
-// that share.
+// setFallback computes what the account may admit without a lease: an equal part of a small
+// share of the contract, so that all daemons together stay within that share.
 func (h *holder) setSpare(a *account, now time.Duration) {
 	known := 1.0
 	if h.fleet != nil {
@@ -99,7 +98,7 @@
 	a.spare.Store(spare)
 }
 
-// setContracts takes over the contracts in force.
+// setContracts replaces the contracts in force.
 func (h *holder) setContracts(contracts map[string]*snapshot.Contract, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -118,8 +117,8 @@
 	h.accounts.Store(&accounts)
 }
 
-// revise brings an account under a revised contract: the lease shrinks with the
-// contract at once, and all holders claim anew soon, not all in one moment.
+// revise applies a revised contract to an account. The lease shrinks with the contract at once.
+// All holders claim again soon, spread out to avoid a simultaneous burst of claims.
 func (h *holder) revise(a *account, c *snapshot.Contract, now time.Duration) {
 	was := contractAmount(a.contract)
 	is := contractAmount(c)
@@ -127,7 +126,7 @@
 	h.setSpare(a, now)
 	a.nextClaim = min(a.nextClaim, now+h.jitter(h.opts.reportSpread()))
 	if was.slots == 0 && is.slots > 0 {
-		// A lease of the contract without the limit has no slots.
+		// A lease from a contract without a concurrency limit has no slots.
 		a.nextClaim = now
 	}
 	if l := a.lease.Load(); l.valid(now) {
@@ -140,8 +139,8 @@
 	}
 }
 
-// setFleet finds the new owners. What is held is reported to a new owner soon,
-// not by all holders in one moment.
+// setFleet determines the owners of all active accounts. Current leases are reported to a new
+// owner soon, spread out so that not all holders report at the same moment.
 func (h *holder) setFleet(f *fleet, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -170,7 +169,7 @@
 	}
 }
 
-// jitter returns a random part of d.
+// jitter returns a random duration from 0 to d.
 func (h *holder) jitter(d time.Duration) time.Duration {
 	return time.Duration(h.rng.Int64N(int64(d) + 1))
 }
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -8,57 +8,59 @@
 	"github.com/crocuscross/crocuscross/quota/quotapb"
 )
 
-// forever is a time that does not come, with room to add to it.
+// forever is a time that is never reached, small enough to add a duration to it without
+// overflow.
 const forever = time.Duration(math.MaxInt64 / 2)
 
-// maxInterval is the longest time between two tokens that is told from never.
+// maxInterval is the longest interval between two tokens. A rate with a longer interval counts
+// as zero.
 const maxInterval = 24 * time.Hour
 
-// lease is what a holder may use of one contract. Calls change its counters, the
-// holder its loan; all else is fixed, and a new grant makes a new lease.
+// lease is what a holder may use of one contract. Calls change its counters and the holder
+// changes its delegation. All other fields are constant; a new grant creates a new lease.
 type lease struct {
 	amount
-	// expires is the time since the start of the Manager after which the lease
-	// gives nothing.
+	// expires is the time after which the lease admits nothing, relative to the start of
+	// the Manager.
 	expires time.Duration
-	// pooled is whether the owner told to leave the rate to its pool.
+	// pooled is set if the owner instructed the holder to delegate the rate to the owner's
+	// pool.
 	pooled bool
-	// local is whether the rate fills the bucket here: it is not pooled, or the
-	// owner does not answer.
+	// local is set if the rate fills the local bucket, because it is not pooled or because
+	// the owner does not answer.
 	local bool
-	// grantedBy is the life of the owner.
+	// grantedBy is the boot ID of the owner that granted the lease.
 	grantedBy uint64
 	loan      loan
 	origin    origin
-	// returnRate in calls per second is what is left for calls that were
-	// refused and return.
+	// retryRate is the rate that is left for retries of refused calls, in calls per second.
 	returnRate float64
-	// slotsContended asks for idle slots back.
+	// slotsContended is set if the owner requests idle slots back.
 	slotsContended bool
 
-	// interval between two tokens; 0 for none.
+	// interval is the time between two tokens, or 0 if there are none.
 	interval time.Duration
 	// capacity is the time in which the bucket fills.
 	capacity time.Duration
-	// emptyAt is the time at which the bucket was, or would have been, empty:
-	// the tokens in it are (now - emptyAt) / interval, up to the burst.
+	// emptyAt is the time at which the bucket was or would have been empty. The bucket
+	// holds (now - emptyAt) / interval tokens, up to the burst.
 	emptyAt atomic.Int64
-	// prepaid counts tokens from the owner's pool.
+	// prepaid counts the tokens received from the owner's pool.
 	prepaid atomic.Int64
 }
 
-// loan is the time for which the rate of a pooled lease is left to the pool of
-// an owner. Using it meanwhile would use it twice.
+// delegation is the time for which the rate of a pooled lease belongs to the pool of an owner.
+// Using the rate elsewhere during that time would use it twice.
 type loan struct {
 	to    uint64
 	until time.Duration
 }
 
-// open reports whether the rate is left to another owner than the one named.
+// open reports whether the rate is still delegated to an owner other than the given one.
 func (l loan) open(owner uint64, now time.Duration) bool { return l.to != owner && now < l.until }
 
-// lend leaves the rate of a pooled lease to the owner, if it is not with
-// another.
+// delegate assigns the rate of a pooled lease to the owner's pool, unless it is still delegated
+// to another owner. It reports whether the rate is delegated.
 func (l *lease) lend(owner uint64, now time.Duration) bool {
 	if !l.pooled || l.local || l.loan.open(owner, now) {
 		return false
@@ -67,16 +69,16 @@
 	return true
 }
 
-// endLoan says when the pool of an owner stops to use the rate.
+// endDelegation sets the time at which the pool of an owner stops using the rate.
 func (l *lease) endLoan(owner uint64, at time.Duration) {
 	if l != nil && l.loan.to == owner {
 		l.loan.until = at
 	}
 }
 
-// origin is what the ledger of the owner looked like when it granted a lease.
+// origin describes the owner's ledger at the time it granted a lease.
 type origin struct {
-	// charged for this lease, and for all.
+	// charged is the amount charged for this lease, chargedToAll the sum for all leases.
 	charged, chargedToAll amount
 	at                    time.Duration
 }
@@ -100,8 +102,8 @@
 	return l
 }
 
-// intervalOf returns the time between two calls at a rate, rounded up; 0 where
-// none comes within maxInterval.
+// intervalOf returns the time between two calls at a rate, rounded up, or 0 if it exceeds
+// maxInterval.
 func intervalOf(rate float64) time.Duration {
 	if rate*maxInterval.Seconds() < 1 {
 		return 0
@@ -109,12 +111,12 @@
 	return time.Duration(math.Ceil(float64(time.Second) / rate))
 }
 
-// valid reports whether the lease still gives anything. A process that was
-// stopped and woken reads the clock first and so finds its leases ended.
+// valid reports whether the lease has not expired. A process that was paused and resumed reads
+// the clock first, and so finds that its leases have expired.
 func (l *lease) valid(now time.Duration) bool { return l != nil && now < l.expires }
 
-// take takes one token: of the bucket, which would overflow, before those from
-// the pool.
+// take takes one token: from the bucket first, since the bucket may overflow, then from the
+// prepaid tokens.
 func (l *lease) take(now time.Duration) bool {
 	return l.local && l.takeLocal(now) || l.takePrepaid()
 }
@@ -147,7 +149,7 @@
 	}
 }
 
-// level returns the tokens in the bucket.
+// level returns the number of tokens in the bucket.
 func (l *lease) level(now time.Duration) float64 {
 	return l.tokensSince(time.Duration(l.emptyAt.Load()), now)
 }
@@ -159,28 +161,27 @@
 	return max(0, float64(min(now-emptyAt, l.capacity))/float64(l.interval))
 }
 
-// fill sets the tokens in the bucket, at most the burst.
+// fill sets the number of tokens in the bucket, at most the burst.
 func (l *lease) fill(now time.Duration, tokens float64) {
 	filled := min(tokens*float64(l.interval), float64(l.capacity))
 	l.emptyAt.Store(int64(now - time.Duration(filled)))
 }
 
-// add adds tokens to the bucket and returns how many do not fit.
+// add adds tokens to the bucket and returns the number that do not fit.
 func (l *lease) add(now time.Duration, tokens float64) (over float64) {
 	tokens += l.level(now)
 	l.fill(now, tokens)
 	return max(0, tokens-l.burst)
 }
 
-// drain takes all tokens out, so that a call that still uses the lease while
-// another succeeds it cannot take what has been carried over.
+// drain removes all tokens, so that a call that still uses this lease while another replaces it
+// cannot take tokens that have been carried over.
 func (l *lease) drain(now time.Duration) (tokens float64, prepaid int64) {
 	emptyAt := time.Duration(l.emptyAt.Swap(int64(forever)))
 	return l.tokensSince(emptyAt, now), l.prepaid.Swap(0)
 }
 
-// nextToken returns how long it takes until the bucket has a token; forever if
-// it never will.
+// nextToken returns the time until the bucket has a token, or forever if it never will.
 func (l *lease) nextToken(now time.Duration) time.Duration {
 	if !l.local || l.interval == 0 || l.capacity < l.interval {
 		return forever
@@ -189,8 +190,7 @@
 	return max(0, at-now)
 }
 
-// succeed carries the tokens of the lease before over, and returns how many do
-// not fit.
+// carryOver moves the tokens of the previous lease to l and returns the number that do not fit.
 func (l *lease) succeed(prev *lease, now time.Duration) (over float64) {
 	if !prev.valid(now) {
 		return 0
@@ -216,16 +216,16 @@
 	return over
 }
 
-// shrunk returns the lease with smaller amounts and the tokens that fit, and how
-// many do not.
+// shrunk returns the lease with smaller amounts and the tokens that fit, and the number that do
+// not fit.
 func (l *lease) shrunk(now time.Duration, to amount) (s *lease, over float64) {
 	s = l.copyWith(now, to)
 	s.local = l.local
 	return s, s.succeed(l, now)
 }
 
-// alone returns a pooled lease for use without the pool. Its bucket starts
-// empty, as the rate has filled the pool until now, and holds one call.
+// withoutPool returns a copy of a pooled lease for local use. Its bucket starts empty, because
+// the rate has filled the pool until now, and holds at least one call.
 func (l *lease) alone(now time.Duration) *lease {
 	s := l.copyWith(now, l.amount)
 	s.local = true
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -8,8 +8,7 @@
 	"github.com/crocuscross/crocuscross/quota/quotapb"
 )
 
-// ledger is the owner's account of one customer's contract. It is not safe for
-// concurrent use.
+// ledger is the owner's record of one customer's contract. It is not safe for concurrent use.
 type ledger struct {
 	opts     Options
 	contract amount
@@ -18,32 +17,33 @@
 	sum      totals
 	pool     pool
 	earlier  earlierOwners
-	// rejoining is what was leased in regions that are heard again.
+	// rejoining is the amount that was leased in regions that have become reachable again.
 	rejoining rejoining
-	// swept is the fleet that the entries were last held against.
+	// sweptFleet is the fleet for which the entries were last updated.
 	swept *fleet
 
-	// opensAt is when the ledger stops to settle, at the earliest.
+	// opensAt is the earliest time at which the ledger stops settling.
 	opensAt time.Duration
 	open    bool
-	// known is what holders hold while the ledger settles: authority that is
-	// this ledger's to hand on.
+	// reported is what holders are known to hold while the ledger settles. The ledger may
+	// renew and redistribute that amount.
 	known amount
 }
 
-// newLedger returns a ledger without entries. The pool holds what has come in
-// since the ledger opened.
+// newLedger returns a ledger without entries. Its pool starts with the tokens that have
+// accumulated since opensAt.
 func newLedger(opts Options, contract amount, opensAt, now time.Duration) *ledger {
 	l := &ledger{opts: opts, contract: contract, byHolder: map[holderID]*entry{}, opensAt: opensAt}
-	// Open before the pool is filled for the first time: the share of a ledger
-	// that settles would make that a fiftieth of the burst.
+	// Set open before the pool is first refilled: while a ledger settles, only
+	// settlingShare of the rate is available, and the pool would get a fiftieth of the
+	// burst.
 	l.open = now >= opensAt
 	l.pool.at = min(now, opensAt)
 	return l
 }
 
-// settle makes the ledger give up its authority: it goes on with what holders
-// have, since another owner may have granted all the rest.
+// settle restarts settling: the ledger continues with what its holders have, since another
+// owner may have granted all the rest.
 func (l *ledger) settle(opensAt, now time.Duration) {
 	l.opensAt = opensAt
 	l.open = false
@@ -75,8 +75,8 @@
 	return l.lease(now, f, e, c.GetNeed())
 }
 
-// locate finds out where a holder has its lease from, and so what is charged for
-// it already.
+// recordOrigin determines which owner granted the holder's lease, and so whether the lease is
+// charged already.
 func (l *ledger) locate(now time.Duration, f *fleet, e *entry, before amount, c *quotapb.Claim) {
 	by := c.GetGrantedBy()
 	foreign := by != 0 && by != f.boot()
@@ -91,7 +91,7 @@
 	}
 }
 
-// entry returns the entry of a holder and makes it if need be.
+// entry returns the entry of a holder and creates it if necessary.
 func (l *ledger) entry(id holderID) *entry {
 	e := l.byHolder[id]
 	if e == nil {
@@ -102,23 +102,22 @@
 	return e
 }
 
-// change changes an entry and the sums with it.
+// update changes an entry and adjusts the totals.
 func (l *ledger) change(e *entry, f func()) {
 	l.sum.remove(e)
 	f()
 	l.sum.add(e)
 }
 
-// adopt takes over authority that an earlier owner granted.
+// addReported adds an amount that an earlier owner granted.
 func (l *ledger) adopt(news amount) {
 	if !l.open {
 		l.known = l.known.plus(news).min(l.contract)
 	}
 }
 
-// grant decides what the holder gets. The sum of all that is charged rises
-// above the limit in no case: a holder gets more than it holds only out of what
-// is free.
+// grant computes the amount granted to a holder. The total charge never exceeds the limit
+// because of a grant: a holder gets more than it holds only from what is free.
 func (l *ledger) grant(limit amount, e *entry) amount {
 	d := l.division(limit)
 	limit.burst = min(limit.burst, d.localBurst())
@@ -133,13 +132,12 @@
 	return granted
 }
 
-// division divides the limit among the holders that can be heard.
+// division returns the division of the limit among the reachable holders.
 func (l *ledger) division(limit amount) *division {
 	return &division{available: limit.minus(l.sum.cutOff).atLeastZero(), burst: l.contract.burst, all: l.sum.crowd}
 }
 
-// lease puts the grant into words, with tokens from the pool for calls that
-// wait.
+// lease returns the answer to a claim, with tokens from the pool for waiting calls.
 func (l *ledger) lease(now time.Duration, f *fleet, e *entry, need uint32) *quotapb.Lease {
 	d := l.division(l.limit(now, f))
 	pooled := e.granted.burst == 0
@@ -164,9 +162,10 @@
 	}
 }
 
-// tokens takes from the pool what calls wait for; what belongs into the bucket
-// that the holder has been given; and, while there is plenty, what fills the
-// bucket, so that the next calls need not ask.
+// tokens takes tokens from the pool for the waiting calls. It adds tokens that the pool has no
+// room for any more because the holder's bucket has grown. While the contract is not contended
+// and the pool stays at least half full, it also adds tokens to fill the bucket, so that the
+// next calls need no claim.
 func (l *ledger) tokens(e *entry, need uint32, contended bool) uint32 {
 	n := l.pool.take(need)
 	if over := l.pool.level - l.poolCapacity(); over > 0 && e.granted.burst > e.held.burst {
@@ -178,10 +177,10 @@
 	return n
 }
 
-// poolCapacity returns how much the pool may store.
+// poolCapacity returns the number of tokens that the pool may hold.
 func (l *ledger) poolCapacity() float64 { return max(1, l.contract.burst-l.sum.charged.burst) }
 
-// limit returns how much may be granted in sum.
+// limit returns the total amount that may be granted.
 func (l *ledger) limit(now time.Duration, f *fleet) amount {
 	full := l.contract
 	if f.isolated {
@@ -193,15 +192,15 @@
 	return full.minus(l.earlier.silent(now)).minus(l.rejoining.rest(now)).atLeastZero()
 }
 
-// poolRate returns what fills the pool: what is neither leased nor held in
-// silence.
+// poolRate returns the rate that fills the pool: what is neither leased nor possibly in use by
+// holders that have not reported, plus the rates delegated to the pool.
 func (l *ledger) poolRate(now time.Duration, f *fleet) float64 {
 	return max(0, l.limit(now, f).rate-l.sum.charged.rate+l.sum.feeding)
 }
 
-// advance brings settling and pool up to now. Holders have had the time to
-// report when the ledger opens; while a region is cut off they have not, and
-// they are given the time once it is heard again.
+// advance updates the settling state and the pool. By the time the ledger opens, all holders
+// have had time to report. While a region is partitioned its holders cannot report, so settling
+// continues until they have had that time after the region is reachable again.
 func (l *ledger) advance(now time.Duration, f *fleet) {
 	if !l.open && len(f.lostRegions) > 0 {
 		l.opensAt = max(l.opensAt, now+l.opts.settleTime())
@@ -210,15 +209,15 @@
 	l.pool.refill(now, l.poolRate(now, f), l.poolCapacity())
 }
 
-// sweep drops the leases that have ended.
+// sweep drops leases that have ended.
 func (l *ledger) sweep(now time.Duration, f *fleet) {
 	l.advance(now, f)
 	if f != l.swept {
 		l.swept = f
 		l.compare(now, f)
 	}
-	// A lease in a region that is cut off has not ended when its time is up, as
-	// there may be another owner who renews it.
+	// A lease in a partitioned region may outlast its time, since another owner may be
+	// renewing it.
 	l.drop(func(e *entry) bool { return now >= e.expires && !e.cutOff })
 	l.sum = totals{}
 	for _, e := range l.entries {
@@ -227,7 +226,7 @@
 	}
 }
 
-// compare holds the entries against a changed fleet.
+// applyFleet updates the entries after a change of the fleet.
 func (l *ledger) compare(now time.Duration, f *fleet) {
 	l.rejoin(now, func(e *entry) bool { return !f.lost(e.holder.host) })
 	l.drop(func(e *entry) bool { return e.gone(f) })
@@ -236,7 +235,7 @@
 	}
 }
 
-// drop removes entries without care for the sums.
+// drop removes matching entries without updating the totals.
 func (l *ledger) drop(match func(*entry) bool) {
 	l.entries = slices.DeleteFunc(l.entries, func(e *entry) bool {
 		if !match(e) {
@@ -247,8 +246,8 @@
 	})
 }
 
-// rejoin takes the leases of a region that was cut off into one sum, as their
-// holders are heard again and tell what they have now.
+// rejoin moves the leases of a formerly partitioned region to one sum, as their holders are
+// reachable again and report what they have now.
 func (l *ledger) rejoin(now time.Duration, heard func(*entry) bool) {
 	l.drop(func(e *entry) bool {
 		if !e.cutOff || !heard(e) {
@@ -260,7 +259,7 @@
 	})
 }
 
-// idle reports whether the ledger says no more than a new one would.
+// idle reports whether the ledger holds no more information than a new one would.
 func (l *ledger) idle() bool {
 	return l.open && len(l.entries) == 0 && l.pool.level >= l.contract.burst
 }
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -12,8 +12,8 @@
 	"github.com/crocuscross/crocuscross/quota/quotapb"
 )
 
-// ledgerModel is one ledger with holders behind a network that delays, repeats,
-// reorders and loses messages.
+// ledgerModel is one ledger with holders behind a network that delays, duplicates, reorders and
+// loses messages.
 type ledgerModel struct {
 	now      time.Duration
 	ledger   *ledger
@@ -24,7 +24,7 @@
 	answers  []modelAnswer
 }
 
-// modelHolder is what a process truly holds.
+// modelHolder is what a process actually holds.
 type modelHolder struct {
 	id       holderID
 	sequence uint64
@@ -70,7 +70,7 @@
 	return h.held
 }
 
-// claim sends a claim, after the holder has given back some of what it holds.
+// claim sends a claim, after the holder has given up a part of its lease.
 func (m *ledgerModel) claim(t *rapid.T) {
 	h := rapid.SampledFrom(m.holders).Draw(t, "holder")
 	h.held = h.holds(m.now).scale(rapid.SampledFrom([]float64{0, 0.5, 1, 1, 1, 1}).Draw(t, "kept")).wholeSlots()
@@ -88,7 +88,7 @@
 	}})
 }
 
-// deliver lets a request reach the owner, now and perhaps again later.
+// deliver delivers a request to the owner, and may keep it to deliver it again later.
 func (m *ledgerModel) deliver(t *rapid.T) {
 	if len(m.requests) == 0 {
 		t.Skip()
@@ -102,7 +102,7 @@
 	m.answers = append(m.answers, modelAnswer{r, lease})
 }
 
-// exchange is a claim with its answer, as it usually goes.
+// exchange delivers a claim and its answer without delay.
 func (m *ledgerModel) exchange(t *rapid.T) {
 	m.claim(t)
 	r := m.requests[len(m.requests)-1]
@@ -110,8 +110,7 @@
 	m.take(modelAnswer{r, m.ledger.claim(m.now, m.fleet, r.id, r.sequence, r.claim)})
 }
 
-// answer lets an answer reach its holder, which takes it only if it has not
-// claimed again.
+// answer delivers an answer to its holder, which accepts it only if it has not claimed again.
 func (m *ledgerModel) answer(t *rapid.T) {
 	if len(m.answers) == 0 {
 		t.Skip()
@@ -136,7 +135,7 @@
 	}
 }
 
-// restart replaces a holder's process; membership shows it sooner or later.
+// restart replaces a holder's process. Membership may show the new process now, later or never.
 func (m *ledgerModel) restart(t *rapid.T) {
 	i := rapid.IntRange(0, len(m.holders)-1).Draw(t, "holder")
 	old := m.holders[i]
@@ -162,11 +161,10 @@
 	must.True(t, over.rate < rounding && over.burst < rounding && over.slots < rounding, must.Sprintf("held %+v of %+v", sum, m.contract))
 }
 
-// Holders claim, give back and restart while requests and answers are lost,
-// late, repeated and out of order and the owner is paused. What all holders may
-// use at any one time stays within the contract, since the owner charges each
-// the larger of what it told and what it was answered until it tells anew or
-// the lease has ended.
+// Holders claim, give up amounts and restart while requests and answers are lost, delayed,
+// duplicated and reordered and the owner is paused. What all holders may use stays within the
+// contract at all times, since the owner charges each holder the larger of its reported and its
+// granted amount until the holder claims again or the lease has ended.
 func TestLedger_neverGrantsMoreThanContract(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLedgerModel(t)
--- a/quota/lookup.go
+++ b/quota/lookup.go
@@ -6,7 +6,7 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// Owner returns the daemon that owns a customer in a view, nil if there is none.
+// Owner returns the daemon that owns a customer according to a view, or nil if there is none.
 func Owner(view *membership.View, customer string) *membership.Member {
 	return newFleet(view, time.Now(), 0, nil, 0).owner(customer)
 }
--- a/quota/manager.go
+++ b/quota/manager.go
@@ -12,8 +12,8 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// Manager holds the customers of one daemon to their contracts and owns the
-// ledgers of some.
+// Manager enforces the contracts of customers on one daemon, and keeps the ledgers of the
+// customers that this daemon owns.
 type Manager struct {
 	opts   Options
 	start  time.Time
@@ -27,27 +27,28 @@
 	refused, asked, failed, served atomic.Int64
 }
 
-// Stats counts what a Manager has done since it was made, and what it has now.
+// Stats holds counters since the creation of a Manager, and current gauges.
 type Stats struct {
-	// Refused calls.
+	// Refused counts refused calls.
 	Refused int64
-	// Sent and Failed count requests to other daemons' ledgers, Served those
-	// from others.
+	// Sent and Failed count requests to owners on other daemons, Served those received from
+	// other daemons.
 	Sent, Failed, Served int64
-	// ActiveCustomers have had calls here of late.
+	// ActiveCustomers is the number of customers with recent calls to this daemon.
 	ActiveCustomers int
-	// Ledgers kept for the fleet, and Leases in them.
+	// Ledgers is the number of ledgers that this daemon keeps, Leases the number of leases
+	// in them.
 	Ledgers, Leases int
 }
 
-// New returns a Manager that admits next to nothing until it has a view,
-// contracts and, by Run, leases.
+// New returns a Manager. Until it has a view, contracts and, through Run, leases, it admits
+// only a small share of each contract.
 func New(opts Options) *Manager {
 	opts = opts.withDefaults()
 	return &Manager{opts: opts, start: opts.Now(), holder: newHolder(opts), owner: newOwner(opts)}
 }
 
-// now returns the time since the Manager was made, by the monotonic clock.
+// now returns the monotonic time since the Manager was created.
 func (m *Manager) now() time.Duration { return m.opts.Now().Sub(m.start) }
 
 func (m *Manager) account(c *snapshot.Contract) *account {
@@ -57,7 +58,7 @@
 	return m.holder.account(c, m.now())
 }
 
-// SetView takes over the membership table. Ownership follows from it.
+// SetView replaces the membership view, from which ownership is derived.
 func (m *Manager) SetView(view *membership.View) {
 	if view == nil || view.Self == nil {
 		return
@@ -72,20 +73,21 @@
 	m.holder.setFleet(f, now)
 }
 
-// SetContracts takes over the contracts in force. The map must not change.
+// SetContracts replaces the contracts in force, by customer. The map must not be modified
+// afterwards.
 func (m *Manager) SetContracts(contracts map[string]*snapshot.Contract) {
 	now := m.now()
 	m.owner.setContracts(contracts, now)
 	m.holder.setContracts(contracts, now)
 }
 
-// Serve answers a request of the daemon on another host.
+// Serve answers a request from the daemon on another host.
 func (m *Manager) Serve(_ context.Context, from string, req *quotapb.Request) *quotapb.Answer {
 	m.stats.served.Add(1)
 	return m.owner.serve(from, req, m.now())
 }
 
-// Stats returns the counts at this time.
+// Stats returns the current statistics.
 func (m *Manager) Stats() Stats {
 	ledgers, leases := m.owner.size()
 	return Stats{
@@ -112,7 +114,8 @@
 func (m *Manager) run(ctx context.Context, t *tomb.Tomb) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	// done wakes the loop after an answer: what became due meanwhile goes out.
+	// done wakes the loop after an answer, so that claims that became due in the meantime
+	// are sent.
 	done := make(chan struct{}, 1)
 	for {
 		for _, q := range m.step(m.now()) {
@@ -136,8 +139,8 @@
 	}
 }
 
-// step does what is due on both sides and returns the exchanges to be made with
-// other daemons; those with this daemon itself are done.
+// step does the due work of holder and owner, completes exchanges with this daemon itself, and
+// returns the exchanges to make with other daemons.
 func (m *Manager) step(now time.Duration) []*ask {
 	if f := m.fleet.Load(); f != nil && now >= f.changesAt {
 		m.setView(f.view, now)
@@ -155,7 +158,7 @@
 	return remote
 }
 
-// ask makes one exchange.
+// exchange sends one request and passes the answer to the holder.
 func (m *Manager) ask(ctx context.Context, q *ask) {
 	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
@@ -163,7 +166,7 @@
 	answer, err := m.opts.Peers.SendClaims(ctx, q.owner, q.request)
 	if err != nil {
 		m.stats.failed.Add(1)
-		m.opts.Logger.Debug("quota: owner does not answer", "owner", q.owner.Host, "error", err)
+		m.opts.Logger.Debug("quota: request to the owner failed", "owner", q.owner.Host, "error", err)
 	}
 	m.holder.finish(q, answer, err, m.now())
 }
--- a/quota/options.go
+++ b/quota/options.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	// DefaultLeaseTime outlasts the time in which membership notices that an
-	// owner is dead, so that holders go on while ownership moves.
+	// DefaultLeaseTime is the default duration of a lease. It exceeds the time in which
+	// membership detects that an owner is dead, so that holders keep admitting calls while
+	// ownership moves.
 	DefaultLeaseTime = 15 * time.Second
-	// DefaultRenewInterval of a customer whose demand is below its contract.
+	// DefaultRenewInterval is the default renew interval of a customer whose demand is
+	// below its contract.
 	DefaultRenewInterval = 5 * time.Second
 
-	// tickInterval is how often a holder looks at demand and due claims.
+	// tickInterval is the interval at which a holder checks demand and due claims.
 	tickInterval = 100 * time.Millisecond
-	// askTimeout bounds one exchange with an owner.
+	// requestTimeout bounds one exchange with an owner.
 	askTimeout = 500 * time.Millisecond
-	// admitWait bounds how long a call waits for the owner's pool.
+	// admitWait bounds how long a call waits for a token from the owner's pool.
 	admitWait = 250 * time.Millisecond
-	// maxBeatGap is the longest time between two ticks that passes for a busy
-	// machine. A daemon is not taken for dead in less, so nobody else can have
-	// become the owner meanwhile.
+	// maxHeartbeatGap is the longest gap between two heartbeats that is attributed to a
+	// busy machine. Membership takes longer than this to declare a daemon dead, so no other
+	// daemon can have become the owner in the meantime.
 	maxBeatGap = 2 * time.Second
-	// lendTime is how long an owner's pool goes on with a rate that a holder
-	// has left to it. Until then the holder neither uses the rate itself nor
-	// leaves it to another owner.
+	// delegationTime is how long an owner's pool keeps using a rate that a holder has
+	// delegated to it. Until then the holder neither uses the rate itself nor delegates it
+	// to another owner.
 	lendTime = 3 * time.Second
-	// lendMargin is how much longer the holder waits: the owner looks at its
-	// ledgers only at each tick.
+	// delegationMargin is the additional time that the holder waits, because the owner
+	// checks its ledgers only once per tick.
 	lendMargin = 3 * tickInterval
-	// suspectGrace is how long a suspect member counts as heard, so that a false
-	// alarm that is soon refuted moves no ownership. Membership itself holds on
-	// to suspects for much longer where a whole zone or region is silent.
+	// suspectGrace is how long a suspect member still counts as reachable, so that a false
+	// suspicion that is soon refuted moves no ownership. Membership itself keeps members
+	// suspect for much longer if a whole zone or region is unreachable.
 	suspectGrace = time.Second
-	// lostShare of the members of a region, as a divisor: a region of which no
-	// more are heard is taken to be cut off. It is more than none, since the
-	// silence of the last members is noticed some seconds after that of the
-	// first, and less than the zones left of a region that lost one.
+	// partitionDivisor sets the share of a region's members, 1/partitionDivisor, at or
+	// below which the region is treated as partitioned. The share is above zero because the
+	// last members of a region are detected as unreachable some seconds after the first. It
+	// is below the share of members that remain in a region that lost one zone.
 	lostShare = 4
-	// lossMemory is how long members that are not heard count as possibly cut
-	// off.
+	// unreachableRetention is how long unreachable members count as possibly partitioned.
 	lossMemory = 30 * time.Minute
 
-	// contendedDivisor shortens the renew interval where demand exceeds the
-	// contract.
+	// contendedDivisor divides the renew interval if demand exceeds the contract.
 	contendedDivisor = 2
-	// batchDivisor is the part of the renew interval by which a claim goes out
-	// early with one that is due to the same owner.
+	// batchDivisor sets the fraction of the renew interval, 1/batchDivisor, by which a
+	// claim is sent early, together with a claim that is due to the same owner.
 	batchDivisor = 5
-	// pooledRenewal keeps a rate lent to the pool.
+	// pooledRenewal is the renew interval of a lease whose rate is delegated to the pool.
+	// It is shorter than delegationTime, so that the rate keeps feeding the pool.
 	pooledRenewal = 2 * time.Second
-	// settleDivisor is the part of the lease time that a new owner settles.
+	// settleDivisor sets the settling time of a new owner: the lease time divided by
+	// settleDivisor.
 	settleDivisor = 3
-	// reportDivisor is the part of the lease time over which holders spread
-	// their first claims to a new owner.
+	// reportDivisor sets the time over which holders spread their first claims to a new
+	// owner: the lease time divided by reportDivisor.
 	reportDivisor = 15
 )
 
@@ -68,20 +70,20 @@
 
 // Options configures a Manager.
 type Options struct {
-	// Host is this daemon's host as in the membership view.
+	// Host is the host of this daemon, as in the membership view.
 	Host string
-	// LeaseTime is how long a lease lasts without renewal. It must be the same
-	// on all daemons.
+	// LeaseTime is the duration of a lease that is not renewed. It must be the same on all
+	// daemons.
 	LeaseTime time.Duration
-	// RenewInterval is the longest time between claims of an active customer.
+	// RenewInterval is the longest time between two claims for an active customer.
 	RenewInterval time.Duration
-	// Now returns the time with a monotonic reading.
+	// Now returns the current time with a monotonic clock reading.
 	Now    func() time.Time
 	Peers  Peers
 	Logger *slog.Logger
 }
 
-// DefaultOptions returns options that lack only Host and Peers.
+// DefaultOptions returns the default options. Host and Peers are left to the caller.
 func DefaultOptions() Options {
 	return Options{
 		LeaseTime:     DefaultLeaseTime,
@@ -91,7 +93,7 @@
 	}
 }
 
-// withDefaults fills in what the caller left out.
+// withDefaults replaces zero values by the defaults.
 func (o Options) withDefaults() Options {
 	d := DefaultOptions()
 	if o.LeaseTime == 0 {
@@ -113,10 +115,10 @@
 func (o Options) settleTime() time.Duration       { return o.LeaseTime / settleDivisor }
 func (o Options) reportSpread() time.Duration     { return o.LeaseTime / reportDivisor }
 
-// rejoinTime is how long a region that was cut off may use leases of an owner on
-// its side: until all daemons know of the others again, and a lease longer.
+// rejoinTime is how long a formerly partitioned region may use leases from an owner on its
+// side: the time until all daemons see the members of the other side again, plus one lease.
 func (o Options) rejoinTime() time.Duration { return o.settleTime() + o.ownerLeaseTime() }
 
-// ownerLeaseTime is how long the owner charges a lease: a little longer than
-// the holder uses it, for clocks that run at different speeds.
+// ownerLeaseTime is how long the owner charges a lease: slightly longer than the holder uses
+// it, because clocks run at different speeds.
 func (o Options) ownerLeaseTime() time.Duration { return o.LeaseTime + o.LeaseTime/64 }
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -15,16 +15,15 @@
 	mu        sync.Mutex
 	fleet     *fleet
 	contracts map[string]*snapshot.Contract
-	// opensAt tells for each customer owned when its ledger may stop to
-	// settle.
+	// opensAt maps each owned customer to the earliest time at which its ledger stops
+	// settling.
 	opensAt map[string]time.Duration
 	ledgers map[string]*ledger
-	// running is whether there has been a beat yet, lastBeat when the last was.
+	// running is set after the first heartbeat; lastHeartbeat is the time of the last one.
 	running   bool
 	lastBeat  time.Duration
 	nextSweep time.Duration
-	// refuseUntil is the end of the time after a pause in which no claim is
-	// served.
+	// refuseUntil is the time until which no claim is served after a pause of the process.
 	refuseUntil time.Duration
 }
 
@@ -32,7 +31,7 @@
 	return &owner{opts: opts, opensAt: map[string]time.Duration{}, ledgers: map[string]*ledger{}}
 }
 
-// setFleet makes the owner take over and give up customers.
+// setFleet takes over and gives up customers according to the fleet.
 func (o *owner) setFleet(f *fleet, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -46,8 +45,8 @@
 	}
 }
 
-// setContracts takes over the contracts in force. The ledger of a customer that
-// is new to the fleet need not settle, as nobody can have granted anything.
+// setContracts replaces the contracts in force. The ledger of a customer that is new to the
+// fleet need not settle, since no owner can have granted anything.
 func (o *owner) setContracts(contracts map[string]*snapshot.Contract, now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -65,9 +64,9 @@
 		if o.contracts[customer] != nil || o.fleet == nil {
 			continue
 		}
-		// The pool of a customer that is new to the fleet is full: its first
-		// calls come after a quiet time. Filled from now on only, it would
-		// refuse them.
+		// The pool of a customer that is new to the fleet starts full, because its
+		// first calls follow a quiet period. If the pool filled only from now on, those
+		// calls would be refused.
 		opensAt := now - fillTime(contractAmount(c))
 		if first {
 			opensAt = now + o.opts.settleTime()
@@ -77,12 +76,12 @@
 	o.contracts = contracts
 }
 
-// fillTime is how long the rate of a contract takes to fill its burst.
+// fillTime returns the time in which the rate of a contract fills its burst.
 func fillTime(contract amount) time.Duration {
 	return time.Duration(min(contract.burst/contract.rate*float64(time.Second), float64(maxInterval)))
 }
 
-// reassign notes whether the customer is owned; a ledger that is taken up anew
+// reassign updates whether this daemon owns the customer. The ledger of a newly owned customer
 // settles until opensAt.
 func (o *owner) reassign(customer string, opensAt, now time.Duration) {
 	if !o.fleet.ownsSelf(customer) {
@@ -132,7 +131,7 @@
 	return l.claim(now, o.fleet, id, sequence, c)
 }
 
-// beat tells that the process runs, and drops what has ended.
+// heartbeat records that the process is running, and drops leases and ledgers that have ended.
 func (o *owner) beat(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -151,11 +150,10 @@
 	}
 }
 
-// checkBeat finds that the process was stopped, and gives up what it owned
-// before it acts on it: others may have taken it for dead, elected another
-// owner and been granted the whole contract by that one. Without this, claims
-// that waited in the socket are granted out of a ledger that knows nothing of
-// the other's.
+// detectPause checks whether the process was paused. If so, it gives up ownership before acting
+// on it: other daemons may have declared this one dead and elected another owner, which may
+// have granted the whole contract. Without this check, claims that waited in the socket would
+// be granted from a ledger that does not include the other owner's leases.
 func (o *owner) checkBeat(now time.Duration) {
 	gap := now - o.lastBeat
 	if !o.running || gap <= maxBeatGap {
@@ -163,8 +161,8 @@
 	}
 	o.opts.Logger.Warn("quota: paused, ownership starts anew", "gap", gap)
 	o.lastBeat = now
-	// The holders that sent what has waited meanwhile have given up on it.
-	// Taken at their word, they would be charged for what they no longer hold.
+	// The holders whose requests waited during the pause have given up on them. If these
+	// claims were accepted, the holders would be charged for what they no longer hold.
 	o.refuseUntil = now + askTimeout
 	for customer := range o.opensAt {
 		o.opensAt[customer] = now + o.opts.settleTime()
@@ -175,7 +173,7 @@
 	}
 }
 
-// size returns the number of ledgers and of leases in them.
+// size returns the number of ledgers and the number of leases in them.
 func (o *owner) size() (ledgers, leases int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// pool is the token bucket of what a ledger has not leased.
+// pool is the token bucket of the part of a contract that is not leased.
 type pool struct {
-	// level in tokens. It is negative after calls that were admitted without a
-	// lease, until they are made up for.
+	// level is the number of tokens. It is negative after calls that were admitted without
+	// a lease, until the rate has made up for them.
 	level float64
 	at    time.Duration
 }
 
-// refill adds what has come in since the last time.
+// refill adds the tokens that have accumulated since the last refill.
 func (p *pool) refill(now time.Duration, rate, capacity float64) {
 	if now > p.at {
 		p.level += rate * (now - p.at).Seconds()
@@ -34,7 +34,7 @@
 	p.level = min(p.level+n, max(p.level, capacity))
 }
 
-// repay takes tokens that were used in advance, down to a bound.
+// deduct subtracts tokens that were used in advance. The level does not fall below -bound.
 func (p *pool) repay(n, bound float64) {
 	p.level = max(p.level-n, -bound)
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// alone returns a Manager that is the whole fleet, past settling, and its
+// singleDaemon returns the Manager of a fleet of one daemon that has finished settling, and its
 // clock.
 func alone(t *testing.T, c *snapshot.Contract) (m *Manager, clock *time.Duration) {
 	t.Helper()
@@ -46,9 +46,9 @@
 	must.Between(t, 90, admitted, 105)
 }
 
-// A burst comes after a quiet time, from callers who do not wait. The lease that
-// the daemon is then given has a bucket of most of the burst; the tokens for it
-// come along from the owner's pool, which has no room for them any more.
+// A burst arrives after a quiet period, from callers that do not wait. The daemon is then
+// granted a lease whose bucket is most of the burst. The tokens for it are sent along from the
+// owner's pool, which has no room for them any more.
 func TestManager_givesTheWholeBurst(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 1, Burst: 50}
 	m, clock := alone(t, c)
@@ -90,8 +90,8 @@
 	must.NoError(t, err)
 }
 
-// Calls in flight outlive the lease that they were admitted from. The holder
-// tells them even without a lease, or the owner would grant their slots again.
+// Calls in flight outlive the lease that admitted them. The holder reports them even without a
+// lease, since the owner would otherwise grant their slots again.
 func TestAccount_tellsCallsInFlight(t *testing.T) {
 	a := newAccount(&snapshot.Contract{Customer: "acme", MaxConcurrent: 5})
 	a.inFlight.Store(3)
--- a/quota/run_test.go
+++ b/quota/run_test.go
@@ -18,7 +18,7 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// localPeers hands requests to Managers of this process, 1 ms away.
+// localPeers delivers requests to Managers of this process, with a delay of 1 ms.
 type localPeers struct {
 	from     string
 	managers map[string]*Manager
@@ -28,7 +28,7 @@
 func (p *localPeers) SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
 	if p.silent {
 		<-ctx.Done()
-		return nil, errors.Wrap(ctx.Err(), "ask owner")
+		return nil, errors.Wrap(ctx.Err(), "send claims to the owner")
 	}
 	select {
 	case <-ctx.Done():
@@ -38,8 +38,8 @@
 	return p.managers[owner.Host].Serve(ctx, p.from, req), nil
 }
 
-// fleetOf runs Managers in a synctest bubble until the test ends, and returns
-// one that does not own the customer, with its network.
+// fleetOf runs Managers in a synctest bubble until the test ends. It returns one that does not
+// own the customer, and its network.
 func fleetOf(t *testing.T, c *snapshot.Contract, hosts ...string) (*Manager, *localPeers) {
 	view := &membership.View{}
 	managers := map[string]*Manager{}
@@ -71,10 +71,10 @@
 	return managers[stranger], peers[stranger]
 }
 
-// A customer that has been idle sends its burst to one daemon at once. None of
-// the calls has a token there; they wait for the owner's pool and are admitted a
-// round trip or two later. One may be left out, as a part of a token may lie on
-// either side. The next calls are refused.
+// An idle customer sends its burst to one daemon at once. The daemon has no token for any of
+// these calls, so they wait for the owner's pool and are admitted one or two round trips later.
+// One call may be refused, because fractions of a token may be on either side. Further calls
+// are refused.
 func TestAdmitWait_getsBurstFromThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &snapshot.Contract{Customer: "acme", Rate: 10, Burst: 50}
@@ -100,8 +100,8 @@
 	})
 }
 
-// The owner does not answer. A call without a lease waits no longer than
-// admitWait and is refused; one whose caller goes away leaves at once.
+// The owner does not answer. A call without a lease is refused after admitWait; a call whose
+// caller gives up is refused immediately.
 func TestAdmitWait_isBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &snapshot.Contract{Customer: "acme", Rate: 1, Burst: 1}
--- a/quota/share.go
+++ b/quota/share.go
@@ -3,37 +3,38 @@
 import "math"
 
 const (
-	// rateHeadroom is how much more than its demand a holder wants, so that
-	// chance and slow growth do not make it ask.
+	// rateHeadroom is the ratio of the rate that a holder requests to its demand, so that
+	// random variation and slow growth trigger no additional claims.
 	rateHeadroom = 1.25
-	// slotHeadroom is the same for calls in flight.
+	// slotHeadroom is the same ratio for calls in flight.
 	slotHeadroom = 1.25
-	// burstTime is how much of its rate a holder wants to store.
+	// burstTime is the part of its rate that a holder stores, as a time.
 	burstTime = 0.5 // seconds
-	// minLocalBurst is the smallest bucket worth having at a holder; a smaller
-	// one loses most of its rate to overflow.
+	// minLocalBurst is the smallest useful bucket at a holder. A smaller bucket loses most
+	// of its rate to overflow.
 	minLocalBurst = 1.75
-	// spareBurst is how much more there must be for each holder before one that
-	// has no bucket gets one.
+	// spareBurst is the additional burst per holder that must be free before a holder
+	// without a bucket gets one.
 	spareBurst = 0.25
-	// calmBurstShare is the part of the contract's burst that buckets at the
-	// holders may have; the owner's pool has the rest. contendedBurstShare is
-	// the same where the pool is drawn on more, and a small one would overflow.
+	// uncontendedBurstShare is the share of the contract's burst that the buckets at the
+	// holders may have; the owner's pool has the rest. contendedBurstShare is the share for
+	// a contended contract: its pool is used more, and a small pool would overflow.
 	calmBurstShare      = 0.85
 	contendedBurstShare = 0.65
-	// contendedShare of the contract that is wanted makes it contended.
+	// contendedShare is the share of the available amount above which the wanted amount
+	// counts as contended.
 	contendedShare = 0.9
-	// nearShare is the change of a rate that is not worth making.
+	// rateTolerance is the relative change of a rate that is too small to be worth making.
 	nearShare = 0.15
-	// settlingShare of the contract is what an owner that settles may grant
-	// beyond what was reported to it.
+	// settlingShare is the share of the contract that a settling owner may grant beyond the
+	// amounts that were reported to it.
 	settlingShare = 0.02
 )
 
 // wantedRate returns the rate that serves a demand.
 func wantedRate(demand float64) float64 { return rateHeadroom * demand }
 
-// wantedBurst returns what a bucket with a rate should hold.
+// wantedBurst returns the size of the bucket for a rate.
 func wantedBurst(rate float64) float64 {
 	if rate == 0 {
 		return 0
@@ -41,7 +42,7 @@
 	return minLocalBurst + burstTime*rate
 }
 
-// wantedSlots returns the slots that serve a number of calls in flight.
+// wantedSlots returns the number of slots that serve a number of calls in flight.
 func wantedSlots(inUse float64) float64 {
 	if inUse == 0 {
 		return 0
@@ -49,27 +50,27 @@
 	return math.Ceil(slotHeadroom * inUse)
 }
 
-// near reports whether two rates are so close that a change would only shift
-// quota about: while an answer is on its way the larger of both is charged.
+// withinTolerance reports whether two rates are so close that a change would only move quota
+// back and forth: while an answer is under way, the larger of both is charged.
 func near(a, b float64) bool { return math.Abs(a-b) <= nearShare*b }
 
-// crowd is all holders of a contract taken together.
+// aggregateDemand is the demand of all holders of a contract together.
 type crowd struct {
 	demand float64
 	inUse  float64
-	// holders with demand.
+	// holders is the number of holders with demand.
 	holders float64
 }
 
-// division divides what there is of a contract among all holders.
+// division divides the available part of a contract among all holders.
 type division struct {
 	available amount
-	// burst of the contract.
+	// burst is the burst of the contract.
 	burst float64
 	all   crowd
 }
 
-// contended reports whether holders want about as much as there is.
+// contended reports whether holders want nearly as much as is available, or more.
 func (d *division) contended() bool {
 	return wantedRate(d.all.demand) > contendedShare*d.available.rate
 }
@@ -78,8 +79,8 @@
 	return wantedSlots(d.all.inUse) > contendedShare*d.available.slots
 }
 
-// localBurst returns how much of the burst may lie in buckets at the holders.
-// The pool keeps room for one call at least.
+// localBurst returns the part of the burst that the buckets at the holders may have. The pool
+// keeps room for at least one call.
 func (d *division) localBurst() float64 {
 	share := calmBurstShare
 	if d.contended() {
@@ -88,23 +89,23 @@
 	return max(0, min(share*d.burst, d.burst-1))
 }
 
-// share returns what a holder should have that is one of all and holds a bucket
-// already, or none.
+// share returns the amount that a holder should have, given its demand and the size of the
+// bucket that it already has, which may be 0.
 //
-// Where demand exceeds what is there, holders get it in proportion to their
-// demand, but for a remainder: a bucket that overflows now and then loses what
-// the pool would give to another. A small bucket overflows more often, so the
-// remainder is larger.
+// If demand exceeds the available rate, holders get rates in proportion to their demand, less a
+// remainder that goes to the pool: a bucket that overflows occasionally loses tokens that the
+// pool would give to another holder. A small bucket overflows more often, so its remainder is
+// larger.
 func (d *division) share(demand, inUse, heldBurst float64) amount {
 	burst := d.burstShare(demand, heldBurst)
 	return amount{rate: d.rateShare(demand, burst), burst: burst, slots: d.slotShare(inUse)}
 }
 
-// burstShare returns the size of the bucket, 0 where the burst does not give
-// each holder minLocalBurst.
+// burstShare returns the size of the bucket, or 0 if the burst does not allow minLocalBurst for
+// each holder.
 //
-// A holder that has none gets one only where there is room to spare: going to
-// and fro costs the rate that is charged for both uses at once.
+// A holder without a bucket gets one only if there is burst to spare: switching back and forth
+// costs rate, because the rate is charged for both uses at once.
 func (d *division) burstShare(demand, held float64) float64 {
 	free := d.localBurst() - minLocalBurst*d.all.holders
 	if held == 0 && free < spareBurst*d.all.holders || free < 0 || demand == 0 {
@@ -124,7 +125,7 @@
 	return demand * min(rateHeadroom, share)
 }
 
-// slotShare returns whole slots; one at least to a holder that needs any.
+// slotShare returns whole slots, and at least one for a holder that needs any.
 func (d *division) slotShare(inUse float64) float64 {
 	if inUse == 0 {
 		return 0
@@ -133,8 +134,8 @@
 	return min(wantedSlots(inUse), max(1, share))
 }
 
-// expectedRate returns what a holder with a demand may expect to admit, tokens
-// from the pool included.
+// expectedRate returns the rate that a holder with the given demand may expect to admit,
+// including tokens from the pool.
 func (d *division) expectedRate(demand float64) float64 {
 	if demand == 0 {
 		return 0
@@ -142,8 +143,8 @@
 	return d.available.rate * demand / d.all.demand
 }
 
-// localShare returns the part of its demand that a holder with a bucket gets as
-// a rate of its own, so that about 2 % of it is lost to overflow.
+// localShare returns the share of its demand that a holder with a bucket gets as its own rate,
+// so that about 2 % of that rate is lost to overflow.
 func localShare(burst float64) float64 {
 	return max(0, 1-1.25/burst)
 }
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -16,8 +16,8 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// world runs the Managers of a fleet by virtual time, one event after another,
-// with a fake network in between. The same seed gives the same run.
+// world simulates a fleet of Managers in virtual time, one event after another, with a fake
+// network between them. The same seed produces the same run.
 type world struct {
 	base    time.Time
 	now     time.Duration
@@ -28,7 +28,7 @@
 	cut     func(a, b *daemon) bool
 	byHost  map[string]*daemon
 	members []*membership.Member
-	// messages counts requests that left a daemon.
+	// messages counts the requests sent by all daemons.
 	messages int
 	bytes    int
 	// waits counts calls that waited for an owner.
@@ -67,7 +67,7 @@
 	dead    bool
 	paused  bool
 	backlog []func()
-	// view is what this daemon believes of each member.
+	// view is this daemon's view of each member.
 	view    []*membership.Member
 	waiting []*waitingCall
 	sent    int
@@ -117,7 +117,7 @@
 	return m
 }
 
-// boot starts a new process on a host, which knows the whole fleet as it is.
+// boot starts a new process on a host. Its initial view is the actual state of the fleet.
 func (w *world) boot(d *daemon, contracts map[string]*snapshot.Contract) {
 	d.dead, d.paused = false, false
 	d.backlog, d.waiting = nil, nil
@@ -130,8 +130,8 @@
 	w.after(offset, func() { d.tick(m) })
 }
 
-// truth returns the members as they are. The slice is shared until somebody
-// comes to believe otherwise.
+// actualMembers returns the actual state of all members. Daemons share the member values until
+// their views differ.
 func (w *world) truth() []*membership.Member {
 	if w.members == nil {
 		for _, o := range w.daemons {
@@ -160,7 +160,7 @@
 	d.m.SetView(&membership.View{Self: d.view[d.index], Members: slices.Clone(d.view)})
 }
 
-// believe changes what this daemon believes of another after a delay.
+// setLiveness changes this daemon's view of another daemon after a delay.
 func (d *daemon) believe(o *daemon, l membership.Liveness, after time.Duration) {
 	w, m := d.w, d.m
 	w.after(after, func() {
@@ -191,7 +191,7 @@
 	w.now = end
 }
 
-// act runs something in the process: later if it is paused, not if it is dead.
+// execute runs an event in the process: later if the process is paused, never if it is dead.
 func (d *daemon) act(run func()) {
 	switch {
 	case d.dead:
@@ -212,7 +212,7 @@
 	d.w.after(tickInterval, func() { d.tick(m) })
 }
 
-// pump lets the Manager do what is due.
+// step lets the Manager do the work that is due.
 func (d *daemon) pump() {
 	for _, q := range d.m.step(d.m.now()) {
 		d.send(q)
@@ -227,8 +227,8 @@
 	return zoneHop
 }
 
-// send carries one exchange over the network. The asker gives up after
-// askTimeout; a late answer is dropped, a late request is served.
+// send simulates one exchange over the network. The sender gives up after requestTimeout; a
+// late answer is dropped, a late request is served.
 func (d *daemon) send(q *ask) {
 	w, m := d.w, d.m
 	w.messages++
@@ -268,7 +268,7 @@
 	return w.byHost[host]
 }
 
-// call is AdmitWait by virtual time.
+// call is AdmitWait in virtual time.
 func (d *daemon) call(c *snapshot.Contract, done func(admitted bool)) {
 	if d.dead || d.paused {
 		done(false)
@@ -285,7 +285,7 @@
 	d.pump()
 }
 
-// run holds an admitted call for as long as a call takes.
+// run keeps an admitted call in flight for callTime.
 func (d *daemon) run(a *account, done func(admitted bool)) {
 	done(true)
 	d.w.after(callTime, func() { a.grant.Done() })
@@ -307,7 +307,7 @@
 	d.waiting = append(d.waiting, call)
 }
 
-// settleWaiting tries the calls again whose answer is there.
+// retryWaiting retries the waiting calls whose answer has arrived.
 func (d *daemon) settleWaiting() {
 	now := d.m.now()
 	calls := d.waiting
@@ -335,9 +335,9 @@
 	}
 }
 
-// Faults. What the others come to believe, and when, follows the defaults of
-// package membership: a silent member is suspect after some 2 s and dead 4 s
-// later; where a whole zone or region is silent its members stay suspect.
+// Faults. When and how the views of the other daemons change follows the defaults of package
+// membership: a silent member is suspect after about 2 s and dead 4 s later; if a whole zone or
+// region is silent, its members stay suspect.
 
 func (w *world) kill(d *daemon) {
 	d.dead = true
@@ -363,7 +363,7 @@
 	}
 }
 
-// wake lets the process act on what has piled up, in order.
+// resume runs the events that have accumulated during the pause, in order.
 func (w *world) wake(d *daemon) {
 	d.paused = false
 	backlog := d.backlog
@@ -377,7 +377,7 @@
 	}
 }
 
-// cutOff separates those on the side from the others.
+// partition separates the daemons for which side returns true from the others.
 func (w *world) cutOff(side func(*daemon) bool) {
 	w.cut = func(a, b *daemon) bool { return side(a) != side(b) }
 	for _, d := range w.daemons {
@@ -404,9 +404,9 @@
 	return lo + time.Duration(w.rng.Int64N(int64(hi-lo)))
 }
 
-// authority returns the rate in calls per second at which all daemons together
-// could admit: what holders have in use, and what owners fill their pools with.
-// A paused process counts, as it may be woken.
+// admissibleRate returns the rate, in calls per second, at which all daemons together could
+// admit: the rates that holders use and the rates that fill the owners' pools. A paused process
+// counts, since it may resume.
 func (w *world) authority(c *snapshot.Contract) float64 {
 	sum := 0.0
 	for _, d := range w.daemons {
@@ -431,8 +431,8 @@
 	daemon int
 }
 
-// arrivals draws Poisson calls for the rates that rate gives for each daemon at
-// each time, in calls per second.
+// arrivals draws calls from a Poisson process. rate returns the rate at a daemon and time, in
+// calls per second.
 func arrivals(seed uint64, daemons int, until time.Duration, rate func(daemon int, at time.Duration) float64) []arrival {
 	const step = 100 * time.Millisecond
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -453,7 +453,7 @@
 	return list
 }
 
-// feed lets the calls arrive, counted from now.
+// feed schedules the arrivals, with times relative to now.
 func (w *world) feed(list []arrival, call func(arrival)) {
 	start := w.now
 	var next func(i int)
--- a/quota/ways_test.go
+++ b/quota/strategies_test.go
@@ -7,14 +7,13 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// The four ways to hold a customer to one contract, on the same calls and
-// faults. quotaLeases is this package; the other three are models of the way,
-// kinder than a real one would be: they have no queues and no lost messages but
-// those of the faults.
+// strategy is one of four ways to enforce a contract, compared on the same calls and faults.
+// quotaLeases is this package. The other three are idealized models: they have no queues and
+// lose no messages except through the simulated faults.
 type strategy interface {
 	// call decides on one call.
 	call(d *daemon, done func(admitted bool))
-	// messages sent so far.
+	// messages returns the number of messages sent so far.
 	messages() int
 }
 
@@ -37,7 +36,7 @@
 	return true
 }
 
-// equalSplit gives each daemon that is heard the same part.
+// equalSplit gives each reachable daemon an equal part of the contract.
 type equalSplit struct {
 	c       *snapshot.Contract
 	buckets []bucket
@@ -57,7 +56,7 @@
 	done(b.take())
 }
 
-// askOwner asks the owner on every call.
+// askOwner requests each call's token from the owner.
 type askOwner struct {
 	c       *snapshot.Contract
 	buckets []bucket
@@ -102,13 +101,13 @@
 	})
 }
 
-// gossip has each daemon take the calls of all, as far as it has heard of them,
-// out of its own bucket for the whole contract.
+// gossip lets each daemon deduct the calls admitted on all daemons, as far as it has received
+// their counts, from its own bucket for the whole contract.
 type gossip struct {
 	c       *snapshot.Contract
 	w       *world
 	buckets []bucket
-	// counts[i][j] is what daemon i knows of the calls that j admitted.
+	// counts[i][j] is the number of calls admitted by daemon j that daemon i knows of.
 	counts [][]int
 	sent   int
 }
@@ -169,7 +168,7 @@
 	}
 }
 
-// quotaLeases is this package.
+// quotaLeases uses the Managers of this package.
 type quotaLeases struct {
 	c *snapshot.Contract
 	w *world
