--- a/quota/account.go
+++ b/quota/account.go
@@ -18,7 +18,7 @@
 	// lease is the latest lease from the owner.
 	lease atomic.Pointer[lease]
 	// fallback is the small amount that may be used without a valid lease.
-	spare atomic.Pointer[lease]
+	fallback atomic.Pointer[lease]
 	// arrivals counts all calls, including refused ones.
 	arrivals atomic.Int64
 	inFlight atomic.Int64
@@ -29,30 +29,30 @@
 	// active is set while the holder maintains the account.
 	active atomic.Bool
 	// queued is set while the account is in the holder's queue.
-	kicked atomic.Bool
+	queued atomic.Bool
 	// pending is the next claim. Calls that wait for its answer register there.
-	round atomic.Pointer[round]
+	pending atomic.Pointer[pendingClaim]
 	// notBefore is the time before which a call without a token triggers no claim.
 	notBefore atomic.Int64
 	// lastRetryAt is the latest time at which a refused call was told to retry.
-	promised atomic.Int64
+	lastRetryAt atomic.Int64
 
 	contract *snapshot.Contract
 	demand   demand
 	// listed is set while the account is in the holder's list of active accounts.
 	listed bool
 	// missed is set if a call found no token or slot since the latest claim.
-	wanting bool
+	missed bool
 	owner   *membership.Member
 	// awaiting is set while the answer to a claim is outstanding.
-	asking bool
+	awaiting bool
 	// nextClaim is the time at which the next claim is due.
 	nextClaim time.Duration
 	// reported is the demand in the latest claim, in calls per second.
 	reported float64
 	// overflow is the number of tokens that did not fit into the bucket. They are returned
 	// to the owner's pool.
-	over float64
+	overflow float64
 	// failures counts consecutive claims that were not granted.
 	failures int
 	// tickPeak is the peak of the last tick, claimPeak the peak since the latest claim.
@@ -66,17 +66,17 @@
 }
 
 // pendingClaim is one claim as seen by the calls that wait for its answer.
-type round struct {
+type pendingClaim struct {
 	waiters atomic.Int64
 	done    chan struct{}
 }
 
-func newRound() *round { return &round{done: make(chan struct{})} }
+func newPendingClaim() *pendingClaim { return &pendingClaim{done: make(chan struct{})} }
 
 func newAccount(c *snapshot.Contract) *account {
 	a := &account{customer: c.Customer, contract: c}
 	a.grant.account = a
-	a.round.Store(newRound())
+	a.pending.Store(newPendingClaim())
 	return a
 }
 
@@ -86,13 +86,13 @@
 	if l := a.lease.Load(); l.valid(now) {
 		return l, true
 	}
-	return a.spare.Load(), false
+	return a.fallback.Load(), false
 }
 
 // admit takes a slot and a token. It returns nil if it has taken both.
 func (a *account) admit(now time.Duration, maxConcurrent int) *errkind.Error {
 	l, leased := a.current(now)
-	if !a.enter(l, maxConcurrent) {
+	if !a.acquireSlot(l, maxConcurrent) {
 		return errConcurrency
 	}
 	if !l.take(now) {
@@ -106,9 +106,9 @@
 }
 
 // acquireSlot counts a call in flight if a slot is free for it.
-func (a *account) enter(l *lease, maxConcurrent int) bool {
+func (a *account) acquireSlot(l *lease, maxConcurrent int) bool {
 	n := a.inFlight.Add(1)
-	raise(&a.peak, n)
+	storeMax(&a.peak, n)
 	if maxConcurrent > 0 && n > int64(l.slots) {
 		a.inFlight.Add(-1)
 		return false
@@ -117,7 +117,7 @@
 }
 
 // canAdmit reports whether the account holds a token, so that a claim for one would be wasted.
-func (a *account) hasMeans(now time.Duration) bool {
+func (a *account) canAdmit(now time.Duration) bool {
 	l, leased := a.current(now)
 	return leased && (l.prepaid.Load() > 0 || l.nextToken(now) == 0)
 }
@@ -126,25 +126,25 @@
 // told to retry one after another, at the rate that new calls leave unused.
 func (a *account) retryAfter(now time.Duration) time.Duration {
 	l, leased := a.current(now)
-	interval := intervalOf(l.returnRate)
+	interval := intervalOf(l.retryRate)
 	if !leased || interval == 0 {
 		return retryWithoutLease
 	}
 	first := now + min(l.nextToken(now), interval)
 	for {
-		old := a.promised.Load()
+		old := a.lastRetryAt.Load()
 		at := max(first, time.Duration(old)+interval)
 		if at-now > maxRetryAfter {
 			return maxRetryAfter
 		}
-		if a.promised.CompareAndSwap(old, int64(at)) {
+		if a.lastRetryAt.CompareAndSwap(old, int64(at)) {
 			return at - now
 		}
 	}
 }
 
 // storeMax sets v to n if n is larger.
-func raise(v *atomic.Int64, n int64) {
+func storeMax(v *atomic.Int64, n int64) {
 	for {
 		old := v.Load()
 		if n <= old || v.CompareAndSwap(old, n) {
--- a/quota/admit.go
+++ b/quota/admit.go
@@ -34,11 +34,11 @@
 func (m *Manager) Admit(c *snapshot.Contract) (*Grant, error) {
 	a, now := m.account(c), m.now()
 	a.arrivals.Add(1)
-	err := m.try(a, now, c)
+	err := m.tryAdmit(a, now, c)
 	if err == nil {
 		return &a.grant, nil
 	}
-	m.miss(a, now)
+	m.requestClaim(a, now)
 	return nil, m.refusal(a, now, err)
 }
 
@@ -49,7 +49,7 @@
 func (m *Manager) AdmitWait(ctx context.Context, c *snapshot.Contract) (*Grant, error) {
 	a, now := m.account(c), m.now()
 	a.arrivals.Add(1)
-	err := m.try(a, now, c)
+	err := m.tryAdmit(a, now, c)
 	if err == nil {
 		return &a.grant, nil
 	}
@@ -57,37 +57,37 @@
 	defer timeout.Stop()
 	// The first claim may have been sent already; the second one includes this call.
 	for range 2 {
-		if !a.worthAsking(now) || !m.await(ctx, a, timeout.C) {
+		if !a.claimAllowed(now) || !m.awaitClaim(ctx, a, timeout.C) {
 			break
 		}
 		now = m.now()
-		if err = m.try(a, now, c); err == nil {
+		if err = m.tryAdmit(a, now, c); err == nil {
 			return &a.grant, nil
 		}
 	}
 	return nil, m.refusal(a, now, err)
 }
 
-func (m *Manager) try(a *account, now time.Duration, c *snapshot.Contract) *errkind.Error {
+func (m *Manager) tryAdmit(a *account, now time.Duration, c *snapshot.Contract) *errkind.Error {
 	if !a.active.Load() && a.active.CompareAndSwap(false, true) {
-		m.kick(a)
+		m.enqueue(a)
 	}
 	return a.admit(now, c.MaxConcurrent)
 }
 
 // requestClaim queues the account for a claim if one is worthwhile, and does not wait for it.
-func (m *Manager) miss(a *account, now time.Duration) {
-	if a.worthAsking(now) {
-		m.kick(a)
+func (m *Manager) requestClaim(a *account, now time.Duration) {
+	if a.claimAllowed(now) {
+		m.enqueue(a)
 	}
 }
 
 // awaitClaim registers with the next claim and waits for its answer. It returns false if ctx or
 // timeout ends first.
-func (m *Manager) await(ctx context.Context, a *account, timeout <-chan time.Time) bool {
-	r := a.round.Load()
+func (m *Manager) awaitClaim(ctx context.Context, a *account, timeout <-chan time.Time) bool {
+	r := a.pending.Load()
 	r.waiters.Add(1)
-	m.kick(a)
+	m.enqueue(a)
 	select {
 	case <-r.done:
 		return true
@@ -99,7 +99,7 @@
 
 // claimAllowed reports whether the owner may have tokens to give, so that a claim is
 // worthwhile.
-func (a *account) worthAsking(now time.Duration) bool {
+func (a *account) claimAllowed(now time.Duration) bool {
 	return int64(now) >= a.notBefore.Load()
 }
 
@@ -112,14 +112,14 @@
 }
 
 // enqueue queues an account for the holder. If the queue is full, the next call tries again.
-func (m *Manager) kick(a *account) {
-	if !a.kicked.CompareAndSwap(false, true) {
+func (m *Manager) enqueue(a *account) {
+	if !a.queued.CompareAndSwap(false, true) {
 		return
 	}
 	select {
-	case m.holder.kicks <- a:
+	case m.holder.queue <- a:
 	default:
-		a.kicked.Store(false)
+		a.queued.Store(false)
 		a.active.Store(false)
 	}
 }
--- a/quota/amount.go
+++ b/quota/amount.go
@@ -22,7 +22,7 @@
 }
 
 func amountFromProto(p *quotapb.Amount) amount {
-	return amount{rate: sane(p.GetRate()), burst: sane(p.GetBurst()), slots: float64(p.GetSlots())}
+	return amount{rate: validOrZero(p.GetRate()), burst: validOrZero(p.GetBurst()), slots: float64(p.GetSlots())}
 }
 
 // maxAmount exceeds any rate or burst that a contract may have.
@@ -30,7 +30,7 @@
 
 // validOrZero returns x, a number from a peer, if it is in the valid range, and 0 otherwise. A
 // NaN would corrupt every later sum.
-func sane(x float64) float64 {
+func validOrZero(x float64) float64 {
 	if x >= 0 && x <= maxAmount {
 		return x
 	}
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -15,7 +15,7 @@
 )
 
 // managerWithLease returns a Manager with a lease that admits millions of calls.
-func warmed(tb testing.TB) (*Manager, *snapshot.Contract) {
+func managerWithLease(tb testing.TB) (*Manager, *snapshot.Contract) {
 	tb.Helper()
 	c := &snapshot.Contract{Customer: "acme", Rate: 1e6, Burst: 1e6, MaxConcurrent: 1000}
 	m := New(Options{Host: "a"})
@@ -31,7 +31,7 @@
 }
 
 func TestAdmit_allocatesNothing(t *testing.T) {
-	m, c := warmed(t)
+	m, c := managerWithLease(t)
 	allocs := testing.AllocsPerRun(1000, func() {
 		g, err := m.Admit(c)
 		if err != nil {
@@ -43,7 +43,7 @@
 }
 
 func BenchmarkAdmit(b *testing.B) {
-	m, c := warmed(b)
+	m, c := managerWithLease(b)
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
@@ -55,7 +55,7 @@
 }
 
 func BenchmarkAdmit_refused(b *testing.B) {
-	m, c := warmed(b)
+	m, c := managerWithLease(b)
 	m.account(c).lease.Store(newLease(amount{slots: 1e6}, true, m.now(), forever))
 	m.account(c).notBefore.Store(int64(forever))
 	b.ReportAllocs()
@@ -68,7 +68,7 @@
 func BenchmarkServe(b *testing.B) {
 	for _, holders := range []int{10, 100, 900} {
 		b.Run(fmt.Sprintf("holders=%d", holders), func(b *testing.B) {
-			m, _ := warmed(b)
+			m, _ := managerWithLease(b)
 			reqs := make([]*quotapb.Request, holders)
 			for i := range reqs {
 				reqs[i] = &quotapb.Request{Boot: uint64(i), Claims: []*quotapb.Claim{{Customer: "acme", GrantedBy: 1, Demand: 5, Need: 1}}}
@@ -76,7 +76,7 @@
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%1000 == 0 {
-					m.owner.beat(m.now())
+					m.owner.heartbeat(m.now())
 				}
 				req := reqs[i%holders]
 				req.Sequence++
@@ -89,13 +89,13 @@
 // BenchmarkExchange measures the cost of one claim on both sides, including encoding but not
 // the network.
 func BenchmarkExchange(b *testing.B) {
-	m, c := warmed(b)
+	m, c := managerWithLease(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		a := m.account(c)
 		now := m.now()
-		m.owner.beat(now)
-		m.holder.kicked(a, now)
+		m.owner.heartbeat(now)
+		m.holder.activate(a, now)
 		for _, q := range m.holder.step(now) {
 			req, answer := new(quotapb.Request), new(quotapb.Answer)
 			copyProto(b, q.request, req)
@@ -117,7 +117,7 @@
 
 // BenchmarkSetView measures the cost of a membership change in a fleet of 910 members.
 func BenchmarkSetView(b *testing.B) {
-	m, contracts, view := large()
+	m, contracts, view := largeFleet()
 	m.SetContracts(contracts)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -132,7 +132,7 @@
 }
 
 // largeFleet returns a Manager with 910 members in its view, and 300 contracts.
-func large() (*Manager, map[string]*snapshot.Contract, *membership.View) {
+func largeFleet() (*Manager, map[string]*snapshot.Contract, *membership.View) {
 	view := &membership.View{}
 	for i := range 910 {
 		view.Members = append(view.Members, &membership.Member{
@@ -154,7 +154,7 @@
 // granted.
 func BenchmarkState(b *testing.B) {
 	for b.Loop() {
-		m, contracts, _ := large()
+		m, contracts, _ := largeFleet()
 		start := heapBytes()
 		m.SetContracts(contracts)
 		known := heapBytes()
@@ -203,23 +203,23 @@
 					contracts[i] = &snapshot.Contract{Customer: fmt.Sprint("customer", i), Rate: rate, Burst: n.burst * rate}
 				}
 				w := newWorld(simZones, n.perZone, contracts...)
-				w.runUntil(simWarm)
+				w.runUntil(simWarmup)
 				var k counter
 				pair := callsPerDaemon * float64(simZones) / float64(n.customers)
 				for i, c := range contracts {
 					zone := i % simZones
 					for _, d := range w.daemons[zone*n.perZone : (zone+1)*n.perZone] {
-						w.load(d, c, pair, simWarm+length, &k)
+						w.load(d, c, pair, simWarmup+length, &k)
 					}
 				}
-				w.runUntil(simWarm + 10*time.Second)
+				w.runUntil(simWarmup + 10*time.Second)
 				messages, bytes, waits := w.messages, w.bytes, w.waits
-				w.runUntil(simWarm + length)
+				w.runUntil(simWarmup + length)
 				seconds := (length - 10*time.Second).Seconds() * float64(daemons)
 				b.ReportMetric(float64(w.messages-messages)/seconds, "asks/s/daemon")
 				b.ReportMetric(float64(w.bytes-bytes)/seconds, "B/s/daemon")
 				b.ReportMetric(100*float64(w.waits-waits)/(callsPerDaemon*seconds), "%waiting")
-				b.ReportMetric(100*k.share(simWarm+10*time.Second, simWarm+length), "%admitted")
+				b.ReportMetric(100*k.share(simWarmup+10*time.Second, simWarmup+length), "%admitted")
 			}
 		})
 	}
--- a/quota/claim.go
+++ b/quota/claim.go
@@ -10,30 +10,30 @@
 const (
 	// shrinkThreshold is the share of a lease's rate below which the wanted rate must fall
 	// before the lease shrinks. Smaller differences are not worth a change.
-	keepShare = 0.9
+	shrinkThreshold = 0.9
 	// negligibleDemand is the demand in calls per second below which it is reported as
 	// zero.
-	quietDemand = 0.02
+	negligibleDemand = 0.02
 )
 
 // due reports whether a claim should be sent now.
 func (a *account) due(now time.Duration) bool {
-	if a.asking || a.owner == nil {
+	if a.awaiting || a.owner == nil {
 		return false
 	}
 	if now >= a.nextClaim {
 		return true
 	}
-	return a.wanting && int64(now) >= a.notBefore.Load()
+	return a.missed && int64(now) >= a.notBefore.Load()
 }
 
 // needsEarlyClaim reports whether the owner should be informed of a change before the next
 // renewal.
-func (a *account) drifted(now time.Duration) bool {
-	if a.failures > 0 || a.asking {
+func (a *account) needsEarlyClaim(now time.Duration) bool {
+	if a.failures > 0 || a.awaiting {
 		return false
 	}
-	if a.demand.surges > 0 {
+	if a.demand.changes > 0 {
 		return true
 	}
 	l := a.lease.Load()
@@ -42,10 +42,10 @@
 
 // useWithoutPool starts to use a pooled rate locally once the owner has failed to answer and
 // its pool has stopped using the rate.
-func (a *account) useAlone(now time.Duration) {
+func (a *account) useWithoutPool(now time.Duration) {
 	l := a.lease.Load()
-	if a.failures > 0 && !a.asking && l.valid(now) && l.pooled && !l.local && now >= l.loan.until {
-		a.lease.Store(l.alone(now))
+	if a.failures > 0 && !a.awaiting && l.valid(now) && l.pooled && !l.local && now >= l.delegation.until {
+		a.lease.Store(l.withoutPool(now))
 	}
 }
 
@@ -57,9 +57,9 @@
 
 // claim returns a claim that reports what the account uses and needs. Unneeded parts of the
 // lease are given up before the claim is made.
-func (a *account) claim(now time.Duration, owner uint64, r *round) *quotapb.Claim {
-	a.asking = true
-	a.measure(now)
+func (a *account) claim(now time.Duration, owner uint64, r *pendingClaim) *quotapb.Claim {
+	a.awaiting = true
+	a.updateDemand(now)
 	l := a.lease.Load()
 	contended := l.valid(now) && l.slotsContended
 	c := &quotapb.Claim{
@@ -69,27 +69,27 @@
 		Need:     a.need(now, r),
 		Unleased: uint32(a.unleased.Swap(0)),
 	}
-	a.wanting = false
+	a.missed = false
 	a.claimPeak = 0
-	a.tellHeld(c, a.giveBack(now, float64(c.InUse), contended), owner, now)
-	c.Returned = uint32(a.over)
-	a.over -= float64(c.Returned)
+	a.fillHeld(c, a.giveUpUnneeded(now, float64(c.InUse), contended), owner, now)
+	c.Returned = uint32(a.overflow)
+	a.overflow -= float64(c.Returned)
 	return c
 }
 
 // updateDemand computes the demand that the next claim reports.
-func (a *account) measure(now time.Duration) {
+func (a *account) updateDemand(now time.Duration) {
 	arrivals := a.arrivals.Load()
 	a.demand.observe(arrivals, now)
-	a.demand.surges = 0
+	a.demand.changes = 0
 	a.reported = a.demand.rate(arrivals)
-	if a.reported < quietDemand {
+	if a.reported < negligibleDemand {
 		a.reported = 0
 	}
 }
 
 // fillHeld sets the fields of c that state what the account uses until the answer arrives.
-func (a *account) tellHeld(c *quotapb.Claim, held *lease, owner uint64, now time.Duration) {
+func (a *account) fillHeld(c *quotapb.Claim, held *lease, owner uint64, now time.Duration) {
 	inFlight := amount{slots: a.slotsInFlight()}
 	if held == nil {
 		c.Held = inFlight.proto()
@@ -99,7 +99,7 @@
 	c.GrantedBy = held.grantedBy
 	// Nothing is delegated to an owner that has just failed to answer. Otherwise the time
 	// after which the rate may be used locally would be extended without end.
-	c.Pooled = a.failures == 0 && held.lend(owner, now)
+	c.Pooled = a.failures == 0 && held.delegate(owner, now)
 	if held.grantedBy != owner {
 		c.Origin = held.origin.proto(now)
 	}
@@ -107,9 +107,9 @@
 
 // need returns how many tokens to request: one for each waiting call, or one for a refused call
 // that may retry.
-func (a *account) need(now time.Duration, r *round) uint32 {
+func (a *account) need(now time.Duration, r *pendingClaim) uint32 {
 	n := min(r.waiters.Load(), math.MaxUint16)
-	if n == 0 && a.wanting && !a.hasMeans(now) {
+	if n == 0 && a.missed && !a.canAdmit(now) {
 		n = 1
 	}
 	return uint32(n)
@@ -144,13 +144,13 @@
 
 // giveUpUnneeded shrinks the lease to what the account needs and returns it, or nil if there is
 // no valid lease.
-func (a *account) giveBack(now time.Duration, slots float64, contended bool) *lease {
+func (a *account) giveUpUnneeded(now time.Duration, slots float64, contended bool) *lease {
 	l := a.lease.Load()
 	if !l.valid(now) {
 		return nil
 	}
 	keep := l.amount
-	if want := wantedRate(a.reported); want < keepShare*keep.rate {
+	if want := wantedRate(a.reported); want < shrinkThreshold*keep.rate {
 		keep.rate = want
 		keep.burst = min(keep.burst, wantedBurst(want))
 	}
@@ -159,9 +159,9 @@
 	}
 	keep.slots = min(keep.slots, slots)
 	if keep != l.amount {
-		shrunk, over := l.shrunk(now, keep)
+		shrunk, overflow := l.shrunk(now, keep)
 		a.lease.Store(shrunk)
-		a.over += over
+		a.overflow += overflow
 		return shrunk
 	}
 	return l
--- a/quota/compare_test.go
+++ b/quota/compare_test.go
@@ -15,25 +15,25 @@
 type scenario struct {
 	name string
 	// demandShare returns the share of the demand that arrives in a zone.
-	sun    func(zone int, at time.Duration) float64
+	demandShare    func(zone int, at time.Duration) float64
 	faults func(w *world, c *snapshot.Contract)
 }
 
 const (
 	simZones   = 8
-	simWarm    = 20 * time.Second
+	simWarmup    = 20 * time.Second
 	simLength  = 180 * time.Second
 	simDwell   = 30 * time.Second
 	simFade    = 5 * time.Second
 	window     = 10 * time.Second
-	faultStart = simWarm + 100*time.Second
+	faultStart = simWarmup + 100*time.Second
 )
 
 // movingDemand stays in a zone for simDwell and moves to the next zone within simFade.
-func walking(zone int, at time.Duration) float64 { return walk(zone, at, 0, simZones) }
+func movingDemand(zone int, at time.Duration) float64 { return demandInZones(zone, at, 0, simZones) }
 
 // demandInZones moves the demand through the given number of zones, starting at first.
-func walk(zone int, at time.Duration, first, zones int) float64 {
+func demandInZones(zone int, at time.Duration, first, zones int) float64 {
 	if zone < first || zone >= first+zones {
 		return 0
 	}
@@ -52,8 +52,8 @@
 
 // demandInTwoRegions moves half of the demand through the zones of region 0 and half through
 // those of region 1.
-func twoSuns(zone int, at time.Duration) float64 {
-	return (walk(zone, at, 0, zonesPerRegion) + walk(zone, at, zonesPerRegion, zonesPerRegion)) / 2
+func demandInTwoRegions(zone int, at time.Duration) float64 {
+	return (demandInZones(zone, at, 0, zonesPerRegion) + demandInZones(zone, at, zonesPerRegion, zonesPerRegion)) / 2
 }
 
 func (w *world) owner(c *snapshot.Contract) *daemon {
@@ -66,33 +66,33 @@
 }
 
 var scenarios = []scenario{
-	{"no faults", walking, func(*world, *snapshot.Contract) {}},
-	{"owner killed", walking, func(w *world, c *snapshot.Contract) {
+	{"no faults", movingDemand, func(*world, *snapshot.Contract) {}},
+	{"owner killed", movingDemand, func(w *world, c *snapshot.Contract) {
 		w.at(faultStart, func() { w.kill(w.owner(c)) })
 	}},
-	{"owner killed while demand moves", walking, func(w *world, c *snapshot.Contract) {
-		w.at(simWarm+115*time.Second, func() { w.kill(w.owner(c)) })
+	{"owner killed while demand moves", movingDemand, func(w *world, c *snapshot.Contract) {
+		w.at(simWarmup+115*time.Second, func() { w.kill(w.owner(c)) })
 	}},
-	{"owner paused for 40 s and resumed", walking, func(w *world, c *snapshot.Contract) {
+	{"owner paused for 40 s and resumed", movingDemand, func(w *world, c *snapshot.Contract) {
 		w.at(faultStart, func() {
 			o := w.owner(c)
 			w.pause(o)
-			w.after(40*time.Second, func() { w.wake(o) })
+			w.after(40*time.Second, func() { w.resume(o) })
 		})
 	}},
-	{"region partitioned for 60 s", twoSuns, func(w *world, c *snapshot.Contract) {
-		w.at(faultStart, func() { w.cutOff(func(d *daemon) bool { return d.region == 1 }) })
+	{"region partitioned for 60 s", demandInTwoRegions, func(w *world, c *snapshot.Contract) {
+		w.at(faultStart, func() { w.partition(func(d *daemon) bool { return d.region == 1 }) })
 		w.at(faultStart+60*time.Second, w.heal)
 	}},
-	{"zone with demand restarted", walking, func(w *world, c *snapshot.Contract) {
-		w.at(faultStart, func() { w.herd(3, c) })
+	{"zone with demand restarted", movingDemand, func(w *world, c *snapshot.Contract) {
+		w.at(faultStart, func() { w.restartZone(3, c) })
 	}},
 }
 
 func (w *world) at(t time.Duration, run func()) { w.after(t-w.now, run) }
 
 // restartZone restarts all daemons of a zone within 3 s.
-func (w *world) herd(zone int, c *snapshot.Contract) {
+func (w *world) restartZone(zone int, c *snapshot.Contract) {
 	for _, d := range w.daemons {
 		if d.zone != zone {
 			continue
@@ -120,14 +120,14 @@
 // bucket for the whole fleet. excess is the share of the contracted rate by which the worst
 // window exceeded it. messages is per second. admissibleRate is the largest rate at which all
 // daemons together could admit, as a share of the contract.
-type result struct{ usable, excess, messages, authority float64 }
+type result struct{ usable, excess, messages, admissibleRate float64 }
 
 func (s *scenario) run(build func(*snapshot.Contract, *world) strategy, perZone int, c *snapshot.Contract, load float64) result {
 	w := newWorld(simZones, perZone, c)
 	list := arrivals(7, len(w.daemons), simLength, func(d int, at time.Duration) float64 {
-		return load * c.Rate * s.sun(d/perZone, at) / float64(perZone)
+		return load * c.Rate * s.demandShare(d/perZone, at) / float64(perZone)
 	})
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	st := build(c, w)
 	s.faults(w, c)
 	var admitted []time.Duration
@@ -139,13 +139,13 @@
 		})
 	})
 	before := st.messages()
-	authority := 0.0
-	for w.now < simWarm+simLength {
+	admissibleRate := 0.0
+	for w.now < simWarmup+simLength {
 		w.runUntil(w.now + 100*time.Millisecond)
-		authority = max(authority, w.authority(c)/c.Rate)
+		admissibleRate = max(admissibleRate, w.admissibleRate(c)/c.Rate)
 	}
 	return result{
-		authority: authority,
+		admissibleRate: admissibleRate,
 		usable:    float64(len(admitted)) / float64(ideal(list, c)),
 		excess:    worstExcess(admitted, c.Rate),
 		messages:  float64(st.messages()-before) / simLength.Seconds(),
@@ -181,7 +181,7 @@
 // faults and through each fault, the leases admit at most 5 % more than the contract in any 10
 // s, and at least 95 % of it overall. The results of the other strategies are only logged. Time
 // is virtual, so each run logs the same table.
-func TestCompareWays(t *testing.T) {
+func TestCompareStrategies(t *testing.T) {
 	const perZone = 6
 	for _, load := range []float64{1.2, 0.8} {
 		c := &snapshot.Contract{Customer: "acme", Rate: 300, Burst: 30}
@@ -229,13 +229,13 @@
 func (r result) check(t *testing.T) {
 	test.GreaterEq(t, 0.95, r.usable)
 	test.LessEq(t, 0.05, r.excess)
-	test.LessEq(t, 1+settlingShare+unleasedShare, r.authority)
+	test.LessEq(t, 1+settlingShare+unleasedShare, r.admissibleRate)
 }
 
 // The same demand is spread over four times as many daemons. The burst is too small to give
 // each of them a bucket, so every call requests a token from the pool. The leases stay within
 // the same bounds.
-func TestCompareWays_spreadThin(t *testing.T) {
+func TestCompareStrategies_manyDaemons(t *testing.T) {
 	const perZone, load = 24, 1.2
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -9,15 +9,15 @@
 	// demandTimeConstant is the time constant of the mean that is reported to the owner. A
 	// daemon that receives about one call per second needs several seconds to distinguish
 	// demand from random variation.
-	demandTime = 4 * time.Second
+	demandTimeConstant = 4 * time.Second
 	// changeTimeConstant is the time constant of the mean that detects sudden changes. The
 	// mean covers about twice this time.
-	surgeTime = 500 * time.Millisecond
+	changeTimeConstant = 500 * time.Millisecond
 	// changeThreshold is the difference between the square roots of the two means, in calls
 	// per second, above which demand counts as changed. The square root of a Poisson count
 	// has a standard deviation of about 0.5 whatever its mean, so the threshold is three
 	// standard deviations.
-	surgeRoots = 1.5
+	changeThreshold = 1.5
 	// minSample is the shortest time over which a rate is computed.
 	minSample = 50 * time.Millisecond
 	// minIdle is the shortest time without calls that counts as idle.
@@ -33,15 +33,15 @@
 	since time.Duration
 	at    time.Duration
 	seen  int64
-	long  float64
+	longMean  float64
 	// shortMean follows sudden changes.
-	short float64
+	shortMean float64
 	// changes counts sudden changes of demand.
-	surges int
+	changes int
 }
 
 // reset discards all earlier samples.
-func (d *demand) restart(arrivals int64, now time.Duration) {
+func (d *demand) reset(arrivals int64, now time.Duration) {
 	*d = demand{since: now, at: now, seen: arrivals}
 }
 
@@ -53,26 +53,26 @@
 	}
 	rate := float64(arrivals-d.seen) / dt.Seconds()
 	d.at, d.seen = now, arrivals
-	d.short += (rate - d.short) * gain(dt, surgeTime, now-d.since)
-	d.long += (rate - d.long) * gain(dt, demandTime, now-d.since)
-	if d.surged() {
-		d.long = d.short
-		d.since = now - 2*surgeTime
-		d.surges++
+	d.shortMean += (rate - d.shortMean) * gain(dt, changeTimeConstant, now-d.since)
+	d.longMean += (rate - d.longMean) * gain(dt, demandTimeConstant, now-d.since)
+	if d.changed() {
+		d.longMean = d.shortMean
+		d.since = now - 2*changeTimeConstant
+		d.changes++
 	}
 }
 
-func (d *demand) surged() bool {
-	return math.Abs(math.Sqrt(d.short)-math.Sqrt(d.long)) > surgeRoots
+func (d *demand) changed() bool {
+	return math.Abs(math.Sqrt(d.shortMean)-math.Sqrt(d.longMean)) > changeThreshold
 }
 
 // rate returns the estimated demand. Calls that no sample includes yet count during the first
 // second.
 func (d *demand) rate(arrivals int64) float64 {
 	if d.at-d.since >= time.Second {
-		return d.long
+		return d.longMean
 	}
-	return d.long + float64(arrivals-d.seen)
+	return d.longMean + float64(arrivals-d.seen)
 }
 
 // gain returns the weight of a sample: that of an arithmetic mean at first, of an exponential
--- a/quota/earlier.go
+++ b/quota/earlier.go
@@ -31,9 +31,9 @@
 	if len(e.reported) == 0 || at > e.at {
 		e.at, e.charged = at, amountFromProto(p.GetChargedToAll())
 	}
-	was, is := e.reported[id], amountFromProto(p.GetCharged())
-	e.reported[id] = is
-	e.sum = e.sum.minus(was).plus(is)
+	previous, latest := e.reported[id], amountFromProto(p.GetCharged())
+	e.reported[id] = latest
+	e.sum = e.sum.minus(previous).plus(latest)
 	e.until = until
 }
 
@@ -49,7 +49,7 @@
 }
 
 // unreported returns the sum of what holders that have not reported may use.
-func (o *earlierOwners) silent(now time.Duration) amount {
+func (o *earlierOwners) unreported(now time.Duration) amount {
 	var sum amount
 	*o = slices.DeleteFunc(*o, func(e *earlierOwner) bool { return now >= e.until })
 	for _, e := range *o {
--- a/quota/entry.go
+++ b/quota/entry.go
@@ -9,7 +9,7 @@
 // maxUnconfirmed is the number of consecutive answers to a holder that may be lost before the
 // holder is granted nothing, since it could not use a grant: requests may still arrive while
 // answers do not. The empty lease that it is then granted shows when answers arrive again.
-const maxUnheard = 2
+const maxUnconfirmed = 2
 
 // holderID identifies one process.
 type holderID struct {
@@ -26,61 +26,61 @@
 	held, granted amount
 	// delegates is set if the holder delegates its rate to the pool. pooled is set if the
 	// rate does feed the pool, because the answer to the holder said so.
-	leaves, pooled bool
+	delegates, pooled bool
 	// pooledUntil is when pooled ends unless the holder claims again.
-	lentUntil time.Duration
+	pooledUntil time.Duration
 	expires   time.Duration
 	demand    float64
 	inUse     float64
 	// unconfirmed counts consecutive claims that show that no answer has arrived.
-	unheard int
+	unconfirmed int
 	// seen is set once membership has shown this process on its host. If membership shows a
 	// different process later, this one has ended.
 	seen bool
 	// partitioned is set if the holder is in a region that is treated as partitioned.
-	cutOff bool
+	partitioned bool
 }
 
 // delegatedElsewhere reports whether the rate may still feed the pool of an earlier owner, so
 // that none of it is free yet.
-func (e *entry) lentElsewhere() bool { return e.held.burst == 0 && !e.leaves }
+func (e *entry) delegatedElsewhere() bool { return e.held.burst == 0 && !e.delegates }
 
 // charged returns the most that the holder may be using.
 func (e *entry) charged() amount { return e.held.max(e.granted) }
 
 // ended reports whether the process has ended: its host runs another process, or the process
 // has left.
-func (e *entry) gone(f *fleet) bool {
+func (e *entry) ended(f *fleet) bool {
 	if f.runs(e.holder) {
 		e.seen = true
 		return false
 	}
-	return e.seen && f.moved(e.holder)
+	return e.seen && f.replaced(e.holder)
 }
 
 // recordClaim stores what the holder reports.
-func (e *entry) report(sequence uint64, f *fleet, c *quotapb.Claim) {
+func (e *entry) recordClaim(sequence uint64, f *fleet, c *quotapb.Claim) {
 	if c.GetGrantedBy() == f.boot() {
-		e.unheard = 0
+		e.unconfirmed = 0
 	} else if e.sequence > 0 {
-		e.unheard++
+		e.unconfirmed++
 	}
 	e.sequence = sequence
 	e.held, e.granted = amountFromProto(c.GetHeld()), amount{}
-	e.leaves = c.GetPooled() || e.held.rate == 0
+	e.delegates = c.GetPooled() || e.held.rate == 0
 	e.pooled = false
-	e.demand, e.inUse = sane(c.GetDemand()), float64(c.GetInUse())
-	if e.unheard >= maxUnheard {
+	e.demand, e.inUse = validOrZero(c.GetDemand()), float64(c.GetInUse())
+	if e.unconfirmed >= maxUnconfirmed {
 		e.demand, e.inUse = 0, 0
 	}
 	e.seen = e.seen || f.runs(e.holder)
 }
 
 // recordGrant stores what the holder is answered.
-func (e *entry) answer(granted amount, now, expires time.Duration) {
+func (e *entry) recordGrant(granted amount, now, expires time.Duration) {
 	e.granted = granted
-	e.pooled = e.leaves && granted.burst == 0
-	e.lentUntil = now + lendTime
+	e.pooled = e.delegates && granted.burst == 0
+	e.pooledUntil = now + delegationTime
 	e.expires = expires
 }
 
@@ -90,8 +90,8 @@
 	// feeding is the part of the charged rate that feeds the pool.
 	feeding float64
 	// partitioned is the part charged to regions that are treated as partitioned.
-	cutOff amount
-	crowd
+	partitioned amount
+	aggregateDemand
 }
 
 func (t *totals) add(e *entry) {
@@ -100,8 +100,8 @@
 	if e.pooled {
 		t.feeding += c.rate
 	}
-	if e.cutOff {
-		t.cutOff = t.cutOff.plus(c)
+	if e.partitioned {
+		t.partitioned = t.partitioned.plus(c)
 		return
 	}
 	t.demand += e.demand
@@ -117,8 +117,8 @@
 	if e.pooled {
 		t.feeding -= c.rate
 	}
-	if e.cutOff {
-		t.cutOff = t.cutOff.minus(c)
+	if e.partitioned {
+		t.partitioned = t.partitioned.minus(c)
 		return
 	}
 	t.demand -= e.demand
--- a/quota/exchange.go
+++ b/quota/exchange.go
@@ -9,31 +9,31 @@
 
 const (
 	// minEmptyClaimInterval is the shortest time between two claims that bring no tokens.
-	missGap = 100 * time.Millisecond
+	minEmptyClaimInterval = 100 * time.Millisecond
 	// firstBackoff and maxBackoff bound the time between claims to an owner that does not
 	// answer.
 	firstBackoff = 250 * time.Millisecond
 	maxBackoff   = 2 * time.Second
 	// minRetryShare is the share of a holder's expected rate that is promised to retried
 	// calls, even if new calls alone demand more than is available.
-	minReturnShare = 0.25
+	minRetryShare = 0.25
 )
 
 // exchange is one request to an owner and its answer.
-type ask struct {
+type exchange struct {
 	owner    *membership.Member
 	request  *quotapb.Request
 	accounts []*account
-	rounds   []*round
+	pending   []*pendingClaim
 	sentAt   time.Duration
 }
 
 // step does all work that is due and returns the exchanges to make. The caller must pass each
 // of them to finish.
-func (h *holder) step(now time.Duration) []*ask {
+func (h *holder) step(now time.Duration) []*exchange {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.drainKicks(now)
+	h.drainQueue(now)
 	if now >= h.nextTick {
 		h.nextTick = now + tickInterval
 		h.tick(now)
@@ -42,19 +42,19 @@
 }
 
 // handleQueued activates an account that was received from the queue.
-func (h *holder) takeKick(a *account, now time.Duration) {
+func (h *holder) handleQueued(a *account, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	a.kicked.Store(false)
-	h.kicked(a, now)
+	a.queued.Store(false)
+	h.activate(a, now)
 }
 
-func (h *holder) drainKicks(now time.Duration) {
+func (h *holder) drainQueue(now time.Duration) {
 	for {
 		select {
-		case a := <-h.kicks:
-			a.kicked.Store(false)
-			h.kicked(a, now)
+		case a := <-h.queue:
+			a.queued.Store(false)
+			h.activate(a, now)
 		default:
 			return
 		}
@@ -63,30 +63,30 @@
 
 // activate marks an account for a claim after a call missed, and adds it to the active accounts
 // if it was idle.
-func (h *holder) kicked(a *account, now time.Duration) {
+func (h *holder) activate(a *account, now time.Duration) {
 	if !a.listed {
 		a.listed = true
 		h.active = append(h.active, a)
-		a.demand.restart(a.arrivals.Load()-1, now)
+		a.demand.reset(a.arrivals.Load()-1, now)
 		a.lastArrivalAt = now
 		a.nextClaim = now
 		h.setOwner(a, now)
 	}
-	a.wanting = true
+	a.missed = true
 }
 
 // tick updates all active accounts.
 func (h *holder) tick(now time.Duration) {
 	kept := h.active[:0]
 	for _, a := range h.active {
-		if h.retire(a, now) {
+		if h.retireIfIdle(a, now) {
 			continue
 		}
 		kept = append(kept, a)
 		a.demand.observe(a.arrivals.Load(), now)
 		a.samplePeak()
-		a.useAlone(now)
-		if a.drifted(now) {
+		a.useWithoutPool(now)
+		if a.needsEarlyClaim(now) {
 			a.nextClaim = now
 		}
 	}
@@ -96,19 +96,19 @@
 
 // retireIfIdle deactivates an account that has become idle and reports whether it did. The
 // lease is returned first, so that other holders need not wait until it expires.
-func (h *holder) retire(a *account, now time.Duration) bool {
+func (h *holder) retireIfIdle(a *account, now time.Duration) bool {
 	if n := a.arrivals.Load(); n != a.lastArrivals {
 		a.lastArrivals, a.lastArrivalAt = n, now
 		a.busyRate = a.demand.rate(n)
 		return false
 	}
 	idle := now - a.lastArrivalAt
-	if idle < minIdle || a.asking || a.inFlight.Load() > 0 {
+	if idle < minIdle || a.awaiting || a.inFlight.Load() > 0 {
 		return false
 	}
 	if l := a.lease.Load(); l.valid(now) && l.amount != (amount{}) {
 		if idle >= idleAfter(a.busyRate, h.opts.LeaseTime) && a.failures == 0 {
-			a.demand.restart(a.lastArrivals, now)
+			a.demand.reset(a.lastArrivals, now)
 			a.nextClaim = now
 		}
 		return false
@@ -124,75 +124,75 @@
 
 // collect builds one request for each owner that has a due claim and no exchange in progress.
 // Claims to the same owner that are due soon are included.
-func (h *holder) collect(now time.Duration) []*ask {
-	var asks []*ask
-	byOwner := map[string]*ask{}
+func (h *holder) collect(now time.Duration) []*exchange {
+	var exchanges []*exchange
+	byOwner := map[string]*exchange{}
 	for _, a := range h.active {
-		if !a.due(now) || h.asking[a.owner.Host] || byOwner[a.owner.Host] != nil {
+		if !a.due(now) || h.awaiting[a.owner.Host] || byOwner[a.owner.Host] != nil {
 			continue
 		}
-		q := &ask{owner: a.owner, sentAt: now}
+		q := &exchange{owner: a.owner, sentAt: now}
 		byOwner[a.owner.Host] = q
-		asks = append(asks, q)
+		exchanges = append(exchanges, q)
 	}
-	if len(asks) == 0 {
+	if len(exchanges) == 0 {
 		return nil
 	}
 	soon := now + h.opts.RenewInterval/batchDivisor
 	for _, a := range h.active {
-		if a.owner == nil || a.asking {
+		if a.owner == nil || a.awaiting {
 			continue
 		}
 		if q := byOwner[a.owner.Host]; q != nil && (a.due(now) || a.nextClaim <= soon) {
 			q.accounts = append(q.accounts, a)
 		}
 	}
-	for _, q := range asks {
-		h.fillIn(q, now)
+	for _, q := range exchanges {
+		h.buildRequest(q, now)
 	}
-	return asks
+	return exchanges
 }
 
 // buildRequest adds the claims of the exchange's accounts to its request.
-func (h *holder) fillIn(q *ask, now time.Duration) {
-	h.asking[q.owner.Host] = true
+func (h *holder) buildRequest(q *exchange, now time.Duration) {
+	h.awaiting[q.owner.Host] = true
 	h.sequence++
 	q.request = &quotapb.Request{Boot: h.fleet.boot(), Sequence: h.sequence}
 	for _, a := range q.accounts {
-		r := a.round.Swap(newRound())
-		q.rounds = append(q.rounds, r)
+		r := a.pending.Swap(newPendingClaim())
+		q.pending = append(q.pending, r)
 		q.request.Claims = append(q.request.Claims, a.claim(now, q.owner.Boot, r))
 	}
 }
 
 // finish applies the answer of an exchange, or its error.
-func (h *holder) finish(q *ask, answer *quotapb.Answer, err error, now time.Duration) {
+func (h *holder) finish(q *exchange, answer *quotapb.Answer, err error, now time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	delete(h.asking, q.owner.Host)
+	delete(h.awaiting, q.owner.Host)
 	leases := answer.GetLeases()
 	for i, a := range q.accounts {
-		a.asking = false
+		a.awaiting = false
 		c := q.request.GetClaims()[i]
 		switch {
 		case err != nil || i >= len(leases):
 			if c.GetPooled() {
-				a.lease.Load().endLoan(q.owner.Boot, now+lendTime+lendMargin)
+				a.lease.Load().endDelegation(q.owner.Boot, now+delegationTime+delegationMargin)
 			}
-			h.unanswered(a, now)
+			h.backOff(a, now)
 		case leases[i].GetVerdict() != quotapb.Verdict_VERDICT_GRANTED:
 			// An owner that refuses the claim does not use a delegated rate either.
-			a.lease.Load().endLoan(answer.GetBoot(), now)
-			h.unanswered(a, now)
+			a.lease.Load().endDelegation(answer.GetBoot(), now)
+			h.backOff(a, now)
 		default:
-			h.answered(a, q.sentAt, c, leases[i], answer.GetBoot(), now)
+			h.applyLease(a, q.sentAt, c, leases[i], answer.GetBoot(), now)
 		}
-		close(q.rounds[i].done)
+		close(q.pending[i].done)
 	}
 }
 
 // backOff keeps the current lease until it expires and schedules a retry of the claim.
-func (h *holder) unanswered(a *account, now time.Duration) {
+func (h *holder) backOff(a *account, now time.Duration) {
 	backoff := min(firstBackoff<<min(a.failures, 8), maxBackoff)
 	a.failures++
 	a.nextClaim = now + backoff/2 + h.jitter(backoff/2)
@@ -200,14 +200,14 @@
 }
 
 // applyLease replaces the account's lease by the one from the answer.
-func (h *holder) answered(a *account, sentAt time.Duration, c *quotapb.Claim, p *quotapb.Lease, owner uint64, now time.Duration) {
+func (h *holder) applyLease(a *account, sentAt time.Duration, c *quotapb.Claim, p *quotapb.Lease, owner uint64, now time.Duration) {
 	prev, l := a.lease.Load(), leaseFromProto(c, p, owner, sentAt, now)
-	prev.endLoan(owner, now+lendTime+lendMargin)
-	a.over += l.succeed(prev, now)
+	prev.endDelegation(owner, now+delegationTime+delegationMargin)
+	a.overflow += l.carryOver(prev, now)
 	waiting := min(p.GetTokens(), c.GetNeed())
 	l.prepaid.Add(int64(waiting))
 	if extra := p.GetTokens() - waiting; extra > 0 {
-		a.over += l.add(now, float64(extra))
+		a.overflow += l.add(now, float64(extra))
 	}
 	a.lease.Store(l)
 
@@ -217,7 +217,7 @@
 	a.notBefore.Store(0)
 	if p.GetTokens() < c.GetNeed() {
 		// The pool is empty; another claim right away would bring nothing.
-		a.notBefore.Store(int64(now + missGap))
+		a.notBefore.Store(int64(now + minEmptyClaimInterval))
 	}
 }
 
@@ -228,14 +228,14 @@
 	l.pooled = p.GetPooled()
 	l.grantedBy = owner
 	if l.pooled {
-		l.loan = loan{to: owner, until: now + lendTime + lendMargin}
+		l.delegation = delegation{to: owner, until: now + delegationTime + delegationMargin}
 	}
 	l.origin = origin{
 		charged:      amountFromProto(c.GetHeld()).max(l.amount),
 		chargedToAll: amountFromProto(p.GetChargedToAll()),
 		at:           now,
 	}
-	l.returnRate = max(p.GetExpectedRate()-c.GetDemand(), minReturnShare*p.GetExpectedRate())
+	l.retryRate = max(p.GetExpectedRate()-c.GetDemand(), minRetryShare*p.GetExpectedRate())
 	l.slotsContended = p.GetSlotsContended()
 	return l
 }
--- a/quota/fault_test.go
+++ b/quota/fault_test.go
@@ -58,35 +58,35 @@
 func TestFault_demandBeginsAtOneDaemon(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var before, after counter
 	for _, d := range w.daemons[:6] {
-		w.load(d, c, 0.9*c.Rate/6, 2*simWarm, &before)
+		w.load(d, c, 0.9*c.Rate/6, 2*simWarmup, &before)
 	}
-	w.runUntil(2 * simWarm)
-	w.load(w.daemons[20], c, 0.9*c.Rate, 3*simWarm, &after)
-	w.runUntil(3 * simWarm)
-	must.GreaterEq(t, 0.95, before.share(simWarm+5*time.Second, 2*simWarm))
-	must.GreaterEq(t, 0.95, after.share(2*simWarm+time.Second, 2*simWarm+5*time.Second))
+	w.runUntil(2 * simWarmup)
+	w.load(w.daemons[20], c, 0.9*c.Rate, 3*simWarmup, &after)
+	w.runUntil(3 * simWarmup)
+	must.GreaterEq(t, 0.95, before.share(simWarmup+5*time.Second, 2*simWarmup))
+	must.GreaterEq(t, 0.95, after.share(2*simWarmup+time.Second, 2*simWarmup+5*time.Second))
 }
 
 // A daemon that holds nearly the whole contract is paused for longer than its lease lasts,
 // while another daemon is granted the contract. When it resumes with a queue of calls, it
 // admits none of them from its expired lease, because it reads the clock before it checks the
 // lease.
-func TestFault_holderWokenBeyondItsLease(t *testing.T) {
+func TestFault_holderResumedAfterLeaseExpired(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 600}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var k counter
 	first, second := w.daemons[3], w.daemons[20]
-	w.load(first, c, 550, 2*simWarm, &k)
-	w.runUntil(2 * simWarm)
+	w.load(first, c, 550, 2*simWarmup, &k)
+	w.runUntil(2 * simWarmup)
 	w.pause(first)
 	var other counter
-	w.load(second, c, 550, 3*simWarm, &other)
-	w.runUntil(3 * simWarm)
-	must.GreaterEq(t, 0.95, other.share(3*simWarm-3*time.Second, 3*simWarm))
+	w.load(second, c, 550, 3*simWarmup, &other)
+	w.runUntil(3 * simWarmup)
+	must.GreaterEq(t, 0.95, other.share(3*simWarmup-3*time.Second, 3*simWarmup))
 	unleased := 0
 	for range 300 {
 		if _, err := first.m.Admit(c); err == nil {
@@ -94,30 +94,30 @@
 		}
 	}
 	must.LessEq(t, 1, unleased)
-	must.LessEq(t, 1.0, w.authority(c)/c.Rate)
+	must.LessEq(t, 1.0, w.admissibleRate(c)/c.Rate)
 }
 
 // The owner is killed while a holder of half the contract is paused for 8 s, less than its
 // lease lasts. The new owner knows of that lease only from the other holders, which report the
 // total that was granted. It reserves the unreported part, so the holder may resume and
 // continue.
-func TestFault_ownerKilledWhileHolderIsStopped(t *testing.T) {
+func TestFault_ownerKilledWhileHolderIsPaused(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var k counter
 	stopped, other := w.daemons[3], w.daemons[20]
-	w.load(stopped, c, c.Rate, 2*simWarm, &k)
-	w.load(other, c, c.Rate, 4*simWarm, &k)
-	w.runUntil(2 * simWarm)
+	w.load(stopped, c, c.Rate, 2*simWarmup, &k)
+	w.load(other, c, c.Rate, 4*simWarmup, &k)
+	w.runUntil(2 * simWarmup)
 	w.pause(stopped)
 	w.kill(w.owner(c))
-	w.after(8*time.Second, func() { w.wake(stopped) })
-	for w.now < 4*simWarm {
+	w.after(8*time.Second, func() { w.resume(stopped) })
+	for w.now < 4*simWarmup {
 		w.runUntil(w.now + 100*time.Millisecond)
-		must.LessEq(t, 1+settlingShare, w.authority(c)/c.Rate)
+		must.LessEq(t, 1+settlingShare, w.admissibleRate(c)/c.Rate)
 	}
-	must.GreaterEq(t, 0.95, float64(sum(k.admitted, 3*simWarm, 4*simWarm))/(c.Rate*simWarm.Seconds()))
+	must.GreaterEq(t, 0.95, float64(sum(k.admitted, 3*simWarmup, 4*simWarmup))/(c.Rate*simWarmup.Seconds()))
 }
 
 // All daemons of the fleet restart within 3 s, so no holder reports a lease. The new owner
@@ -126,40 +126,40 @@
 func TestFault_wholeFleetRestarts(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	for zone := range simZones {
-		w.herd(zone, c)
+		w.restartZone(zone, c)
 	}
-	w.runUntil(simWarm + 4*time.Second)
+	w.runUntil(simWarmup + 4*time.Second)
 	var k counter
 	for _, d := range w.daemons[:6] {
-		w.load(d, c, c.Rate/6, 2*simWarm, &k)
+		w.load(d, c, c.Rate/6, 2*simWarmup, &k)
 	}
-	for w.now < 2*simWarm {
+	for w.now < 2*simWarmup {
 		w.runUntil(w.now + 100*time.Millisecond)
-		must.LessEq(t, 1+settlingShare, w.authority(c)/c.Rate)
+		must.LessEq(t, 1+settlingShare, w.admissibleRate(c)/c.Rate)
 	}
-	must.GreaterEq(t, 0.95, k.share(simWarm+8*time.Second, 2*simWarm))
+	must.GreaterEq(t, 0.95, k.share(simWarmup+8*time.Second, 2*simWarmup))
 }
 
 // A zone is partitioned from the rest of the fleet while callers inside it request the whole
 // contract. The daemons outside declare the zone dead and continue with the whole contract. The
 // daemons inside detect that they are the smaller part and limit themselves to their share of
 // the fleet, which bounds the excess.
-func TestFault_zoneCutOffKeepsToItsShare(t *testing.T) {
+func TestFault_partitionedZoneKeepsToItsShare(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var inside, outside counter
-	until := 6 * simWarm
+	until := 6 * simWarmup
 	w.load(w.daemons[0], c, c.Rate, until, &inside)
 	w.load(w.daemons[10], c, c.Rate, until, &outside)
-	w.runUntil(2 * simWarm)
-	w.cutOff(func(d *daemon) bool { return d.zone == 0 })
+	w.runUntil(2 * simWarmup)
+	w.partition(func(d *daemon) bool { return d.zone == 0 })
 	w.runUntil(until)
 	share := 1.0 / simZones
-	from, to := 5*simWarm, until
-	must.LessEq(t, 1+share, w.authority(c)/c.Rate)
+	from, to := 5*simWarmup, until
+	must.LessEq(t, 1+share, w.admissibleRate(c)/c.Rate)
 	must.LessEq(t, share+0.01, float64(sum(inside.admitted, from, to))/(c.Rate*(to-from).Seconds()))
 	must.GreaterEq(t, 0.95, outside.share(from, to))
 }
@@ -167,38 +167,38 @@
 // The owner's answers to one holder are lost while the holder's requests arrive. The owner
 // keeps charging the holder, so no other holder is granted what this one may still use. The
 // holder's calls are refused once its lease has expired.
-func TestFault_oneWayCut(t *testing.T) {
+func TestFault_asymmetricPartition(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	owner := w.owner(c)
 	holder, other := w.daemons[(owner.index+1)%6], w.daemons[30]
 	var k, rest counter
-	w.load(holder, c, c.Rate, 4*simWarm, &k)
-	w.runUntil(2 * simWarm)
-	w.load(other, c, c.Rate, 4*simWarm, &rest)
+	w.load(holder, c, c.Rate, 4*simWarmup, &k)
+	w.runUntil(2 * simWarmup)
+	w.load(other, c, c.Rate, 4*simWarmup, &rest)
 	w.cut = func(a, b *daemon) bool { return a == owner && b == holder }
-	for w.now < 4*simWarm {
+	for w.now < 4*simWarmup {
 		w.runUntil(w.now + 100*time.Millisecond)
-		must.LessEq(t, 1.001, w.authority(c)/c.Rate)
+		must.LessEq(t, 1.001, w.admissibleRate(c)/c.Rate)
 	}
-	must.GreaterEq(t, 0.9, rest.share(4*simWarm-5*time.Second, 4*simWarm))
+	must.GreaterEq(t, 0.9, rest.share(4*simWarmup-5*time.Second, 4*simWarmup))
 }
 
 // A customer's demand ends. Its holders report that once, so the owner has the whole contract
 // back within 2 s, and send nothing afterwards.
-func TestIdleCustomer_costsNothing(t *testing.T) {
+func TestIdleCustomer_sendsNoClaims(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var k counter
 	for _, d := range w.daemons[:6] {
-		w.load(d, c, c.Rate/6, 2*simWarm, &k)
+		w.load(d, c, c.Rate/6, 2*simWarmup, &k)
 	}
-	w.runUntil(2*simWarm + 2*time.Second)
+	w.runUntil(2*simWarmup + 2*time.Second)
 	must.Eq(t, amount{}, w.owner(c).m.owner.ledgers[c.Customer].sum.charged)
 	sent := w.messages
-	w.runUntil(2*simWarm + 5*time.Minute)
+	w.runUntil(2*simWarmup + 5*time.Minute)
 	must.Eq(t, sent, w.messages)
 	for _, d := range w.daemons {
 		must.Zero(t, d.m.Stats().ActiveCustomers)
@@ -213,19 +213,19 @@
 	c := &snapshot.Contract{Customer: "acme", Rate: 600, Burst: 60}
 	half := &snapshot.Contract{Customer: "acme", Rate: 300, Burst: 30}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var k counter
 	for _, d := range w.daemons[:6] {
-		w.load(d, c, c.Rate/4, 2*simWarm, &k)
+		w.load(d, c, c.Rate/4, 2*simWarmup, &k)
 	}
-	w.runUntil(simWarm + 10*time.Second)
+	w.runUntil(simWarmup + 10*time.Second)
 	for _, d := range w.daemons {
 		d.m.SetContracts(contractMap([]*snapshot.Contract{half}))
 	}
-	must.LessEq(t, 1.0, w.authority(half)/half.Rate)
-	w.runUntil(2 * simWarm)
-	must.LessEq(t, 1.0, w.authority(half)/half.Rate)
-	from, to := simWarm+11*time.Second, 2*simWarm
+	must.LessEq(t, 1.0, w.admissibleRate(half)/half.Rate)
+	w.runUntil(2 * simWarmup)
+	must.LessEq(t, 1.0, w.admissibleRate(half)/half.Rate)
+	from, to := simWarmup+11*time.Second, 2*simWarmup
 	admitted := float64(sum(k.admitted, from, to)) / (half.Rate * (to - from).Seconds())
 	must.LessEq(t, 1.02, admitted)
 	must.GreaterEq(t, 0.95, admitted)
@@ -236,7 +236,7 @@
 func TestFault_concurrencyOverTheFleet(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 10000, Burst: 10000, MaxConcurrent: 24}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var k counter
 	for i, d := range w.daemons[:24] {
 		w.after(time.Duration(i/6)*10*time.Second, func() {
@@ -244,7 +244,7 @@
 		})
 	}
 	inFlight, samples := 0.0, 0
-	for w.now < simWarm+40*time.Second {
+	for w.now < simWarmup+40*time.Second {
 		w.runUntil(w.now + 5*time.Millisecond)
 		n := int64(0)
 		for _, d := range w.daemons {
@@ -262,26 +262,26 @@
 func TestFault_fewSlotsForManyDaemons(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 1000, Burst: 1000, MaxConcurrent: 20}
 	w := newWorld(2, 50, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	var k counter
 	for _, d := range w.daemons {
-		w.load(d, c, 1.5, 2*simWarm, &k)
+		w.load(d, c, 1.5, 2*simWarmup, &k)
 	}
-	w.runUntil(2*simWarm + time.Second)
-	must.GreaterEq(t, 0.7, k.share(simWarm+5*time.Second, 2*simWarm))
+	w.runUntil(2*simWarmup + time.Second)
+	must.GreaterEq(t, 0.7, k.share(simWarmup+5*time.Second, 2*simWarmup))
 }
 
 // A burst of calls three times the size of the bucket is refused, and each call is retried
 // after the time in its refusal. The retry then finds a token, because the retry times are
 // assigned one after another at the rate at which tokens become available.
-func TestRetryAfter_isHonest(t *testing.T) {
+func TestRetryAfter_findsToken(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 20, Burst: 20}
 	w := newWorld(simZones, 6, c)
-	w.runUntil(simWarm)
+	w.runUntil(simWarmup)
 	d := w.daemons[5]
 	var k counter
-	w.load(d, c, 0.5*c.Rate, simWarm+20*time.Second, &k)
-	w.runUntil(simWarm + 10*time.Second)
+	w.load(d, c, 0.5*c.Rate, simWarmup+20*time.Second, &k)
+	w.runUntil(simWarmup + 10*time.Second)
 	returned, admitted := 0, 0
 	for range 60 {
 		_, err := d.m.Admit(c)
@@ -298,7 +298,7 @@
 			})
 		})
 	}
-	w.runUntil(simWarm + 60*time.Second)
+	w.runUntil(simWarmup + 60*time.Second)
 	must.Greater(t, 30, returned)
 	must.GreaterEq(t, 0.9, float64(admitted)/float64(returned))
 }
@@ -315,6 +315,6 @@
 	must.Eq(t, suspectGrace, f.changesAt)
 	f = newFleet(view, base, f.changesAt, f, 0)
 	must.Len(t, 1, f.candidates)
-	must.True(t, f.lost("b"))
+	must.True(t, f.partitioned("b"))
 	must.False(t, f.isolated)
 }
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -20,9 +20,9 @@
 	// unreachableRetention.
 	known int
 	// reachableShare is the share of the known members that are reachable, from 0 to 1.
-	heardShare float64
+	reachableShare float64
 	// partitionedRegions are the regions of which almost no member is reachable.
-	lostRegions map[string]bool
+	partitionedRegions map[string]bool
 	// rejoining maps each region that was partitioned to the time by which all of its
 	// holders have reported.
 	rejoining map[string]time.Duration
@@ -38,24 +38,24 @@
 }
 
 // regionCount counts the members of one region.
-type regionCount struct{ known, heard int }
+type regionCount struct{ known, reachable int }
 
 // newFleet derives a fleet from a view. prev is the previous fleet, or nil. rejoinTime is how
 // long a region that was partitioned is rejoining.
 func newFleet(view *membership.View, start time.Time, now time.Duration, prev *fleet, rejoinTime time.Duration) *fleet {
-	f := &fleet{view: view, start: start, at: now, lostRegions: map[string]bool{}, changesAt: forever}
+	f := &fleet{view: view, start: start, at: now, partitionedRegions: map[string]bool{}, changesAt: forever}
 	regions := map[string]regionCount{}
-	heard := 0
+	reachable := 0
 	for _, m := range view.Members {
-		if m.Liveness == membership.Left || f.forgotten(m) {
+		if m.Liveness == membership.Left || f.expired(m) {
 			continue
 		}
 		f.known++
 		r := regions[m.Region]
 		r.known++
-		if f.hears(m) {
-			heard++
-			r.heard++
+		if f.reachable(m) {
+			reachable++
+			r.reachable++
 			if !m.Draining {
 				f.candidates = append(f.candidates, candidate{xxhash.Sum64String(m.Host), m})
 			}
@@ -63,30 +63,30 @@
 		regions[m.Region] = r
 	}
 	for name, r := range regions {
-		if lostShare*r.heard <= r.known {
-			f.lostRegions[name] = true
+		if partitionDivisor*r.reachable <= r.known {
+			f.partitionedRegions[name] = true
 		}
 	}
-	f.heardShare = float64(heard) / float64(max(1, f.known))
+	f.reachableShare = float64(reachable) / float64(max(1, f.known))
 	own := regions[view.Self.Region]
-	f.isolated = own.known > 1 && own.heard*2 <= own.known
-	f.follow(prev, rejoinTime)
+	f.isolated = own.known > 1 && own.reachable*2 <= own.known
+	f.trackRejoining(prev, rejoinTime)
 	return f
 }
 
 // trackRejoining records which partitioned regions have become reachable again.
-func (f *fleet) follow(prev *fleet, rejoinTime time.Duration) {
+func (f *fleet) trackRejoining(prev *fleet, rejoinTime time.Duration) {
 	if prev == nil {
 		return
 	}
 	f.rejoining = map[string]time.Duration{}
 	for region, until := range prev.rejoining {
-		if f.at < until && !f.lostRegions[region] {
+		if f.at < until && !f.partitionedRegions[region] {
 			f.rejoining[region] = until
 		}
 	}
-	for region := range prev.lostRegions {
-		if !f.lostRegions[region] {
+	for region := range prev.partitionedRegions {
+		if !f.partitionedRegions[region] {
 			f.rejoining[region] = f.at + rejoinTime
 		}
 	}
@@ -97,7 +97,7 @@
 
 // reachable reports whether the member counts as reachable, and updates changesAt if that will
 // change without a new view.
-func (f *fleet) hears(m *membership.Member) bool {
+func (f *fleet) reachable(m *membership.Member) bool {
 	switch m.Liveness {
 	case membership.Alive:
 		return true
@@ -112,8 +112,8 @@
 	return false
 }
 
-func (f *fleet) forgotten(m *membership.Member) bool {
-	return m.Liveness != membership.Alive && f.at-f.since(m) >= lossMemory
+func (f *fleet) expired(m *membership.Member) bool {
+	return m.Liveness != membership.Alive && f.at-f.since(m) >= unreachableRetention
 }
 
 // owner returns the member that owns a customer, or nil if there is none.
@@ -131,7 +131,7 @@
 }
 
 // selfOwns reports whether this daemon owns a customer.
-func (f *fleet) ownsSelf(customer string) bool {
+func (f *fleet) selfOwns(customer string) bool {
 	o := f.owner(customer)
 	return o != nil && o.Host == f.view.Self.Host
 }
@@ -161,7 +161,7 @@
 
 // replaced reports whether the host of a process runs a different process, or the process has
 // left.
-func (f *fleet) moved(id holderID) bool {
+func (f *fleet) replaced(id holderID) bool {
 	m := f.view.Find(id.host)
 	return m != nil && (m.Boot != id.boot && m.Liveness == membership.Alive || m.Boot == id.boot && m.Liveness == membership.Left)
 }
@@ -176,22 +176,22 @@
 
 // partitioned reports whether a host is unreachable and in a region that is treated as
 // partitioned.
-func (f *fleet) lost(host string) bool {
-	if len(f.lostRegions) == 0 {
+func (f *fleet) partitioned(host string) bool {
+	if len(f.partitionedRegions) == 0 {
 		return false
 	}
 	m := f.view.Find(host)
-	return m != nil && f.lostRegions[m.Region] && !f.hears(m)
+	return m != nil && f.partitionedRegions[m.Region] && !f.reachable(m)
 }
 
 // rejoins reports whether a host that has just sent a request is in a region that is
 // partitioned or was until recently.
 func (f *fleet) rejoins(host string, now time.Duration) bool {
-	if len(f.rejoining) == 0 && len(f.lostRegions) == 0 {
+	if len(f.rejoining) == 0 && len(f.partitionedRegions) == 0 {
 		return false
 	}
 	region := f.region(host)
-	return f.lostRegions[region] || now < f.rejoining[region]
+	return f.partitionedRegions[region] || now < f.rejoining[region]
 }
 
 // mix spreads a hash over all bits (the finalizer of MurmurHash3).
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -14,7 +14,7 @@
 
 const (
 	// queueSize is the number of accounts that may wait in the holder's queue.
-	kickBacklog = 4096
+	queueSize = 4096
 	// unleasedShare is the share of the contract's rate that all daemons together may admit
 	// without leases. unleasedBurst is the corresponding burst, in seconds of the
 	// contract's rate.
@@ -25,14 +25,14 @@
 // holder keeps the leases of this daemon: it claims, renews and returns them.
 type holder struct {
 	opts     Options
-	kicks    chan *account
+	queue    chan *account
 	accounts atomic.Pointer[map[string]*account]
 
 	mu     sync.Mutex
 	fleet  *fleet
 	active []*account
 	// awaiting contains the hosts of the owners with an exchange in progress.
-	asking   map[string]bool
+	awaiting   map[string]bool
 	sequence uint64
 	nextTick time.Duration
 	rng      *rand.Rand
@@ -41,8 +41,8 @@
 func newHolder(opts Options) *holder {
 	h := &holder{
 		opts:   opts,
-		kicks:  make(chan *account, kickBacklog),
-		asking: map[string]bool{},
+		queue:  make(chan *account, queueSize),
+		awaiting: map[string]bool{},
 		rng:    rand.New(rand.NewPCG(xxhash.Sum64String(opts.Host), 0)),
 	}
 	h.accounts.Store(&map[string]*account{})
@@ -73,13 +73,13 @@
 
 func (h *holder) newAccount(c *snapshot.Contract, now time.Duration) *account {
 	a := newAccount(c)
-	h.setSpare(a, now)
+	h.setFallback(a, now)
 	return a
 }
 
 // setFallback computes what the account may admit without a lease: an equal part of a small
 // share of the contract, so that all daemons together stay within that share.
-func (h *holder) setSpare(a *account, now time.Duration) {
+func (h *holder) setFallback(a *account, now time.Duration) {
 	known := 1.0
 	if h.fleet != nil {
 		known = float64(max(1, h.fleet.known))
@@ -89,13 +89,13 @@
 		burst: min(a.contract.Burst, unleasedBurst*a.contract.Rate) / known,
 		slots: float64(a.contract.MaxConcurrent) / known,
 	}
-	spare := newLease(part.wholeSlots(), true, now, forever)
-	spare.fill(now, part.burst)
-	if old := a.spare.Load(); old != nil {
+	fallback := newLease(part.wholeSlots(), true, now, forever)
+	fallback.fill(now, part.burst)
+	if old := a.fallback.Load(); old != nil {
 		tokens, _ := old.drain(now)
-		spare.fill(now, tokens)
+		fallback.fill(now, tokens)
 	}
-	a.spare.Store(spare)
+	a.fallback.Store(fallback)
 }
 
 // setContracts replaces the contracts in force.
@@ -120,20 +120,20 @@
 // revise applies a revised contract to an account. The lease shrinks with the contract at once.
 // All holders claim again soon, spread out to avoid a simultaneous burst of claims.
 func (h *holder) revise(a *account, c *snapshot.Contract, now time.Duration) {
-	was := contractAmount(a.contract)
-	is := contractAmount(c)
+	previous := contractAmount(a.contract)
+	revised := contractAmount(c)
 	a.contract = c
-	h.setSpare(a, now)
+	h.setFallback(a, now)
 	a.nextClaim = min(a.nextClaim, now+h.jitter(h.opts.reportSpread()))
-	if was.slots == 0 && is.slots > 0 {
+	if previous.slots == 0 && revised.slots > 0 {
 		// A lease from a contract without a concurrency limit has no slots.
 		a.nextClaim = now
 	}
 	if l := a.lease.Load(); l.valid(now) {
 		shrunk, _ := l.shrunk(now, l.amount.min(amount{
-			rate:  l.rate * is.rate / was.rate,
-			burst: l.burst * is.burst / was.burst,
-			slots: l.slots * is.slots / max(1, was.slots),
+			rate:  l.rate * revised.rate / previous.rate,
+			burst: l.burst * revised.burst / previous.burst,
+			slots: l.slots * revised.slots / max(1, previous.slots),
 		}).wholeSlots())
 		a.lease.Store(shrunk)
 	}
@@ -148,7 +148,7 @@
 	h.fleet = f
 	if resized {
 		for _, a := range *h.accounts.Load() {
-			h.setSpare(a, now)
+			h.setFallback(a, now)
 		}
 	}
 	for _, a := range h.active {
@@ -160,9 +160,9 @@
 	if h.fleet == nil {
 		return
 	}
-	was := a.owner
+	previous := a.owner
 	a.owner = h.fleet.owner(a.customer)
-	if was != nil && a.owner != nil && (was.Host != a.owner.Host || was.Boot != a.owner.Boot) {
+	if previous != nil && a.owner != nil && (previous.Host != a.owner.Host || previous.Boot != a.owner.Boot) {
 		a.nextClaim = now + h.jitter(h.opts.reportSpread())
 		a.notBefore.Store(0)
 		a.failures = 0
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -31,10 +31,10 @@
 	local bool
 	// grantedBy is the boot ID of the owner that granted the lease.
 	grantedBy uint64
-	loan      loan
+	delegation      delegation
 	origin    origin
 	// retryRate is the rate that is left for retries of refused calls, in calls per second.
-	returnRate float64
+	retryRate float64
 	// slotsContended is set if the owner requests idle slots back.
 	slotsContended bool
 
@@ -51,28 +51,28 @@
 
 // delegation is the time for which the rate of a pooled lease belongs to the pool of an owner.
 // Using the rate elsewhere during that time would use it twice.
-type loan struct {
+type delegation struct {
 	to    uint64
 	until time.Duration
 }
 
 // open reports whether the rate is still delegated to an owner other than the given one.
-func (l loan) open(owner uint64, now time.Duration) bool { return l.to != owner && now < l.until }
+func (l delegation) open(owner uint64, now time.Duration) bool { return l.to != owner && now < l.until }
 
 // delegate assigns the rate of a pooled lease to the owner's pool, unless it is still delegated
 // to another owner. It reports whether the rate is delegated.
-func (l *lease) lend(owner uint64, now time.Duration) bool {
-	if !l.pooled || l.local || l.loan.open(owner, now) {
+func (l *lease) delegate(owner uint64, now time.Duration) bool {
+	if !l.pooled || l.local || l.delegation.open(owner, now) {
 		return false
 	}
-	l.loan = loan{to: owner, until: forever}
+	l.delegation = delegation{to: owner, until: forever}
 	return true
 }
 
 // endDelegation sets the time at which the pool of an owner stops using the rate.
-func (l *lease) endLoan(owner uint64, at time.Duration) {
-	if l != nil && l.loan.to == owner {
-		l.loan.until = at
+func (l *lease) endDelegation(owner uint64, at time.Duration) {
+	if l != nil && l.delegation.to == owner {
+		l.delegation.until = at
 	}
 }
 
@@ -118,10 +118,10 @@
 // take takes one token: from the bucket first, since the bucket may overflow, then from the
 // prepaid tokens.
 func (l *lease) take(now time.Duration) bool {
-	return l.local && l.takeLocal(now) || l.takePrepaid()
+	return l.local && l.takeFromBucket(now) || l.takePrepaid()
 }
 
-func (l *lease) takeLocal(now time.Duration) bool {
+func (l *lease) takeFromBucket(now time.Duration) bool {
 	if l.interval == 0 {
 		return false
 	}
@@ -168,7 +168,7 @@
 }
 
 // add adds tokens to the bucket and returns the number that do not fit.
-func (l *lease) add(now time.Duration, tokens float64) (over float64) {
+func (l *lease) add(now time.Duration, tokens float64) (overflow float64) {
 	tokens += l.level(now)
 	l.fill(now, tokens)
 	return max(0, tokens-l.burst)
@@ -191,7 +191,7 @@
 }
 
 // carryOver moves the tokens of the previous lease to l and returns the number that do not fit.
-func (l *lease) succeed(prev *lease, now time.Duration) (over float64) {
+func (l *lease) carryOver(prev *lease, now time.Duration) (overflow float64) {
 	if !prev.valid(now) {
 		return 0
 	}
@@ -199,34 +199,34 @@
 	if !prev.local {
 		tokens = 0
 	}
-	over = tokens
+	overflow = tokens
 	if l.local {
-		over = max(0, tokens-l.burst)
+		overflow = max(0, tokens-l.burst)
 		l.fill(now, tokens)
 	}
 	if l.rate > 0 {
 		l.prepaid.Store(prepaid)
 	} else {
-		over += float64(prepaid)
+		overflow += float64(prepaid)
 	}
-	if prev.loan.open(l.grantedBy, now) {
-		l.loan = prev.loan
-		l.emptyAt.Store(int64(prev.loan.until))
+	if prev.delegation.open(l.grantedBy, now) {
+		l.delegation = prev.delegation
+		l.emptyAt.Store(int64(prev.delegation.until))
 	}
-	return over
+	return overflow
 }
 
 // shrunk returns the lease with smaller amounts and the tokens that fit, and the number that do
 // not fit.
-func (l *lease) shrunk(now time.Duration, to amount) (s *lease, over float64) {
+func (l *lease) shrunk(now time.Duration, to amount) (s *lease, overflow float64) {
 	s = l.copyWith(now, to)
 	s.local = l.local
-	return s, s.succeed(l, now)
+	return s, s.carryOver(l, now)
 }
 
 // withoutPool returns a copy of a pooled lease for local use. Its bucket starts empty, because
 // the rate has filled the pool until now, and holds at least one call.
-func (l *lease) alone(now time.Duration) *lease {
+func (l *lease) withoutPool(now time.Duration) *lease {
 	s := l.copyWith(now, l.amount)
 	s.local = true
 	s.capacity = max(s.capacity, s.interval)
@@ -239,9 +239,9 @@
 	s := newLease(a, false, now, l.expires)
 	s.pooled = l.pooled
 	s.grantedBy = l.grantedBy
-	s.loan = l.loan
+	s.delegation = l.delegation
 	s.origin = l.origin
-	s.returnRate = l.returnRate
+	s.retryRate = l.retryRate
 	s.slotsContended = l.slotsContended
 	return s
 }
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -20,14 +20,14 @@
 	// rejoining is the amount that was leased in regions that have become reachable again.
 	rejoining rejoining
 	// sweptFleet is the fleet for which the entries were last updated.
-	swept *fleet
+	sweptFleet *fleet
 
 	// opensAt is the earliest time at which the ledger stops settling.
 	opensAt time.Duration
 	open    bool
-	// reported is what holders are known to hold while the ledger settles. The ledger may
+	// reported is what holders are reported to hold while the ledger settles. The ledger may
 	// renew and redistribute that amount.
-	known amount
+	reported amount
 }
 
 // newLedger returns a ledger without entries. Its pool starts with the tokens that have
@@ -48,9 +48,9 @@
 	l.opensAt = opensAt
 	l.open = false
 	for _, e := range l.entries {
-		l.change(e, func() { e.pooled = false })
+		l.update(e, func() { e.pooled = false })
 	}
-	l.known = l.sum.charged
+	l.reported = l.sum.charged
 	l.pool = pool{at: now}
 }
 
@@ -60,24 +60,24 @@
 		return &quotapb.Lease{Verdict: quotapb.Verdict_VERDICT_STALE}
 	}
 	l.advance(now, f)
-	if e := l.byHolder[id]; e != nil && e.cutOff {
+	if e := l.byHolder[id]; e != nil && e.partitioned {
 		l.rejoin(now, func(o *entry) bool { return o == e })
 	}
-	l.pool.repay(float64(c.GetUnleased()), l.contract.burst)
+	l.pool.deduct(float64(c.GetUnleased()), l.contract.burst)
 
 	e := l.entry(id)
 	before := e.charged()
-	l.change(e, func() { e.report(sequence, f, c) })
+	l.update(e, func() { e.recordClaim(sequence, f, c) })
 	l.pool.put(float64(c.GetReturned()), l.poolCapacity())
-	l.locate(now, f, e, before, c)
+	l.recordOrigin(now, f, e, before, c)
 	granted := l.grant(l.limit(now, f), e)
-	l.change(e, func() { e.answer(granted, now, now+l.opts.ownerLeaseTime()) })
+	l.update(e, func() { e.recordGrant(granted, now, now+l.opts.ownerLeaseTime()) })
 	return l.lease(now, f, e, c.GetNeed())
 }
 
 // recordOrigin determines which owner granted the holder's lease, and so whether the lease is
 // charged already.
-func (l *ledger) locate(now time.Duration, f *fleet, e *entry, before amount, c *quotapb.Claim) {
+func (l *ledger) recordOrigin(now time.Duration, f *fleet, e *entry, before amount, c *quotapb.Claim) {
 	by := c.GetGrantedBy()
 	foreign := by != 0 && by != f.boot()
 	switch {
@@ -87,7 +87,7 @@
 		}
 	case foreign:
 		l.earlier.report(by, e.holder, c.GetOrigin(), now, now+l.opts.ownerLeaseTime())
-		l.adopt(e.held.minus(before).atLeastZero())
+		l.addReported(e.held.minus(before).atLeastZero())
 	}
 }
 
@@ -103,16 +103,16 @@
 }
 
 // update changes an entry and adjusts the totals.
-func (l *ledger) change(e *entry, f func()) {
+func (l *ledger) update(e *entry, f func()) {
 	l.sum.remove(e)
 	f()
 	l.sum.add(e)
 }
 
 // addReported adds an amount that an earlier owner granted.
-func (l *ledger) adopt(news amount) {
+func (l *ledger) addReported(added amount) {
 	if !l.open {
-		l.known = l.known.plus(news).min(l.contract)
+		l.reported = l.reported.plus(added).min(l.contract)
 	}
 }
 
@@ -123,7 +123,7 @@
 	limit.burst = min(limit.burst, d.localBurst())
 	room := limit.minus(l.sum.charged).atLeastZero().plus(e.held)
 	granted := d.share(e.demand, e.inUse, e.held.burst).min(room).wholeSlots()
-	if near(granted.rate, e.held.rate) || e.lentElsewhere() && granted.rate < e.held.rate {
+	if withinTolerance(granted.rate, e.held.rate) || e.delegatedElsewhere() && granted.rate < e.held.rate {
 		granted.rate = e.held.rate
 	}
 	if granted.burst < minLocalBurst {
@@ -134,7 +134,7 @@
 
 // division returns the division of the limit among the reachable holders.
 func (l *ledger) division(limit amount) *division {
-	return &division{available: limit.minus(l.sum.cutOff).atLeastZero(), burst: l.contract.burst, all: l.sum.crowd}
+	return &division{available: limit.minus(l.sum.partitioned).atLeastZero(), burst: l.contract.burst, all: l.sum.aggregateDemand}
 }
 
 // lease returns the answer to a claim, with tokens from the pool for waiting calls.
@@ -168,8 +168,8 @@
 // next calls need no claim.
 func (l *ledger) tokens(e *entry, need uint32, contended bool) uint32 {
 	n := l.pool.take(need)
-	if over := l.pool.level - l.poolCapacity(); over > 0 && e.granted.burst > e.held.burst {
-		n += l.pool.take(uint32(math.Ceil(min(over, e.granted.burst-e.held.burst))))
+	if overflow := l.pool.level - l.poolCapacity(); overflow > 0 && e.granted.burst > e.held.burst {
+		n += l.pool.take(uint32(math.Ceil(min(overflow, e.granted.burst-e.held.burst))))
 	}
 	if need > 0 && !contended && l.pool.level-e.granted.burst >= l.poolCapacity()/2 {
 		n += l.pool.take(uint32(e.granted.burst))
@@ -184,12 +184,12 @@
 func (l *ledger) limit(now time.Duration, f *fleet) amount {
 	full := l.contract
 	if f.isolated {
-		full = full.scale(f.heardShare)
+		full = full.scale(f.reachableShare)
 	}
 	if !l.open {
-		return l.known.plus(l.contract.scale(settlingShare * f.heardShare)).min(full)
+		return l.reported.plus(l.contract.scale(settlingShare * f.reachableShare)).min(full)
 	}
-	return full.minus(l.earlier.silent(now)).minus(l.rejoining.rest(now)).atLeastZero()
+	return full.minus(l.earlier.unreported(now)).minus(l.rejoining.unreported(now)).atLeastZero()
 }
 
 // poolRate returns the rate that fills the pool: what is neither leased nor possibly in use by
@@ -202,7 +202,7 @@
 // have had time to report. While a region is partitioned its holders cannot report, so settling
 // continues until they have had that time after the region is reachable again.
 func (l *ledger) advance(now time.Duration, f *fleet) {
-	if !l.open && len(f.lostRegions) > 0 {
+	if !l.open && len(f.partitionedRegions) > 0 {
 		l.opensAt = max(l.opensAt, now+l.opts.settleTime())
 	}
 	l.open = l.open || now >= l.opensAt
@@ -212,26 +212,26 @@
 // sweep drops leases that have ended.
 func (l *ledger) sweep(now time.Duration, f *fleet) {
 	l.advance(now, f)
-	if f != l.swept {
-		l.swept = f
-		l.compare(now, f)
+	if f != l.sweptFleet {
+		l.sweptFleet = f
+		l.applyFleet(now, f)
 	}
 	// A lease in a partitioned region may outlast its time, since another owner may be
 	// renewing it.
-	l.drop(func(e *entry) bool { return now >= e.expires && !e.cutOff })
+	l.drop(func(e *entry) bool { return now >= e.expires && !e.partitioned })
 	l.sum = totals{}
 	for _, e := range l.entries {
-		e.pooled = e.pooled && now < e.lentUntil
+		e.pooled = e.pooled && now < e.pooledUntil
 		l.sum.add(e)
 	}
 }
 
 // applyFleet updates the entries after a change of the fleet.
-func (l *ledger) compare(now time.Duration, f *fleet) {
-	l.rejoin(now, func(e *entry) bool { return !f.lost(e.holder.host) })
-	l.drop(func(e *entry) bool { return e.gone(f) })
+func (l *ledger) applyFleet(now time.Duration, f *fleet) {
+	l.rejoin(now, func(e *entry) bool { return !f.partitioned(e.holder.host) })
+	l.drop(func(e *entry) bool { return e.ended(f) })
 	for _, e := range l.entries {
-		e.cutOff = f.lost(e.holder.host)
+		e.partitioned = f.partitioned(e.holder.host)
 	}
 }
 
@@ -248,9 +248,9 @@
 
 // rejoin moves the leases of a formerly partitioned region to one sum, as their holders are
 // reachable again and report what they have now.
-func (l *ledger) rejoin(now time.Duration, heard func(*entry) bool) {
+func (l *ledger) rejoin(now time.Duration, reachable func(*entry) bool) {
 	l.drop(func(e *entry) bool {
-		if !e.cutOff || !heard(e) {
+		if !e.partitioned || !reachable(e) {
 			return false
 		}
 		l.sum.remove(e)
--- a/quota/ledger_test.go
+++ b/quota/ledger_test.go
@@ -146,7 +146,7 @@
 }
 
 func (m *ledgerModel) pauseOwner(*rapid.T) {
-	m.now += maxBeatGap
+	m.now += maxHeartbeatGap
 	m.ledger.sweep(m.now, m.fleet)
 	m.ledger.settle(m.now+DefaultLeaseTime/settleDivisor, m.now)
 }
--- a/quota/manager.go
+++ b/quota/manager.go
@@ -24,7 +24,7 @@
 }
 
 type counters struct {
-	refused, asked, failed, served atomic.Int64
+	refused, sent, failed, served atomic.Int64
 }
 
 // Stats holds counters since the creation of a Manager, and current gauges.
@@ -92,7 +92,7 @@
 	ledgers, leases := m.owner.size()
 	return Stats{
 		Refused:         m.stats.refused.Load(),
-		Sent:            m.stats.asked.Load(),
+		Sent:            m.stats.sent.Load(),
 		Failed:          m.stats.failed.Load(),
 		Served:          m.stats.served.Load(),
 		ActiveCustomers: m.holder.size(),
@@ -120,7 +120,7 @@
 	for {
 		for _, q := range m.step(m.now()) {
 			t.Go(func() error {
-				m.ask(ctx, q)
+				m.exchange(ctx, q)
 				select {
 				case done <- struct{}{}:
 				default:
@@ -133,22 +133,22 @@
 			return nil
 		case <-ticker.C:
 		case <-done:
-		case a := <-m.holder.kicks:
-			m.holder.takeKick(a, m.now())
+		case a := <-m.holder.queue:
+			m.holder.handleQueued(a, m.now())
 		}
 	}
 }
 
 // step does the due work of holder and owner, completes exchanges with this daemon itself, and
 // returns the exchanges to make with other daemons.
-func (m *Manager) step(now time.Duration) []*ask {
+func (m *Manager) step(now time.Duration) []*exchange {
 	if f := m.fleet.Load(); f != nil && now >= f.changesAt {
 		m.setView(f.view, now)
 	}
-	m.owner.beat(now)
-	asks := m.holder.step(now)
-	remote := asks[:0]
-	for _, q := range asks {
+	m.owner.heartbeat(now)
+	exchanges := m.holder.step(now)
+	remote := exchanges[:0]
+	for _, q := range exchanges {
 		if q.owner.Host != m.opts.Host {
 			remote = append(remote, q)
 			continue
@@ -159,10 +159,10 @@
 }
 
 // exchange sends one request and passes the answer to the holder.
-func (m *Manager) ask(ctx context.Context, q *ask) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (m *Manager) exchange(ctx context.Context, q *exchange) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	m.stats.asked.Add(1)
+	m.stats.sent.Add(1)
 	answer, err := m.opts.Peers.SendClaims(ctx, q.owner, q.request)
 	if err != nil {
 		m.stats.failed.Add(1)
--- a/quota/options.go
+++ b/quota/options.go
@@ -21,20 +21,20 @@
 	// tickInterval is the interval at which a holder checks demand and due claims.
 	tickInterval = 100 * time.Millisecond
 	// requestTimeout bounds one exchange with an owner.
-	askTimeout = 500 * time.Millisecond
+	requestTimeout = 500 * time.Millisecond
 	// admitWait bounds how long a call waits for a token from the owner's pool.
 	admitWait = 250 * time.Millisecond
 	// maxHeartbeatGap is the longest gap between two heartbeats that is attributed to a
 	// busy machine. Membership takes longer than this to declare a daemon dead, so no other
 	// daemon can have become the owner in the meantime.
-	maxBeatGap = 2 * time.Second
+	maxHeartbeatGap = 2 * time.Second
 	// delegationTime is how long an owner's pool keeps using a rate that a holder has
 	// delegated to it. Until then the holder neither uses the rate itself nor delegates it
 	// to another owner.
-	lendTime = 3 * time.Second
+	delegationTime = 3 * time.Second
 	// delegationMargin is the additional time that the holder waits, because the owner
 	// checks its ledgers only once per tick.
-	lendMargin = 3 * tickInterval
+	delegationMargin = 3 * tickInterval
 	// suspectGrace is how long a suspect member still counts as reachable, so that a false
 	// suspicion that is soon refuted moves no ownership. Membership itself keeps members
 	// suspect for much longer if a whole zone or region is unreachable.
@@ -43,9 +43,9 @@
 	// below which the region is treated as partitioned. The share is above zero because the
 	// last members of a region are detected as unreachable some seconds after the first. It
 	// is below the share of members that remain in a region that lost one zone.
-	lostShare = 4
+	partitionDivisor = 4
 	// unreachableRetention is how long unreachable members count as possibly partitioned.
-	lossMemory = 30 * time.Minute
+	unreachableRetention = 30 * time.Minute
 
 	// contendedDivisor divides the renew interval if demand exceeds the contract.
 	contendedDivisor = 2
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -21,7 +21,7 @@
 	ledgers map[string]*ledger
 	// running is set after the first heartbeat; lastHeartbeat is the time of the last one.
 	running   bool
-	lastBeat  time.Duration
+	lastHeartbeat  time.Duration
 	nextSweep time.Duration
 	// refuseUntil is the time until which no claim is served after a pause of the process.
 	refuseUntil time.Duration
@@ -84,7 +84,7 @@
 // reassign updates whether this daemon owns the customer. The ledger of a newly owned customer
 // settles until opensAt.
 func (o *owner) reassign(customer string, opensAt, now time.Duration) {
-	if !o.fleet.ownsSelf(customer) {
+	if !o.fleet.selfOwns(customer) {
 		delete(o.opensAt, customer)
 		return
 	}
@@ -102,7 +102,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	answer := &quotapb.Answer{Leases: make([]*quotapb.Lease, 0, len(req.GetClaims()))}
-	o.checkBeat(now)
+	o.detectPause(now)
 	if o.fleet != nil {
 		answer.Boot = o.fleet.boot()
 	}
@@ -132,11 +132,11 @@
 }
 
 // heartbeat records that the process is running, and drops leases and ledgers that have ended.
-func (o *owner) beat(now time.Duration) {
+func (o *owner) heartbeat(now time.Duration) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.checkBeat(now)
-	o.running, o.lastBeat = true, now
+	o.detectPause(now)
+	o.running, o.lastHeartbeat = true, now
 	if o.fleet == nil || now < o.nextSweep {
 		return
 	}
@@ -154,16 +154,16 @@
 // on it: other daemons may have declared this one dead and elected another owner, which may
 // have granted the whole contract. Without this check, claims that waited in the socket would
 // be granted from a ledger that does not include the other owner's leases.
-func (o *owner) checkBeat(now time.Duration) {
-	gap := now - o.lastBeat
-	if !o.running || gap <= maxBeatGap {
+func (o *owner) detectPause(now time.Duration) {
+	gap := now - o.lastHeartbeat
+	if !o.running || gap <= maxHeartbeatGap {
 		return
 	}
 	o.opts.Logger.Warn("quota: paused, ownership starts anew", "gap", gap)
-	o.lastBeat = now
+	o.lastHeartbeat = now
 	// The holders whose requests waited during the pause have given up on them. If these
 	// claims were accepted, the holders would be charged for what they no longer hold.
-	o.refuseUntil = now + askTimeout
+	o.refuseUntil = now + requestTimeout
 	for customer := range o.opensAt {
 		o.opensAt[customer] = now + o.opts.settleTime()
 		if l := o.ledgers[customer]; l != nil && o.fleet != nil {
--- a/quota/pool.go
+++ b/quota/pool.go
@@ -35,6 +35,6 @@
 }
 
 // deduct subtracts tokens that were used in advance. The level does not fall below -bound.
-func (p *pool) repay(n, bound float64) {
+func (p *pool) deduct(n, bound float64) {
 	p.level = max(p.level-n, -bound)
 }
--- a/quota/quota_test.go
+++ b/quota/quota_test.go
@@ -14,7 +14,7 @@
 
 // singleDaemon returns the Manager of a fleet of one daemon that has finished settling, and its
 // clock.
-func alone(t *testing.T, c *snapshot.Contract) (m *Manager, clock *time.Duration) {
+func singleDaemon(t *testing.T, c *snapshot.Contract) (m *Manager, clock *time.Duration) {
 	t.Helper()
 	clock = new(time.Duration)
 	base := time.Unix(1_000_000, 0)
@@ -30,7 +30,7 @@
 
 func TestManager_refusesBeyondContract(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 10, Burst: 5, MaxConcurrent: 3}
-	m, clock := alone(t, c)
+	m, clock := singleDaemon(t, c)
 	admitted := 0
 	for range 10 * 100 {
 		*clock += 10 * time.Millisecond
@@ -49,9 +49,9 @@
 // A burst arrives after a quiet period, from callers that do not wait. The daemon is then
 // granted a lease whose bucket is most of the burst. The tokens for it are sent along from the
 // owner's pool, which has no room for them any more.
-func TestManager_givesTheWholeBurst(t *testing.T) {
+func TestManager_admitsTheWholeBurst(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 1, Burst: 50}
-	m, clock := alone(t, c)
+	m, clock := singleDaemon(t, c)
 	for range 600 {
 		*clock += tickInterval
 		m.step(*clock)
@@ -76,7 +76,7 @@
 
 func TestManager_refusesBeyondConcurrency(t *testing.T) {
 	c := &snapshot.Contract{Customer: "acme", Rate: 1000, Burst: 1000, MaxConcurrent: 3}
-	m, clock := alone(t, c)
+	m, clock := singleDaemon(t, c)
 	for range 100 {
 		*clock += 10 * time.Millisecond
 		_, _ = m.Admit(c)
@@ -92,10 +92,10 @@
 
 // Calls in flight outlive the lease that admitted them. The holder reports them even without a
 // lease, since the owner would otherwise grant their slots again.
-func TestAccount_tellsCallsInFlight(t *testing.T) {
+func TestAccount_claimReportsCallsInFlight(t *testing.T) {
 	a := newAccount(&snapshot.Contract{Customer: "acme", MaxConcurrent: 5})
 	a.inFlight.Store(3)
-	must.Eq(t, 3, a.claim(0, 1, newRound()).GetHeld().GetSlots())
+	must.Eq(t, 3, a.claim(0, 1, newPendingClaim()).GetHeld().GetSlots())
 }
 
 func TestManager_Run(t *testing.T) {
--- a/quota/rejoin.go
+++ b/quota/rejoin.go
@@ -25,7 +25,7 @@
 }
 
 // unreported returns the amount that has not been reported.
-func (r *rejoining) rest(now time.Duration) amount {
+func (r *rejoining) unreported(now time.Duration) amount {
 	if now >= r.until {
 		*r = rejoining{}
 	}
--- a/quota/run_test.go
+++ b/quota/run_test.go
@@ -22,11 +22,11 @@
 type localPeers struct {
 	from     string
 	managers map[string]*Manager
-	silent   bool
+	unresponsive   bool
 }
 
 func (p *localPeers) SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
-	if p.silent {
+	if p.unresponsive {
 		<-ctx.Done()
 		return nil, errors.Wrap(ctx.Err(), "send claims to the owner")
 	}
@@ -57,18 +57,18 @@
 		cancel()
 		running.Wait()
 	})
-	var stranger string
+	var nonOwner string
 	for i, host := range hosts {
 		m := managers[host]
 		m.SetView(&membership.View{Self: view.Members[i], Members: view.Members})
 		m.SetContracts(map[string]*snapshot.Contract{c.Customer: c})
 		running.Go(func() { test.NoError(t, m.Run(ctx)) })
-		if !m.fleet.Load().ownsSelf(c.Customer) {
-			stranger = host
+		if !m.fleet.Load().selfOwns(c.Customer) {
+			nonOwner = host
 		}
 	}
 	time.Sleep(DefaultLeaseTime)
-	return managers[stranger], peers[stranger]
+	return managers[nonOwner], peers[nonOwner]
 }
 
 // An idle customer sends its burst to one daemon at once. The daemon has no token for any of
@@ -106,7 +106,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := &snapshot.Contract{Customer: "acme", Rate: 1, Burst: 1}
 		m, peers := fleetOf(t, c, "a", "b", "c")
-		peers.silent = true
+		peers.unresponsive = true
 		start := time.Now()
 		_, err := m.AdmitWait(t.Context(), c)
 		must.Eq(t, errkind.RateLimited, errkind.Of(err))
--- a/quota/share.go
+++ b/quota/share.go
@@ -19,13 +19,13 @@
 	// uncontendedBurstShare is the share of the contract's burst that the buckets at the
 	// holders may have; the owner's pool has the rest. contendedBurstShare is the share for
 	// a contended contract: its pool is used more, and a small pool would overflow.
-	calmBurstShare      = 0.85
+	uncontendedBurstShare      = 0.85
 	contendedBurstShare = 0.65
 	// contendedShare is the share of the available amount above which the wanted amount
 	// counts as contended.
 	contendedShare = 0.9
 	// rateTolerance is the relative change of a rate that is too small to be worth making.
-	nearShare = 0.15
+	rateTolerance = 0.15
 	// settlingShare is the share of the contract that a settling owner may grant beyond the
 	// amounts that were reported to it.
 	settlingShare = 0.02
@@ -52,10 +52,10 @@
 
 // withinTolerance reports whether two rates are so close that a change would only move quota
 // back and forth: while an answer is under way, the larger of both is charged.
-func near(a, b float64) bool { return math.Abs(a-b) <= nearShare*b }
+func withinTolerance(a, b float64) bool { return math.Abs(a-b) <= rateTolerance*b }
 
 // aggregateDemand is the demand of all holders of a contract together.
-type crowd struct {
+type aggregateDemand struct {
 	demand float64
 	inUse  float64
 	// holders is the number of holders with demand.
@@ -67,7 +67,7 @@
 	available amount
 	// burst is the burst of the contract.
 	burst float64
-	all   crowd
+	all   aggregateDemand
 }
 
 // contended reports whether holders want nearly as much as is available, or more.
@@ -82,7 +82,7 @@
 // localBurst returns the part of the burst that the buckets at the holders may have. The pool
 // keeps room for at least one call.
 func (d *division) localBurst() float64 {
-	share := calmBurstShare
+	share := uncontendedBurstShare
 	if d.contended() {
 		share = contendedBurstShare
 	}
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -76,7 +76,7 @@
 type waitingCall struct {
 	a        *account
 	c        *snapshot.Contract
-	round    *round
+	pending    *pendingClaim
 	tries    int
 	deadline time.Duration
 	done     func(admitted bool)
@@ -122,7 +122,7 @@
 	d.dead, d.paused = false, false
 	d.backlog, d.waiting = nil, nil
 	d.m = New(Options{Host: d.host, Now: func() time.Time { return w.base.Add(w.now) }})
-	d.view = w.truth()
+	d.view = w.actualMembers()
 	d.publish()
 	d.m.SetContracts(contracts)
 	m := d.m
@@ -132,7 +132,7 @@
 
 // actualMembers returns the actual state of all members. Daemons share the member values until
 // their views differ.
-func (w *world) truth() []*membership.Member {
+func (w *world) actualMembers() []*membership.Member {
 	if w.members == nil {
 		for _, o := range w.daemons {
 			w.members = append(w.members, o.member(membership.Alive))
@@ -161,13 +161,13 @@
 }
 
 // setLiveness changes this daemon's view of another daemon after a delay.
-func (d *daemon) believe(o *daemon, l membership.Liveness, after time.Duration) {
+func (d *daemon) setLiveness(o *daemon, l membership.Liveness, after time.Duration) {
 	w, m := d.w, d.m
 	w.after(after, func() {
 		if d.m != m || d.dead || o == d {
 			return
 		}
-		d.act(func() {
+		d.execute(func() {
 			if d.view[o.index].Liveness == l && d.view[o.index].Boot == o.boot {
 				return
 			}
@@ -192,7 +192,7 @@
 }
 
 // execute runs an event in the process: later if the process is paused, never if it is dead.
-func (d *daemon) act(run func()) {
+func (d *daemon) execute(run func()) {
 	switch {
 	case d.dead:
 	case d.paused:
@@ -207,17 +207,17 @@
 		return
 	}
 	if !d.paused {
-		d.pump()
+		d.step()
 	}
 	d.w.after(tickInterval, func() { d.tick(m) })
 }
 
 // step lets the Manager do the work that is due.
-func (d *daemon) pump() {
+func (d *daemon) step() {
 	for _, q := range d.m.step(d.m.now()) {
 		d.send(q)
 	}
-	d.settleWaiting()
+	d.retryWaiting()
 }
 
 func (w *world) hop(a, b *daemon) time.Duration {
@@ -229,7 +229,7 @@
 
 // send simulates one exchange over the network. The sender gives up after requestTimeout; a
 // late answer is dropped, a late request is served.
-func (d *daemon) send(q *ask) {
+func (d *daemon) send(q *exchange) {
 	w, m := d.w, d.m
 	w.messages++
 	w.bytes += proto.Size(q.request)
@@ -240,19 +240,19 @@
 			return
 		}
 		open = false
-		d.act(func() {
+		d.execute(func() {
 			m.holder.finish(q, answer, err, m.now())
-			d.pump()
+			d.step()
 		})
 	}
-	w.after(askTimeout, func() { finish(nil, context.DeadlineExceeded) })
+	w.after(requestTimeout, func() { finish(nil, context.DeadlineExceeded) })
 	o := w.find(q.owner.Host)
 	hop := w.hop(d, o)
 	w.after(hop, func() {
 		if w.cut(d, o) || o.boot != q.owner.Boot {
 			return
 		}
-		o.act(func() {
+		o.execute(func() {
 			answer := o.m.Serve(context.Background(), d.host, q.request)
 			w.bytes += proto.Size(answer)
 			w.after(hop, func() {
@@ -276,13 +276,13 @@
 	}
 	a, now := d.m.account(c), d.m.now()
 	a.arrivals.Add(1)
-	if d.m.try(a, now, c) == nil {
+	if d.m.tryAdmit(a, now, c) == nil {
 		d.run(a, done)
-		d.pump()
+		d.step()
 		return
 	}
 	d.wait(&waitingCall{a: a, c: c, deadline: now + admitWait, done: done}, now)
-	d.pump()
+	d.step()
 }
 
 // run keeps an admitted call in flight for callTime.
@@ -292,7 +292,7 @@
 }
 
 func (d *daemon) wait(call *waitingCall, now time.Duration) {
-	if call.tries == 2 || !call.a.worthAsking(now) {
+	if call.tries == 2 || !call.a.claimAllowed(now) {
 		d.m.refusal(call.a, now, errRate)
 		call.done(false)
 		return
@@ -301,22 +301,22 @@
 		d.w.waits++
 	}
 	call.tries++
-	call.round = call.a.round.Load()
-	call.round.waiters.Add(1)
-	d.m.kick(call.a)
+	call.pending = call.a.pending.Load()
+	call.pending.waiters.Add(1)
+	d.m.enqueue(call.a)
 	d.waiting = append(d.waiting, call)
 }
 
 // retryWaiting retries the waiting calls whose answer has arrived.
-func (d *daemon) settleWaiting() {
+func (d *daemon) retryWaiting() {
 	now := d.m.now()
 	calls := d.waiting
 	d.waiting = nil
 	again := false
 	for _, call := range calls {
 		select {
-		case <-call.round.done:
-			if d.m.try(call.a, now, call.c) == nil {
+		case <-call.pending.done:
+			if d.m.tryAdmit(call.a, now, call.c) == nil {
 				d.run(call.a, call.done)
 				continue
 			}
@@ -331,7 +331,7 @@
 		}
 	}
 	if again {
-		d.pump()
+		d.step()
 	}
 }
 
@@ -342,8 +342,8 @@
 func (w *world) kill(d *daemon) {
 	d.dead = true
 	for _, o := range w.daemons {
-		o.believe(d, membership.Suspect, w.within(time.Second, 3*time.Second))
-		o.believe(d, membership.Dead, w.within(6*time.Second, 8*time.Second))
+		o.setLiveness(d, membership.Suspect, w.within(time.Second, 3*time.Second))
+		o.setLiveness(d, membership.Dead, w.within(6*time.Second, 8*time.Second))
 	}
 }
 
@@ -351,39 +351,39 @@
 	d.boot += 1000
 	w.boot(d, contractMap(contracts))
 	for _, o := range w.daemons {
-		o.believe(d, membership.Alive, w.within(200*time.Millisecond, 2*time.Second))
+		o.setLiveness(d, membership.Alive, w.within(200*time.Millisecond, 2*time.Second))
 	}
 }
 
 func (w *world) pause(d *daemon) {
 	d.paused = true
 	for _, o := range w.daemons {
-		o.believe(d, membership.Suspect, w.within(time.Second, 3*time.Second))
-		o.believe(d, membership.Dead, w.within(6*time.Second, 8*time.Second))
+		o.setLiveness(d, membership.Suspect, w.within(time.Second, 3*time.Second))
+		o.setLiveness(d, membership.Dead, w.within(6*time.Second, 8*time.Second))
 	}
 }
 
 // resume runs the events that have accumulated during the pause, in order.
-func (w *world) wake(d *daemon) {
+func (w *world) resume(d *daemon) {
 	d.paused = false
 	backlog := d.backlog
 	d.backlog = nil
 	for _, run := range backlog {
 		run()
 	}
-	d.pump()
+	d.step()
 	for _, o := range w.daemons {
-		o.believe(d, membership.Alive, w.within(500*time.Millisecond, 2*time.Second))
+		o.setLiveness(d, membership.Alive, w.within(500*time.Millisecond, 2*time.Second))
 	}
 }
 
 // partition separates the daemons for which side returns true from the others.
-func (w *world) cutOff(side func(*daemon) bool) {
+func (w *world) partition(side func(*daemon) bool) {
 	w.cut = func(a, b *daemon) bool { return side(a) != side(b) }
 	for _, d := range w.daemons {
 		for _, o := range w.daemons {
 			if side(d) != side(o) {
-				d.believe(o, membership.Suspect, w.within(time.Second, 4*time.Second))
+				d.setLiveness(o, membership.Suspect, w.within(time.Second, 4*time.Second))
 			}
 		}
 	}
@@ -394,7 +394,7 @@
 	for _, d := range w.daemons {
 		for _, o := range w.daemons {
 			if !o.dead {
-				d.believe(o, membership.Alive, w.within(500*time.Millisecond, 2*time.Second))
+				d.setLiveness(o, membership.Alive, w.within(500*time.Millisecond, 2*time.Second))
 			}
 		}
 	}
@@ -407,7 +407,7 @@
 // admissibleRate returns the rate, in calls per second, at which all daemons together could
 // admit: the rates that holders use and the rates that fill the owners' pools. A paused process
 // counts, since it may resume.
-func (w *world) authority(c *snapshot.Contract) float64 {
+func (w *world) admissibleRate(c *snapshot.Contract) float64 {
 	sum := 0.0
 	for _, d := range w.daemons {
 		if d.dead {
@@ -418,7 +418,7 @@
 			sum += a.lease.Load().rate
 		}
 		f := d.m.fleet.Load()
-		if l := d.m.owner.ledgers[c.Customer]; l != nil && !d.paused && f.ownsSelf(c.Customer) {
+		if l := d.m.owner.ledgers[c.Customer]; l != nil && !d.paused && f.selfOwns(c.Customer) {
 			sum += l.poolRate(now, f)
 		}
 	}
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -50,7 +50,7 @@
 		return
 	}
 	f := d.m.fleet.Load()
-	n := f.heardShare * float64(f.known)
+	n := f.reachableShare * float64(f.known)
 	b := &s.buckets[d.index]
 	b.refill(d.w.now, s.c.Rate/n, max(1, s.c.Burst/n))
 	done(b.take())
@@ -88,7 +88,7 @@
 		if w.cut(d, o) {
 			return
 		}
-		o.act(func() {
+		o.execute(func() {
 			b := &s.buckets[o.index]
 			b.refill(w.now, s.c.Rate, s.c.Burst)
 			ok := b.take()
@@ -161,8 +161,8 @@
 	b := &g.buckets[to.index]
 	b.refill(g.w.now, g.c.Rate, g.c.Burst)
 	for j, n := range g.counts[from.index] {
-		if news := n - g.counts[to.index][j]; news > 0 {
-			b.level = max(-g.c.Rate, b.level-float64(news))
+		if added := n - g.counts[to.index][j]; added > 0 {
+			b.level = max(-g.c.Rate, b.level-float64(added))
 			g.counts[to.index][j] = n
 		}
 	}
