--- a/quota/account.go
+++ b/quota/account.go
@@ -43,7 +43,7 @@
 	listed bool
 	// missed is set if a call found no token or slot since the latest claim.
 	missed bool
-	owner   *membership.Member
+	owner  *membership.Member
 	// awaiting is set while the answer to a claim is outstanding.
 	awaiting bool
 	// nextClaim is the time at which the next claim is due.
--- a/quota/compare_test.go
+++ b/quota/compare_test.go
@@ -15,13 +15,13 @@
 type scenario struct {
 	name string
 	// demandShare returns the share of the demand that arrives in a zone.
-	demandShare    func(zone int, at time.Duration) float64
-	faults func(w *world, c *snapshot.Contract)
+	demandShare func(zone int, at time.Duration) float64
+	faults      func(w *world, c *snapshot.Contract)
 }
 
 const (
 	simZones   = 8
-	simWarmup    = 20 * time.Second
+	simWarmup  = 20 * time.Second
 	simLength  = 180 * time.Second
 	simDwell   = 30 * time.Second
 	simFade    = 5 * time.Second
@@ -146,9 +146,9 @@
 	}
 	return result{
 		admissibleRate: admissibleRate,
-		usable:    float64(len(admitted)) / float64(ideal(list, c)),
-		excess:    worstExcess(admitted, c.Rate),
-		messages:  float64(st.messages()-before) / simLength.Seconds(),
+		usable:         float64(len(admitted)) / float64(ideal(list, c)),
+		excess:         worstExcess(admitted, c.Rate),
+		messages:       float64(st.messages()-before) / simLength.Seconds(),
 	}
 }
 
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -31,9 +31,10 @@
 type demand struct {
 	// since is the time from which longMean is computed.
 	since time.Duration
-	at    time.Duration
-	seen  int64
-	longMean  float64
+	// at is the time of the latest sample, seen the number of arrivals at that time.
+	at       time.Duration
+	seen     int64
+	longMean float64
 	// shortMean follows sudden changes.
 	shortMean float64
 	// changes counts sudden changes of demand.
--- a/quota/entry.go
+++ b/quota/entry.go
@@ -29,9 +29,9 @@
 	delegates, pooled bool
 	// pooledUntil is when pooled ends unless the holder claims again.
 	pooledUntil time.Duration
-	expires   time.Duration
-	demand    float64
-	inUse     float64
+	expires     time.Duration
+	demand      float64
+	inUse       float64
 	// unconfirmed counts consecutive claims that show that no answer has arrived.
 	unconfirmed int
 	// seen is set once membership has shown this process on its host. If membership shows a
--- a/quota/exchange.go
+++ b/quota/exchange.go
@@ -21,11 +21,11 @@
 
 // exchange is one request to an owner and its answer.
 type exchange struct {
-	owner    *membership.Member
-	request  *quotapb.Request
-	accounts []*account
-	pending   []*pendingClaim
-	sentAt   time.Duration
+	owner         *membership.Member
+	request       *quotapb.Request
+	accounts      []*account
+	pendingClaims []*pendingClaim
+	sentAt        time.Duration
 }
 
 // step does all work that is due and returns the exchanges to make. The caller must pass each
@@ -160,7 +160,7 @@
 	q.request = &quotapb.Request{Boot: h.fleet.boot(), Sequence: h.sequence}
 	for _, a := range q.accounts {
 		r := a.pending.Swap(newPendingClaim())
-		q.pending = append(q.pending, r)
+		q.pendingClaims = append(q.pendingClaims, r)
 		q.request.Claims = append(q.request.Claims, a.claim(now, q.owner.Boot, r))
 	}
 }
@@ -187,7 +187,7 @@
 		default:
 			h.applyLease(a, q.sentAt, c, leases[i], answer.GetBoot(), now)
 		}
-		close(q.pending[i].done)
+		close(q.pendingClaims[i].done)
 	}
 }
 
--- a/quota/fleet.go
+++ b/quota/fleet.go
@@ -53,7 +53,7 @@
 		f.known++
 		r := regions[m.Region]
 		r.known++
-		if f.reachable(m) {
+		if f.isReachable(m) {
 			reachable++
 			r.reachable++
 			if !m.Draining {
@@ -95,9 +95,9 @@
 // since returns the time of the member's last state change.
 func (f *fleet) since(m *membership.Member) time.Duration { return m.Since.Sub(f.start) }
 
-// reachable reports whether the member counts as reachable, and updates changesAt if that will
-// change without a new view.
-func (f *fleet) reachable(m *membership.Member) bool {
+// isReachable reports whether the member counts as reachable, and updates changesAt if that
+// will change without a new view.
+func (f *fleet) isReachable(m *membership.Member) bool {
 	switch m.Liveness {
 	case membership.Alive:
 		return true
@@ -181,7 +181,7 @@
 		return false
 	}
 	m := f.view.Find(host)
-	return m != nil && f.partitionedRegions[m.Region] && !f.reachable(m)
+	return m != nil && f.partitionedRegions[m.Region] && !f.isReachable(m)
 }
 
 // rejoins reports whether a host that has just sent a request is in a region that is
--- a/quota/holder.go
+++ b/quota/holder.go
@@ -32,7 +32,7 @@
 	fleet  *fleet
 	active []*account
 	// awaiting contains the hosts of the owners with an exchange in progress.
-	awaiting   map[string]bool
+	awaiting map[string]bool
 	sequence uint64
 	nextTick time.Duration
 	rng      *rand.Rand
@@ -40,10 +40,10 @@
 
 func newHolder(opts Options) *holder {
 	h := &holder{
-		opts:   opts,
-		queue:  make(chan *account, queueSize),
+		opts:     opts,
+		queue:    make(chan *account, queueSize),
 		awaiting: map[string]bool{},
-		rng:    rand.New(rand.NewPCG(xxhash.Sum64String(opts.Host), 0)),
+		rng:      rand.New(rand.NewPCG(xxhash.Sum64String(opts.Host), 0)),
 	}
 	h.accounts.Store(&map[string]*account{})
 	return h
--- a/quota/lease.go
+++ b/quota/lease.go
@@ -30,9 +30,9 @@
 	// the owner does not answer.
 	local bool
 	// grantedBy is the boot ID of the owner that granted the lease.
-	grantedBy uint64
-	delegation      delegation
-	origin    origin
+	grantedBy  uint64
+	delegation delegation
+	origin     origin
 	// retryRate is the rate that is left for retries of refused calls, in calls per second.
 	retryRate float64
 	// slotsContended is set if the owner requests idle slots back.
@@ -57,7 +57,7 @@
 }
 
 // open reports whether the rate is still delegated to an owner other than the given one.
-func (l delegation) open(owner uint64, now time.Duration) bool { return l.to != owner && now < l.until }
+func (d delegation) open(owner uint64, now time.Duration) bool { return d.to != owner && now < d.until }
 
 // delegate assigns the rate of a pooled lease to the owner's pool, unless it is still delegated
 // to another owner. It reports whether the rate is delegated.
--- a/quota/ledger.go
+++ b/quota/ledger.go
@@ -25,7 +25,7 @@
 	// opensAt is the earliest time at which the ledger stops settling.
 	opensAt time.Duration
 	open    bool
-	// reported is what holders are reported to hold while the ledger settles. The ledger may
+	// reported is what holders are known to hold while the ledger settles. The ledger may
 	// renew and redistribute that amount.
 	reported amount
 }
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -20,9 +20,9 @@
 	opensAt map[string]time.Duration
 	ledgers map[string]*ledger
 	// running is set after the first heartbeat; lastHeartbeat is the time of the last one.
-	running   bool
-	lastHeartbeat  time.Duration
-	nextSweep time.Duration
+	running       bool
+	lastHeartbeat time.Duration
+	nextSweep     time.Duration
 	// refuseUntil is the time until which no claim is served after a pause of the process.
 	refuseUntil time.Duration
 }
--- a/quota/run_test.go
+++ b/quota/run_test.go
@@ -20,9 +20,9 @@
 
 // localPeers delivers requests to Managers of this process, with a delay of 1 ms.
 type localPeers struct {
-	from     string
-	managers map[string]*Manager
-	unresponsive   bool
+	from         string
+	managers     map[string]*Manager
+	unresponsive bool
 }
 
 func (p *localPeers) SendClaims(ctx context.Context, owner *membership.Member, req *quotapb.Request) (*quotapb.Answer, error) {
--- a/quota/share.go
+++ b/quota/share.go
@@ -19,8 +19,8 @@
 	// uncontendedBurstShare is the share of the contract's burst that the buckets at the
 	// holders may have; the owner's pool has the rest. contendedBurstShare is the share for
 	// a contended contract: its pool is used more, and a small pool would overflow.
-	uncontendedBurstShare      = 0.85
-	contendedBurstShare = 0.65
+	uncontendedBurstShare = 0.85
+	contendedBurstShare   = 0.65
 	// contendedShare is the share of the available amount above which the wanted amount
 	// counts as contended.
 	contendedShare = 0.9
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -76,7 +76,7 @@
 type waitingCall struct {
 	a        *account
 	c        *snapshot.Contract
-	pending    *pendingClaim
+	pending  *pendingClaim
 	tries    int
 	deadline time.Duration
 	done     func(admitted bool)
