--- a/quota/compare_test.go
+++ b/quota/compare_test.go
@@ -29,10 +29,12 @@
 	faultStart = simWarmup + 100*time.Second
 )
 
-// movingDemand stays in a zone for simDwell and moves to the next zone within simFade.
+// movingDemand returns the share of the demand in a zone if the demand stays in each zone for
+// simDwell and moves to the next one within the last simFade of that time.
 func movingDemand(zone int, at time.Duration) float64 { return demandInZones(zone, at, 0, simZones) }
 
-// demandInZones moves the demand through the given number of zones, starting at first.
+// demandInZones is like movingDemand for a demand that moves through the given number of zones,
+// starting at first.
 func demandInZones(zone int, at time.Duration, first, zones int) float64 {
 	if zone < first || zone >= first+zones {
 		return 0
@@ -50,8 +52,8 @@
 	return 0
 }
 
-// demandInTwoRegions moves half of the demand through the zones of region 0 and half through
-// those of region 1.
+// demandInTwoRegions returns the share of the demand in a zone if half of it moves through the
+// zones of region 0 and half through those of region 1.
 func demandInTwoRegions(zone int, at time.Duration) float64 {
 	return (demandInZones(zone, at, 0, zonesPerRegion) + demandInZones(zone, at, zonesPerRegion, zonesPerRegion)) / 2
 }
@@ -91,7 +93,7 @@
 
 func (w *world) at(t time.Duration, run func()) { w.after(t-w.now, run) }
 
-// restartZone restarts all daemons of a zone within 3 s.
+// restartZone kills all daemons of a zone and restarts each of them within 3 s.
 func (w *world) restartZone(zone int, c *snapshot.Contract) {
 	for _, d := range w.daemons {
 		if d.zone != zone {
@@ -178,9 +180,9 @@
 }
 
 // Demand of 1.2 and 0.8 times the contract moves through eight zones in three regions. Without
-// faults and through each fault, the leases admit at most 5 % more than the contract in any 10
-// s, and at least 95 % of it overall. The results of the other strategies are only logged. Time
-// is virtual, so each run logs the same table.
+// faults and through each fault, the leases exceed the contract by at most 5 % in any 10 s, and
+// admit at least 95 % of what a single bucket would. The results of the other strategies are
+// only logged. Time is virtual, so each run logs the same table.
 func TestCompareStrategies(t *testing.T) {
 	const perZone = 6
 	for _, load := range []float64{1.2, 0.8} {
