--- a/admission/callees.go
+++ b/admission/callees.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// calleeMemory is the number of counted runs at which all counts are halved, so that
+	// calleeWindow is the number of counted runs at which all counts are halved, so that
 	// recent runs weigh more than old ones.
-	calleeMemory = 500
-	// leastRuns is the number of runs that must be counted before rates are reported, and
+	calleeWindow = 500
+	// minRuns is the number of runs that must be counted before rates are reported, and
 	// leastCalls the lowest rate that is reported, in calls per run: a route that has only
 	// just been classified as MadeByCallers leaves a few calls in the counts.
-	leastRuns  = 20
-	leastCalls = 0.02
-	// maxDepth limits the number of services that CallGraph.CallsPerRequest expands into their
+	minRuns        = 20
+	minCallsPerRun = 0.02
+	// maxExpanded limits the number of services that CallGraph.CallsPerRequest expands into their
 	// callees.
-	maxDepth = 15
+	maxExpanded = 15
 )
 
 // Callee is a called service and the rate of calls to it.
@@ -42,7 +42,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.runs++
-	if c.runs < calleeMemory {
+	if c.runs < calleeWindow {
 		return
 	}
 	c.runs /= 2
@@ -67,7 +67,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, n := range c.calls {
-		if c.counts(n) {
+		if c.isSignificant(n) {
 			return true
 		}
 	}
@@ -76,8 +76,8 @@
 
 // isSignificant reports whether a count of calls to one service is high enough to be reported.
 // The caller must hold mu.
-func (c *CalleeStats) counts(calls float64) bool {
-	return c.runs >= leastRuns && calls >= leastCalls*c.runs
+func (c *CalleeStats) isSignificant(calls float64) bool {
+	return c.runs >= minRuns && calls >= minCallsPerRun*c.runs
 }
 
 // Rates returns the called services and the mean number of calls to each per run, sorted by
@@ -87,7 +87,7 @@
 	defer c.mu.Unlock()
 	var rates []Callee
 	for s, n := range c.calls {
-		if c.counts(n) {
+		if c.isSignificant(n) {
 			rates = append(rates, Callee{s, n / c.runs})
 		}
 	}
@@ -106,7 +106,7 @@
 // gate has not counted enough runs yet. A report that differs little from the stored rates is
 // ignored as well.
 func (c *CallGraph) Update(service string, rates []Callee) {
-	if len(rates) == 0 || slices.EqualFunc(c.of(service), rates, Callee.isNear) {
+	if len(rates) == 0 || slices.EqualFunc(c.calleesOf(service), rates, Callee.approxEqual) {
 		return
 	}
 	c.mu.Lock()
@@ -121,12 +121,12 @@
 
 // approxEqual reports whether two rates of the same service differ by less than 10%, which is
 // not worth a copy of the map.
-func (c Callee) isNear(o Callee) bool {
+func (c Callee) approxEqual(o Callee) bool {
 	return c.Service == o.Service && c.Calls < 1.1*o.Calls && o.Calls < 1.1*c.Calls
 }
 
-// calleesOf returns the direct callees of a service.
-func (c *CallGraph) of(service string) []Callee {
+// calleesOf returns the direct callees calleesOf a service.
+func (c *CallGraph) calleesOf(service string) []Callee {
 	if services := c.services.Load(); services != nil {
 		return (*services)[service]
 	}
@@ -137,9 +137,9 @@
 // the calls made for it, and the calls made for those in turn. Each service occurs once.
 func (c *CallGraph) CallsPerRequest(service string) []Callee {
 	all := []Callee{{service, 1}}
-	for i := 0; i < len(all) && i < maxDepth; i++ {
-		for _, callee := range c.of(all[i].Service) {
-			all = add(all, Callee{callee.Service, callee.Calls * all[i].Calls})
+	for i := 0; i < len(all) && i < maxExpanded; i++ {
+		for _, callee := range c.calleesOf(all[i].Service) {
+			all = addCallee(all, Callee{callee.Service, callee.Calls * all[i].Calls})
 		}
 	}
 	return all
@@ -148,7 +148,7 @@
 // addCallee adds n to the entry of its service, or appends it as a new entry. CallsPerRequest
 // expands each entry once, so that it ends for services that call each other in a cycle; the
 // calls along the cycle then count once.
-func add(all []Callee, n Callee) []Callee {
+func addCallee(all []Callee, n Callee) []Callee {
 	if i := slices.IndexFunc(all, func(c Callee) bool { return c.Service == n.Service }); i >= 0 {
 		all[i].Calls += n.Calls
 		return all
--- a/admission/callees_test.go
+++ b/admission/callees_test.go
@@ -17,7 +17,7 @@
 			c.AddCall("desk")
 			c.AddCall("desk")
 		}
-		if i < leastRuns-1 {
+		if i < minRuns-1 {
 			must.Nil(t, c.Rates())
 		}
 	}
--- a/admission/origins.go
+++ b/admission/classifier.go
@@ -6,24 +6,24 @@
 )
 
 const (
-	// maxFromCallers is the highest share of a route's calls of known origin that may have
+	// maxCallerShare is the highest share of a route's calls of known origin that may have
 	// OriginCaller while the route still counts as called by services. A nested call seems to
 	// come from a caller if its run was canceled or its host was paused.
-	maxFromCallers = 0.1
+	maxCallerShare = 0.1
 	// maxChance is the probability below which it is ruled out that callers, whose requests
 	// arrive at all hosts, happened to send only from the hosts of the services seen. Seven
 	// calls from a third of the hosts are below it.
 	maxChance = 1e-3
-	// leastTold is the number of calls of known origin from which on the share of
+	// minKnownOrigin is the number of calls of known origin from which on the share of
 	// OriginCaller decides: the first few may come from a host whose daemon has just started.
-	leastTold = 5
-	// tellingCalls is the number of calls of known origin that settles the classification
+	minKnownOrigin = 5
+	// sufficientKnownOrigin is the number of calls of known origin that settles the classification
 	// either way: it reaches maxChance for callers on nine tenths of the hosts.
-	tellingCalls = 66
-	// originMemory is the number of a route's calls at which its counts are halved.
-	originMemory = 500
-	// maxOriginRoutes limits the number of routes that are tracked.
-	maxOriginRoutes = 4096
+	sufficientKnownOrigin = 66
+	// routeWindow is the number of a route's calls at which its counts are halved.
+	routeWindow = 500
+	// maxRoutes limits the number of routes that are tracked.
+	maxRoutes = 4096
 )
 
 // RouteClassifier determines at a gate which routes carry nested calls, which services make, and
@@ -38,22 +38,22 @@
 	hostShare func(service string) float64
 
 	mu     sync.Mutex
-	routes map[string]*routeOrigin
+	routes map[string]*routeStats
 }
 
 // routeStats counts the calls of one route.
-type routeOrigin struct {
+type routeStats struct {
 	// services counts the calls by the service of the sending host.
 	services map[string]float64
 	total    float64
-	// fromCallers counts the calls with OriginCaller, told those of known origin.
-	fromCallers, told float64
+	// fromCallers counts the calls with OriginCaller, knownOrigin those of known origin.
+	fromCallers, knownOrigin float64
 }
 
 // NewRouteClassifier returns a RouteClassifier without any calls counted. hostShare returns the
 // share of hosts, from 0 to 1, that run a backend server of a service.
 func NewRouteClassifier(hostShare func(service string) float64) *RouteClassifier {
-	return &RouteClassifier{hostShare: hostShare, routes: make(map[string]*routeOrigin)}
+	return &RouteClassifier{hostShare: hostShare, routes: make(map[string]*routeStats)}
 }
 
 // MadeBy is the classification of a route by the kind of client that makes its calls.
@@ -82,39 +82,39 @@
 		r = o.newRoute(route)
 	}
 	r.add(callerService, from)
-	return r.madeBy(o.hostShare)
+	return r.classify(o.hostShare)
 }
 
 // newRoute adds a route. At maxOriginRoutes all others are dropped, since configurations add and
 // remove routes over time.
-func (o *RouteClassifier) newRoute(route string) *routeOrigin {
-	if len(o.routes) >= maxOriginRoutes {
+func (o *RouteClassifier) newRoute(route string) *routeStats {
+	if len(o.routes) >= maxRoutes {
 		clear(o.routes)
 	}
-	r := &routeOrigin{services: make(map[string]float64)}
+	r := &routeStats{services: make(map[string]float64)}
 	o.routes[route] = r
 	return r
 }
 
 // add counts a call and halves all counts at originMemory calls.
-func (r *routeOrigin) add(callerService string, from Origin) {
+func (r *routeStats) add(callerService string, from Origin) {
 	r.services[callerService]++
 	r.total++
 	switch from {
 	case OriginCaller:
 		r.fromCallers++
-		r.told++
+		r.knownOrigin++
 	case OriginMaybeRun:
-		r.told++
+		r.knownOrigin++
 	}
-	if r.total >= originMemory {
-		r.forgetHalf()
+	if r.total >= routeWindow {
+		r.halve()
 	}
 }
 
 // halve halves all counts and drops the services whose count falls below 1.
-func (r *routeOrigin) forgetHalf() {
-	r.total, r.fromCallers, r.told = r.total/2, r.fromCallers/2, r.told/2
+func (r *routeStats) halve() {
+	r.total, r.fromCallers, r.knownOrigin = r.total/2, r.fromCallers/2, r.knownOrigin/2
 	for s, n := range r.services {
 		if n < 2 {
 			delete(r.services, s)
@@ -127,17 +127,17 @@
 // classify derives the classification from the counts. Where callers send from all hosts alike,
 // the probability that all calls of known origin come from the hosts of the services seen is the
 // share of these hosts to the power of the number of calls.
-func (r *routeOrigin) madeBy(hostShare func(string) float64) MadeBy {
+func (r *routeStats) classify(hostShare func(string) float64) MadeBy {
 	share := 0.0
 	for s := range r.services {
 		share += hostShare(s)
 	}
 	switch {
-	case r.told >= leastTold && r.fromCallers > maxFromCallers*r.told:
+	case r.knownOrigin >= minKnownOrigin && r.fromCallers > maxCallerShare*r.knownOrigin:
 		return MadeByCallers
-	case share > 0 && r.told*math.Log(share) < math.Log(maxChance):
+	case share > 0 && r.knownOrigin*math.Log(share) < math.Log(maxChance):
 		return MadeByServices
-	case r.told >= tellingCalls:
+	case r.knownOrigin >= sufficientKnownOrigin:
 		return MadeByCallers
 	}
 	return MadeByUnknown
--- a/admission/nested.go
+++ b/admission/nested.go
@@ -30,7 +30,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	next := make(map[string]bool)
-	if old := n.routes.Load(); old != nil && len(*old) < maxOriginRoutes {
+	if old := n.routes.Load(); old != nil && len(*old) < maxRoutes {
 		maps.Copy(next, *old)
 	}
 	next[route] = nested
--- a/admission/request.go
+++ b/admission/request.go
@@ -3,22 +3,22 @@
 import "time"
 
 const (
-	// returnedShare is the inverse of the share of the latency objective that an attempt needs
+	// minAnswerDivisor is the inverse of the share of the latency objective that an attempt needs
 	// at least for an answer within the objective.
-	returnedShare = 3
-	// impatientTries is the number of gates that a request tries with a short wait before it
+	minAnswerDivisor = 3
+	// shortWaitTries is the number of gates that a request tries with a short wait before it
 	// accepts the full one, and impatientShare the short wait as a share of the latency
 	// objective.
-	impatientTries = 2
-	impatientShare = 0.125
-	// patientShare is the full wait, at the last gates tried, as a share of the latency
+	shortWaitTries = 2
+	shortWaitShare = 0.125
+	// fullWaitShare is the full wait, at the last gates tried, as a share of the latency
 	// objective. After a longer wait the answer would be late, and the requests queued behind
 	// it would wait in turn. A request that is refused at once can be sent again by its caller
 	// when the queue is shorter.
-	patientShare = 0.6
-	// returnedWaitShare is the inverse of the share of its remaining time that a late retry
+	fullWaitShare = 0.6
+	// lateRetryWaitDivisor is the inverse of the share of its remaining time that a late retry
 	// may wait.
-	returnedWaitShare = 4
+	lateRetryWaitDivisor = 4
 )
 
 // Request holds the properties of a request that determine its treatment under overload.
@@ -41,8 +41,8 @@
 
 // IsLateRetry reports whether the request is a retry by a caller whose earlier attempt was
 // refused, and arrived too late to be answered within its objective in most cases.
-func (r Request) Returned() bool {
-	return !r.Nested && r.Objective > 0 && r.Arrived.Sub(r.FirstSent) > r.Objective-r.Objective/returnedShare
+func (r Request) IsLateRetry() bool {
+	return !r.Nested && r.Objective > 0 && r.Arrived.Sub(r.FirstSent) > r.Objective-r.Objective/minAnswerDivisor
 }
 
 // Rank returns the request's rank at gates; 0 is admitted first. Among requests of the same route
@@ -50,7 +50,7 @@
 // take the slots of requests that would in turn be refused and become late retries.
 func (r Request) Rank() int {
 	rank := 2 * r.Priority
-	if r.Returned() {
+	if r.IsLateRetry() {
 		rank++
 	}
 	return rank
@@ -60,7 +60,7 @@
 // if no objective applies: the request has none, it is a late retry, or it is nested, so that the
 // objective of its parent counts.
 func (r Request) ObjectiveLeft(now time.Time) time.Duration {
-	if r.Nested || r.Objective == 0 || r.Returned() {
+	if r.Nested || r.Objective == 0 || r.IsLateRetry() {
 		return 0
 	}
 	return max(r.Objective-now.Sub(r.FirstSent), time.Millisecond)
@@ -87,15 +87,15 @@
 	if r.Nested || r.Objective == 0 {
 		return 0
 	}
-	if r.Returned() {
-		return max(r.Deadline.Sub(now)/returnedWaitShare, time.Millisecond)
+	if r.IsLateRetry() {
+		return max(r.Deadline.Sub(now)/lateRetryWaitDivisor, time.Millisecond)
 	}
 	objective := float64(r.Objective)
-	least := time.Duration(impatientShare * objective)
+	shortWait := time.Duration(shortWaitShare * objective)
 	// The time spent since the first attempt is subtracted.
-	most := max(time.Duration(patientShare*objective)-now.Sub(r.FirstSent), least)
-	if t.FullWait || t.Refusals >= impatientTries {
-		return most
+	fullWait := max(time.Duration(fullWaitShare*objective)-now.Sub(r.FirstSent), shortWait)
+	if t.FullWait || t.Refusals >= shortWaitTries {
+		return fullWait
 	}
-	return min(least+t.RemoteCost, most)
+	return min(shortWait+t.RemoteCost, fullWait)
 }
--- a/admission/request_test.go
+++ b/admission/request_test.go
@@ -16,7 +16,7 @@
 func TestRequest_NestedWaitsUntilDeadline(t *testing.T) {
 	r := lookup()
 	r.Nested, r.Objective, r.FirstSent = true, 120*time.Millisecond, at(-200)
-	must.False(t, r.Returned())
+	must.False(t, r.IsLateRetry())
 	must.Eq(t, 0, r.MaxWait(AttemptHistory{}, at(0)))
 	must.Eq(t, 0, r.ObjectiveLeft(at(0)))
 }
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -27,21 +27,21 @@
 )
 
 const (
-	// blindFor is the time after the daemon's start in which the local backend server may
+	// unknownRunsFor is the time after the daemon's start in which the local backend server may
 	// still process requests that the daemon does not know of. Most of these end when the
 	// previous process ends and its connections close.
-	blindFor = time.Second
+	unknownRunsFor = time.Second
 	// expirySlack is how much later than its run a nested call may seem to expire. It covers
 	// the time until the call is read on a host with a third of a core under load.
 	expirySlack = 50 * time.Millisecond
-	// afterRun is how long after the end of a run its calls may still arrive: the run was
+	// lateCallWindow is how long after the end of a run its calls may still arrive: the run was
 	// canceled and the backend server has not noticed yet.
-	afterRun = 250 * time.Millisecond
+	lateCallWindow = 250 * time.Millisecond
 )
 
 // Runs tracks the runs in progress at the local backend server. It is safe for concurrent use.
 type Runs struct {
-	since time.Time
+	started time.Time
 
 	mu   sync.Mutex
 	runs []*Run
@@ -59,7 +59,7 @@
 }
 
 // NewRuns returns a Runs for a daemon that starts at now.
-func NewRuns(now time.Time) *Runs { return &Runs{since: now} }
+func NewRuns(now time.Time) *Runs { return &Runs{started: now} }
 
 // Begin adds a run of the request with an ID, empty if it has none. The backend server stops
 // processing it at expiry at the latest.
@@ -84,19 +84,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.runs = slices.DeleteFunc(r.runs, func(n *Run) bool {
-		return !n.ended.IsZero() && now.Sub(n.ended) > afterRun
+		return !n.ended.IsZero() && now.Sub(n.ended) > lateCallWindow
 	})
-	if slices.ContainsFunc(r.runs, func(n *Run) bool { return n.mayMake(expiry) }) {
+	if slices.ContainsFunc(r.runs, func(n *Run) bool { return n.mayHaveMade(expiry) }) {
 		return OriginMaybeRun
 	}
-	if now.Sub(r.since) < blindFor {
+	if now.Sub(r.started) < unknownRunsFor {
 		return OriginUnknown
 	}
 	return OriginCaller
 }
 
 // mayHaveMade reports whether the run may have made a call that expires at expiry.
-func (n *Run) mayMake(expiry time.Time) bool { return !expiry.After(n.expiry.Add(expirySlack)) }
+func (n *Run) mayHaveMade(expiry time.Time) bool { return !expiry.After(n.expiry.Add(expirySlack)) }
 
 // PossibleParents returns the IDs of the requests whose runs may have made a call that expires
 // at expiry. PossibleParents without an ID are left out.
@@ -105,7 +105,7 @@
 	defer r.mu.Unlock()
 	var requests []string
 	for _, n := range r.runs {
-		if n.mayMake(expiry) && n.request != "" {
+		if n.mayHaveMade(expiry) && n.request != "" {
 			requests = append(requests, n.request)
 		}
 	}
--- a/admission/usual.go
+++ b/admission/timeouts.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// usualShare is the share of a route's calls that must arrive with the longest remaining
+	// minTimeoutShare is the share of a route's calls that must arrive with the longest remaining
 	// time seen for that time to count as the callers' initial timeout. Callers of one kind
 	// send each first attempt with the same timeout. Nested calls arrive with what remains of
 	// their parent's time, which differs from call to call.
-	usualShare = 0.25
-	// usualSamples is the number of a route's calls that must be counted before an initial
-	// timeout is derived, and usualMemory the number at which the counts are halved.
-	usualSamples, usualMemory = 20, 1000
-	// usualSlack is how far the remaining time of a first attempt may lie below the longest
+	minTimeoutShare = 0.25
+	// minTimeoutCalls is the number of a route's calls that must be counted before an initial
+	// timeout is derived, and timeoutWindow the number at which the counts are halved.
+	minTimeoutCalls, timeoutWindow = 20, 1000
+	// timeoutSlack is how far the remaining time of a first attempt may lie below the longest
 	// one seen.
-	usualSlack = 20 * time.Millisecond
+	timeoutSlack = 20 * time.Millisecond
 )
 
 // InitialTimeouts estimates for each route the timeout with which callers send their first
@@ -25,11 +25,11 @@
 // concurrent use.
 type InitialTimeouts struct {
 	mu      sync.Mutex
-	byRoute map[string]*usualTime
+	byRoute map[string]*routeTimeout
 }
 
 // routeTimeout is the estimate for one route.
-type usualTime struct {
+type routeTimeout struct {
 	longest time.Duration
 	// calls counts all calls, atLongest those within usualSlack of longest. Both are halved
 	// at usualMemory calls.
@@ -42,30 +42,30 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.byRoute == nil {
-		u.byRoute = make(map[string]*usualTime)
+		u.byRoute = make(map[string]*routeTimeout)
 	}
 	t := u.byRoute[route]
 	if t == nil {
-		t = &usualTime{}
+		t = &routeTimeout{}
 		u.byRoute[route] = t
 	}
 	t.add(remaining)
-	if t.calls < usualSamples || float64(t.atLongest) < usualShare*float64(t.calls) || t.longest-remaining <= usualSlack {
+	if t.calls < minTimeoutCalls || float64(t.atLongest) < minTimeoutShare*float64(t.calls) || t.longest-remaining <= timeoutSlack {
 		return 0
 	}
 	return t.longest - remaining
 }
 
 // add counts a call. A remaining time above the longest one restarts the estimate.
-func (t *usualTime) add(remaining time.Duration) {
-	if remaining > t.longest+usualSlack {
-		*t = usualTime{longest: remaining}
+func (t *routeTimeout) add(remaining time.Duration) {
+	if remaining > t.longest+timeoutSlack {
+		*t = routeTimeout{longest: remaining}
 	}
 	t.calls++
-	if t.longest-remaining <= usualSlack {
+	if t.longest-remaining <= timeoutSlack {
 		t.atLongest++
 	}
-	if t.calls >= usualMemory {
+	if t.calls >= timeoutWindow {
 		t.calls /= 2
 		t.atLongest /= 2
 	}
--- a/admission/usual_test.go
+++ b/admission/timeouts_test.go
@@ -11,7 +11,7 @@
 // attempt.
 func TestInitialTimeouts_Retry(t *testing.T) {
 	var u InitialTimeouts
-	for range usualSamples {
+	for range minTimeoutCalls {
 		must.Eq(t, 0, u.Elapsed("r", 1200*time.Millisecond))
 	}
 	must.Eq(t, 300*time.Millisecond, u.Elapsed("r", 900*time.Millisecond))
@@ -22,7 +22,7 @@
 // Nested calls arrive with varying remaining times, from which no initial timeout is derived.
 func TestInitialTimeouts_NestedCalls(t *testing.T) {
 	var u InitialTimeouts
-	for i := range 3 * usualMemory {
+	for i := range 3 * timeoutWindow {
 		must.Eq(t, 0, u.Elapsed("r", time.Duration(1200-i%37*30)*time.Millisecond))
 	}
 }
@@ -31,10 +31,10 @@
 // against taking these for retries indefinitely.
 func TestInitialTimeouts_ShorterTimeout(t *testing.T) {
 	var u InitialTimeouts
-	for range usualSamples {
+	for range minTimeoutCalls {
 		u.Elapsed("r", time.Second)
 	}
-	for range 10 * usualSamples {
+	for range 10 * minTimeoutCalls {
 		u.Elapsed("r", 500*time.Millisecond)
 	}
 	must.Eq(t, 0, u.Elapsed("r", 500*time.Millisecond))
--- a/recovery/beside.go
+++ b/recovery/bounds.go
@@ -9,8 +9,8 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// logEnd is the result of a request for the bounds of the log.
-type logEnd struct {
+// boundsResult is the result of a request for the bounds of the log.
+type boundsResult struct {
 	bounds eventlog.Bounds
 	err    error
 }
@@ -24,19 +24,19 @@
 // complete newest configuration over its own link. That takes 3 s on 5 Mbit/s, during which callers
 // are refused. Hosts with fast links have the configuration almost immediately and send it to
 // other daemons in compressed form.
-func (r *recoverer) readBeside(ctx context.Context, in *Input) (end logEnd, peerFirst bool) {
+func (r *recoverer) readBoundsOrPeer(ctx context.Context, in *Input) (end boundsResult, peerFirst bool) {
 	ctx, cancel := context.WithTimeout(ctx, r.logTimeout(*in))
 	defer cancel()
-	read := make(chan logEnd, 1)
+	read := make(chan boundsResult, 1)
 	go func() {
 		bounds, err := r.opts.Config.Bounds(ctx)
-		read <- logEnd{bounds, err}
+		read <- boundsResult{bounds, err}
 	}()
-	if !r.opts.PreferPeers || r.askLog {
+	if !r.opts.PreferPeers || r.needLog {
 		return <-read, false
 	}
 	for {
-		pause := time.NewTimer(r.opts.AskPause/2 + rand.N(r.opts.AskPause/2+1))
+		pause := time.NewTimer(r.opts.AskInterval/2 + rand.N(r.opts.AskInterval/2+1))
 		select {
 		case end := <-read:
 			pause.Stop()
@@ -45,28 +45,28 @@
 		}
 		// Answers without a state to serve are discarded: the bounds of the log must be compared
 		// with answers that were received before the request for the bounds.
-		if heard, st := r.stateOfMany(ctx); st != nil {
+		if answers, st := r.statePeersAllow(ctx); st != nil {
 			r.state, r.from = st, FromPeer
-			in.Hearing = heard
-			return logEnd{}, true
+			in.Peers = answers
+			return boundsResult{}, true
 		}
 	}
 }
 
-// stateOfMany queries the daemons once. It returns their answers and a state that may be served
+// statePeersAllow queries the daemons once. It returns their answers and a state that may be served
 // without the log, nil if there is none.
-func (r *recoverer) stateOfMany(ctx context.Context) (PeerAnswers, *fold.State) {
+func (r *recoverer) statePeersAllow(ctx context.Context) (PeerAnswers, *fold.State) {
 	askCtx, cancel := context.WithTimeout(ctx, r.opts.AskTimeout)
 	defer cancel()
-	in := Input{Host: r.opts.Host, MinAnswers: r.opts.MinAnswers, Hearing: r.opts.Peers.Ask(askCtx)}
+	in := Input{Host: r.opts.Host, MinAnswers: r.opts.MinAnswers, Peers: r.opts.Peers.Ask(askCtx)}
 	r.setOwn(&in)
 	d := Decide(in)
-	if !d.Serve() || d.Start.From != FromPeer {
-		return in.Hearing, nil
+	if !d.CanServe() || d.Start.From != FromPeer {
+		return in.Peers, nil
 	}
 	st, err := r.stateOf(ctx, d.Start)
 	if err != nil || st.Offset < d.Floor {
-		return in.Hearing, nil
+		return in.Peers, nil
 	}
-	return in.Hearing, st
+	return in.Peers, st
 }
--- a/recovery/beside_test.go
+++ b/recovery/bounds_test.go
@@ -18,14 +18,14 @@
 // complete configuration over a slow link.
 type slowLog struct {
 	eventlog.Log
-	takes time.Duration
+	delay time.Duration
 	// canceled counts the requests that were canceled before the answer.
-	givenUp int
+	canceled int
 }
 
 func (l *slowLog) Bounds(ctx context.Context) (eventlog.Bounds, error) {
-	if sleep(ctx, l.takes) != nil {
-		l.givenUp++
+	if sleep(ctx, l.delay) != nil {
+		l.canceled++
 		return eventlog.Bounds{}, eventlog.ErrUnavailable
 	}
 	return l.Log.Bounds(ctx)
@@ -33,10 +33,10 @@
 
 // startingPeers are daemons that answer from a point in time on.
 type startingPeers struct {
-	mu    sync.Mutex
-	then  time.Time
-	with  *peers
-	known int
+	mu          sync.Mutex
+	answersFrom time.Time
+	with        *peers
+	known       int
 	// broken is set if requests for a state fail.
 	broken bool
 }
@@ -44,7 +44,7 @@
 func (p *startingPeers) Ask(ctx context.Context) PeerAnswers {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if time.Now().Before(p.then) {
+	if time.Now().Before(p.answersFrom) {
 		return PeerAnswers{Known: p.known}
 	}
 	return p.with.Ask(ctx)
@@ -59,17 +59,17 @@
 
 // newStartingFleet returns a fleet in which all daemons have just started: three have a state after
 // 1 s, and this daemon's request for the bounds of the log takes 3 s.
-func startOfAll() (*world, *slowLog, *startingPeers) {
-	w := newWorld(9)
+func newStartingFleet() (*fleet, *slowLog, *startingPeers) {
+	f := newFleet(9)
 	for _, host := range []string{"a", "b", "c"} {
-		w.peer(host, 9, 0)
+		f.peer(host, 9, 0)
 	}
-	w.peers.known = 20
-	p := &startingPeers{then: time.Now().Add(time.Second), with: &w.peers, known: 20}
-	log := &slowLog{Log: w.config, takes: 3 * time.Second}
-	w.opts.Peers, w.opts.Config, w.opts.PreferPeers, w.opts.Stagger = p, log, true, 0
-	w.opts.LogTimeout = time.Minute
-	return w, log, p
+	f.peers.known = 20
+	p := &startingPeers{answersFrom: time.Now().Add(time.Second), with: &f.peers, known: 20}
+	log := &slowLog{Log: f.config, delay: 3 * time.Second}
+	f.opts.Peers, f.opts.Config, f.opts.PreferPeers, f.opts.Stagger = p, log, true, 0
+	f.opts.LogTimeout = time.Minute
+	return f, log, p
 }
 
 // All hosts start at the same time after a power loss. Guards against refusing callers until the
@@ -78,13 +78,13 @@
 // used and the request to the log is canceled.
 func TestFleetStart_UsesFirstPeerState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w, log, _ := startOfAll()
+		f, log, _ := newStartingFleet()
 		began := time.Now()
-		res := w.mustServe(t, 9, NoProblem)
+		res := f.mustServe(t, 9, NoProblem)
 		must.Eq(t, FromPeer, res.From)
 		must.LessEq(t, 1200*time.Millisecond, time.Since(began))
 		synctest.Wait()
-		must.Eq(t, 1, log.givenUp)
+		must.Eq(t, 1, log.canceled)
 	})
 }
 
@@ -93,20 +93,20 @@
 func TestFleetStart_KeepsReadingLogIfPeerStatesUnusable(t *testing.T) {
 	for _, how := range []string{"broken", "behind"} {
 		synctest.Test(t, func(t *testing.T) {
-			w, log, p := startOfAll()
+			f, log, p := newStartingFleet()
 			if how == "broken" {
 				p.broken = true
 			} else {
-				for i := range w.peers.answers {
-					w.peers.answers[i].Position = PositionOf(w.states[7])
-					w.peers.answers[i].Floor = 8
-					w.peers.states[w.peers.answers[i].Host] = w.states[7]
+				for i := range f.peers.answers {
+					f.peers.answers[i].Position = PositionOf(f.states[7])
+					f.peers.answers[i].Floor = 8
+					f.peers.states[f.peers.answers[i].Host] = f.states[7]
 				}
 			}
 			began := time.Now()
-			w.mustServe(t, 9, NoProblem)
+			f.mustServe(t, 9, NoProblem)
 			must.Between(t, 3*time.Second, time.Since(began), 3*time.Second+100*time.Millisecond)
-			must.Zero(t, log.givenUp)
+			must.Zero(t, log.canceled)
 		})
 	}
 }
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -35,7 +35,7 @@
 	// StateUnavailable is set if the daemon's state could not be fetched: the daemon has ended,
 	// or its state follows a later rule version that this program cannot decode. The offsets in
 	// its answer still count.
-	Unusable bool
+	StateUnavailable bool
 }
 
 // PeerAnswers holds the answers of one round of Peers.Ask.
@@ -47,7 +47,7 @@
 }
 
 // LogStatus holds what was read from the platform's log in one round.
-type LogFacts struct {
+type LogStatus struct {
 	// Readable is set if the log could be read.
 	Readable bool
 	// Bounds are those of the configuration stream. They are read after the daemons have
@@ -57,22 +57,22 @@
 	// and unless CheckpointSearched is set.
 	Checkpoint *Position
 	// CheckpointSearched is set once the log has been searched for a checkpoint.
-	Looked bool
+	CheckpointSearched bool
 	// Rewritten is set if the record at the offset of Input.Own is not the one that was folded
 	// into that state.
 	Rewritten bool
 	// NewestInvalid is set if the log is available but the newest configuration in it is invalid.
-	Unusable bool
+	NewestInvalid bool
 	// NextUnsupported is set if the record after Input.Own has a later rule version that this
 	// program cannot fold. The end of the log then cannot be reached.
-	Blocked bool
+	NextUnsupported bool
 }
 
 // Input holds everything that Decide depends on.
 type Input struct {
-	Host    string
-	Hearing PeerAnswers
-	Log     LogFacts
+	Host  string
+	Peers PeerAnswers
+	Log   LogStatus
 	// Own is the position of the state that the daemon holds, nil if it holds none.
 	Own *Position
 	// MinAnswers is the number of daemons with a version in force that must answer before the
@@ -90,7 +90,7 @@
 // The origins, in the order of preference for states at the same offset: the cheapest one first.
 const (
 	// FromNone means that there is no state.
-	FromNowhere Origin = iota
+	FromNone Origin = iota
 	// FromOwn is the state that the daemon already holds.
 	FromOwn
 	// FromPeer is the state of another daemon.
@@ -98,7 +98,7 @@
 	// FromCheckpoint is the newest checkpoint in the platform's log or store.
 	FromCheckpoint
 	// FromEmpty is the empty state before the log's first record.
-	FromScratch
+	FromEmpty
 )
 
 // String returns the name used in log lines.
@@ -110,14 +110,14 @@
 		return "peer"
 	case FromCheckpoint:
 		return "checkpoint"
-	case FromScratch:
+	case FromEmpty:
 		return "empty state"
 	}
 	return "nowhere"
 }
 
 // StartPoint identifies a state to start from.
-type Start struct {
+type StartPoint struct {
 	From Origin
 	// Host is the host that has the state, set for FromPeer only.
 	Host string
@@ -136,21 +136,21 @@
 	// ProblemLogLostRecords means that the log ends before a version that is in force, or has
 	// assigned its offset to another record. The daemon never reverts to an older version for
 	// that reason.
-	ProblemLogWentBack Problem = "the log has lost records that are in force"
+	ProblemLogLostRecords Problem = "the log has lost records that are in force"
 	// ProblemRetentionGap means that for every available state, the log has dropped records
 	// that follow it.
-	ProblemHistoryLost Problem = "the log has dropped records that no daemon and no checkpoint holds"
+	ProblemRetentionGap Problem = "the log has dropped records that no daemon and no checkpoint holds"
 	// ProblemNoSource means that neither the log nor enough daemons have answered, so that the
 	// floor is unknown.
 	ProblemNoSource Problem = "the log is down and too few daemons have answered"
 	// ProblemInvalidConfig means that the newest configuration in the log is invalid and too
 	// few daemons have answered. It lasts until the operator publishes a valid one.
-	ProblemUnusable Problem = "the newest configuration in the log is not valid and too few daemons have answered"
+	ProblemInvalidConfig Problem = "the newest configuration in the log is not valid and too few daemons have answered"
 	// ProblemBelowFloor means that all available states are below the floor.
-	ProblemBehind Problem = "no state at hand is as new as what this host had in force"
+	ProblemBelowFloor Problem = "no state at hand is as new as what this host had in force"
 	// ProblemUnsupportedRecord means that the log holds a record whose rule version only a
 	// newer program supports.
-	ProblemBlocked Problem = "the log holds a record that needs a newer program"
+	ProblemUnsupportedRecord Problem = "the log holds a record that needs a newer program"
 )
 
 // Decision is the result of Decide.
@@ -160,12 +160,12 @@
 	Floor      uint64
 	FloorKnown bool
 	// Start identifies the state to start from.
-	Start Start
+	Start StartPoint
 	// CanCatchUp is set if the log holds all records that follow Start, and this program can
 	// fold them.
-	CatchUp bool
+	CanCatchUp bool
 	// NeedCheckpoint is set if the caller must search for a checkpoint and decide again.
-	LookForCheckpoint bool
+	NeedCheckpoint bool
 	// Problem is the problem found, NoProblem if there is none.
 	Problem Problem
 }
@@ -173,8 +173,8 @@
 // CanServe reports whether the state to start from may be served immediately. An empty state may
 // be served only if the log can be read up to its end: where daemons have a version in force,
 // there is more than the empty state, even if none of their states can be fetched.
-func (d Decision) Serve() bool {
-	if eventlog.Index(d.Start.Offset) == 0 && !d.CatchUp {
+func (d Decision) CanServe() bool {
+	if eventlog.Index(d.Start.Offset) == 0 && !d.CanCatchUp {
 		return false
 	}
 	return d.FloorKnown && d.Start.Offset >= d.Floor
@@ -194,7 +194,7 @@
 // too low if the version in force on this host was known to none of the daemons that answered.
 func Decide(in Input) Decision {
 	d := Decision{Start: in.highest()}
-	for _, a := range in.Hearing.Answers {
+	for _, a := range in.Peers.Answers {
 		d.Floor = max(d.Floor, a.Floor)
 		if a.Host == in.Host {
 			d.Floor = max(d.Floor, a.Offset)
@@ -205,43 +205,43 @@
 		return d
 	}
 	enough := in.enoughAnswers()
-	wentBack := in.Log.Readable && (in.Log.Rewritten || max(d.Floor, in.furthest()) >= in.Log.Bounds.End)
-	tail := in.Log.Readable && !wentBack && d.Start.From != FromNowhere && d.Start.Offset+1 >= in.Log.Bounds.First
-	if in.Log.Readable && !in.Log.Looked && !wentBack && !(tail && enough) {
-		d.LookForCheckpoint = true
+	logLostRecords := in.Log.Readable && (in.Log.Rewritten || max(d.Floor, in.highestOffset()) >= in.Log.Bounds.End)
+	holdsTail := in.Log.Readable && !logLostRecords && d.Start.From != FromNone && d.Start.Offset+1 >= in.Log.Bounds.First
+	if in.Log.Readable && !in.Log.CheckpointSearched && !logLostRecords && !(holdsTail && enough) {
+		d.NeedCheckpoint = true
 		return d
 	}
-	d.CatchUp = tail && !in.Log.Blocked
-	if d.CatchUp {
+	d.CanCatchUp = holdsTail && !in.Log.NextUnsupported
+	if d.CanCatchUp {
 		d.Floor = max(d.Floor, in.Log.Bounds.End-1)
 	}
-	d.FloorKnown = d.CatchUp || enough
-	d.Problem = in.problem(d, wentBack)
+	d.FloorKnown = d.CanCatchUp || enough
+	d.Problem = in.problem(d, logLostRecords)
 	return d
 }
 
 // highest returns the available state with the highest offset, the first origin in the order of
 // the constants if several have that offset.
-func (in Input) highest() Start {
-	var best Start
-	consider := func(s Start) {
-		if best.From == FromNowhere || s.Offset > best.Offset {
+func (in Input) highest() StartPoint {
+	var best StartPoint
+	consider := func(s StartPoint) {
+		if best.From == FromNone || s.Offset > best.Offset {
 			best = s
 		}
 	}
 	if in.Own != nil {
-		consider(Start{From: FromOwn, Position: *in.Own})
+		consider(StartPoint{From: FromOwn, Position: *in.Own})
 	}
-	for _, a := range in.Hearing.Answers {
-		if a.Offset > 0 && !a.Unusable {
-			consider(Start{From: FromPeer, Host: a.Host, Position: a.Position})
+	for _, a := range in.Peers.Answers {
+		if a.Offset > 0 && !a.StateUnavailable {
+			consider(StartPoint{From: FromPeer, Host: a.Host, Position: a.Position})
 		}
 	}
 	if c := in.Log.Checkpoint; c != nil {
-		consider(Start{From: FromCheckpoint, Position: *c})
+		consider(StartPoint{From: FromCheckpoint, Position: *c})
 	}
 	if in.Log.Readable && in.Log.Bounds.First == 1 {
-		consider(Start{From: FromScratch})
+		consider(StartPoint{From: FromEmpty})
 	}
 	return best
 }
@@ -268,8 +268,8 @@
 	return chains
 }
 
-// furthest returns the highest offset of all known positions.
-func (in Input) furthest() uint64 {
+// highestOffset returns the highest offset of all known positions.
+func (in Input) highestOffset() uint64 {
 	offset := uint64(0)
 	for _, p := range in.positions() {
 		offset = max(offset, p.Offset)
@@ -280,7 +280,7 @@
 // positions returns the known positions of daemons, the held state and the checkpoint.
 func (in Input) positions() []Position {
 	var list []Position
-	for _, a := range in.Hearing.Answers {
+	for _, a := range in.Peers.Answers {
 		list = append(list, a.Position)
 	}
 	if in.Own != nil {
@@ -297,29 +297,29 @@
 // not yet received the offsets of other hosts.
 func (in Input) enoughAnswers() bool {
 	n := 0
-	for _, a := range in.Hearing.Answers {
+	for _, a := range in.Peers.Answers {
 		if a.Offset > 0 {
 			n++
 		}
 	}
-	return n > 0 && n >= min(in.MinAnswers, in.Hearing.Known/2+1)
+	return n > 0 && n >= min(in.MinAnswers, in.Peers.Known/2+1)
 }
 
 // problem returns the problem to report for a decision.
-func (in Input) problem(d Decision, wentBack bool) Problem {
+func (in Input) problem(d Decision, logLostRecords bool) Problem {
 	switch {
-	case wentBack:
-		return ProblemLogWentBack
-	case in.Log.Blocked:
-		return ProblemBlocked
-	case in.Log.Readable && !d.CatchUp:
-		return ProblemHistoryLost
-	case !d.FloorKnown && in.Log.Unusable:
-		return ProblemUnusable
+	case logLostRecords:
+		return ProblemLogLostRecords
+	case in.Log.NextUnsupported:
+		return ProblemUnsupportedRecord
+	case in.Log.Readable && !d.CanCatchUp:
+		return ProblemRetentionGap
+	case !d.FloorKnown && in.Log.NewestInvalid:
+		return ProblemInvalidConfig
 	case !d.FloorKnown:
 		return ProblemNoSource
-	case !d.CatchUp && !d.Serve():
-		return ProblemBehind
+	case !d.CanCatchUp && !d.CanServe():
+		return ProblemBelowFloor
 	}
 	return NoProblem
 }
--- a/recovery/helper_test.go
+++ b/recovery/helper_test.go
@@ -22,12 +22,12 @@
 const own = "own"
 
 // fleet simulates a log, the states that result from folding it, and some daemons.
-type world struct {
+type fleet struct {
 	svc         *memlog.Service
 	config      *memlog.Stream
 	checkpoints *memlog.Stream
-	// written holds the offsets of the checkpoints in the log.
-	written []uint64
+	// checkpointOffsets holds the offsets of the checkpoints in the log.
+	checkpointOffsets []uint64
 	// states holds the state at each offset of the log.
 	states []*fold.State
 	peers  peers
@@ -38,9 +38,9 @@
 }
 
 // unavailableLog is a stream that cannot be read.
-type down struct{ eventlog.Log }
+type unavailableLog struct{ eventlog.Log }
 
-func (down) Bounds(context.Context) (eventlog.Bounds, error) {
+func (unavailableLog) Bounds(context.Context) (eventlog.Bounds, error) {
 	return eventlog.Bounds{}, eventlog.ErrUnavailable
 }
 
@@ -63,39 +63,39 @@
 }
 
 // newFleet returns a fleet without other daemons and with a number of records in its log.
-func newWorld(records int) *world {
+func newFleet(records int) *fleet {
 	svc := memlog.New(memlog.DefaultOptions())
-	w := &world{
+	f := &fleet{
 		svc:         svc,
 		config:      svc.Stream(eventlog.StreamConfig),
 		checkpoints: svc.Stream(eventlog.StreamCheckpoints),
 		states:      []*fold.State{fold.Empty()},
 	}
-	w.peers.states = map[string]*fold.State{}
-	w.opts = DefaultOptions()
-	w.opts.Host = own
-	w.opts.Peers = &w.peers
-	w.opts.Config, w.opts.Checkpoints = w.config, w.checkpoints
-	w.opts.Report = func(d Decision) { w.last = d }
-	w.publish(records, "first")
-	return w
+	f.peers.states = map[string]*fold.State{}
+	f.opts = DefaultOptions()
+	f.opts.Host = own
+	f.opts.Peers = &f.peers
+	f.opts.Config, f.opts.Checkpoints = f.config, f.checkpoints
+	f.opts.Report = func(d Decision) { f.last = d }
+	f.publish(records, "first")
+	return f
 }
 
 // publish appends n records whose content depends on text.
-func (w *world) publish(n int, text string) {
+func (f *fleet) publish(n int, text string) {
 	for range n {
-		w.append(contractRecord(text, len(w.states)))
+		f.append(contractRecord(text, len(f.states)))
 	}
 }
 
 // append appends a record to the log, and its state if the record is supported.
-func (w *world) append(data []byte) {
-	if _, err := w.config.Append(context.Background(), data); err != nil {
+func (f *fleet) append(data []byte) {
+	if _, err := f.config.Append(context.Background(), data); err != nil {
 		panic(err)
 	}
-	last := w.states[len(w.states)-1]
+	last := f.states[len(f.states)-1]
 	if next, _, err := fold.Apply(last, last.Offset+1, data); err == nil {
-		w.states = append(w.states, next)
+		f.states = append(f.states, next)
 	}
 }
 
@@ -112,31 +112,31 @@
 }
 
 // unsupportedRecord returns a record with a rule version that needs a newer program.
-func newerRecord() []byte {
+func unsupportedRecord() []byte {
 	return protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), fold.RuleVersion+1)
 }
 
 // peer adds a daemon on a host with the version at an offset in force. Its answer contains floor.
-func (w *world) peer(host string, offset int, floor uint64) {
-	w.peerWith(host, w.states[offset], floor)
+func (f *fleet) peer(host string, offset int, floor uint64) {
+	f.peerWith(host, f.states[offset], floor)
 }
 
 // peerWith adds a daemon on a host with st in force. Its answer contains floor.
-func (w *world) peerWith(host string, st *fold.State, floor uint64) {
+func (f *fleet) peerWith(host string, st *fold.State, floor uint64) {
 	if host != own {
-		w.peers.known++
+		f.peers.known++
 	}
-	w.peers.answers = append(w.peers.answers, PeerAnswer{Host: host, Position: PositionOf(st), Floor: floor})
+	f.peers.answers = append(f.peers.answers, PeerAnswer{Host: host, Position: PositionOf(st), Floor: floor})
 	if st.Offset > 0 {
-		w.peers.states[host] = st
+		f.peers.states[host] = st
 	}
 }
 
 // checkpoint writes a checkpoint of the state at an offset.
-func (w *world) checkpoint(offset int) {
-	w.written = append(w.written, uint64(offset))
-	writer := checkpoint.NewWriter(w.checkpoints, "h", checkpoint.DefaultWriterOptions())
-	if err := writer.Write(context.Background(), w.states[offset]); err != nil {
+func (f *fleet) checkpoint(offset int) {
+	f.checkpointOffsets = append(f.checkpointOffsets, uint64(offset))
+	writer := checkpoint.NewWriter(f.checkpoints, "h", checkpoint.DefaultWriterOptions())
+	if err := writer.Write(context.Background(), f.states[offset]); err != nil {
 		panic(err)
 	}
 }
@@ -148,37 +148,37 @@
 const maxRounds = 6
 
 // recover calls Recover, and between, if not nil, after each round without a result.
-func (w *world) recover(between func(round int)) (*Result, error) {
-	w.waits = 0
-	w.opts.Sleep = func(context.Context, time.Duration) error {
-		w.waits++
+func (f *fleet) recover(between func(round int)) (*Result, error) {
+	f.waits = 0
+	f.opts.Sleep = func(context.Context, time.Duration) error {
+		f.waits++
 		if between != nil {
-			between(w.waits)
+			between(f.waits)
 		}
-		if w.waits >= maxRounds {
+		if f.waits >= maxRounds {
 			return errWaits
 		}
 		return nil
 	}
-	return Recover(context.Background(), w.opts)
+	return Recover(context.Background(), f.opts)
 }
 
 // mustServe fails the test unless Recover returns a state at an offset with a problem.
-func (w *world) mustServe(t *testing.T, offset uint64, problem Problem) *Result {
+func (f *fleet) mustServe(t *testing.T, offset uint64, problem Problem) *Result {
 	t.Helper()
-	res, err := w.recover(nil)
-	must.NoError(t, err, must.Sprint(w.last.Problem))
+	res, err := f.recover(nil)
+	must.NoError(t, err, must.Sprint(f.last.Problem))
 	must.Eq(t, offset, res.State.Offset)
 	must.Eq(t, problem, res.Problem)
 	return res
 }
 
 // mustWait fails the test unless Recover has no result after maxRounds rounds because of a problem.
-func (w *world) mustWait(t *testing.T, problem Problem) {
+func (f *fleet) mustWait(t *testing.T, problem Problem) {
 	t.Helper()
-	res, err := w.recover(nil)
+	res, err := f.recover(nil)
 	must.ErrorIs(t, err, errWaits, must.Sprint(res))
-	must.Eq(t, problem, w.last.Problem)
+	must.Eq(t, problem, f.last.Problem)
 }
 
 // encoded returns the deterministic encoding of a state.
--- a/recovery/trust_test.go
+++ b/recovery/preferpeers_test.go
@@ -10,22 +10,22 @@
 )
 
 // countingLog counts the requests for the bounds of a log.
-type asked struct {
+type countingLog struct {
 	eventlog.Log
 	bounds int
 }
 
-func (a *asked) Bounds(ctx context.Context) (eventlog.Bounds, error) {
+func (a *countingLog) Bounds(ctx context.Context) (eventlog.Bounds, error) {
 	a.bounds++
 	return a.Log.Bounds(ctx)
 }
 
 // newPreferPeersFleet returns a fleet with PreferPeers set and the log of its daemon.
-func newTrustingWorld() (*world, *asked) {
-	w := newWorld(9)
-	log := &asked{Log: w.config}
-	w.opts.Config, w.opts.PreferPeers = log, true
-	return w, log
+func newPreferPeersFleet() (*fleet, *countingLog) {
+	f := newFleet(9)
+	log := &countingLog{Log: f.config}
+	f.opts.Config, f.opts.PreferPeers = log, true
+	return f, log
 }
 
 // One host restarts while other daemons run. Guards against a needless request for the bounds of
@@ -33,12 +33,12 @@
 // per start and, on a slow link, time in which callers are refused. Enough daemons know both the
 // floor and the state.
 func TestPreferPeers_SkipsLog(t *testing.T) {
-	w, log := newTrustingWorld()
-	w.peer("a", 9, 9)
-	w.peer("b", 9, 8)
-	w.peer("c", 8, 8)
-	w.peers.known = 20
-	res := w.mustServe(t, 9, NoProblem)
+	f, log := newPreferPeersFleet()
+	f.peer("a", 9, 9)
+	f.peer("b", 9, 8)
+	f.peer("c", 8, 8)
+	f.peers.known = 20
+	res := f.mustServe(t, 9, NoProblem)
 	must.Eq(t, FromPeer, res.From)
 	must.Eq(t, uint64(9), res.Floor)
 	must.Zero(t, log.bounds)
@@ -47,36 +47,36 @@
 // Three of twenty daemons answer, and one of them has just started. Their floors are not
 // sufficient, so the log is read immediately.
 func TestPreferPeers_ReadsLogIfTooFewPeersAnswer(t *testing.T) {
-	w, log := newTrustingWorld()
-	w.peer("a", 7, 7)
-	w.peer("b", 7, 7)
-	w.peer("c", 0, 0)
-	w.peers.known = 20
-	w.mustServe(t, 9, NoProblem)
+	f, log := newPreferPeersFleet()
+	f.peer("a", 7, 7)
+	f.peer("b", 7, 7)
+	f.peer("c", 0, 0)
+	f.peers.known = 20
+	f.mustServe(t, 9, NoProblem)
 	must.Positive(t, log.bounds)
 }
 
 // Enough daemons answer, but all lag behind the floor that one of them knows. Their states must
 // not be served; the log holds the missing records.
 func TestPreferPeers_ReadsLogIfPeersAreBelowFloor(t *testing.T) {
-	w, log := newTrustingWorld()
-	w.peer("a", 6, 6)
-	w.peer("b", 7, 8)
-	w.peer("c", 7, 7)
-	w.peers.known = 20
-	w.mustServe(t, 9, NoProblem)
-	must.Eq(t, 1, w.waits)
+	f, log := newPreferPeersFleet()
+	f.peer("a", 6, 6)
+	f.peer("b", 7, 8)
+	f.peer("c", 7, 7)
+	f.peers.known = 20
+	f.mustServe(t, 9, NoProblem)
+	must.Eq(t, 1, f.waits)
 	must.Positive(t, log.bounds)
 }
 
 // Enough daemons answer, but their states cannot be fetched because they have restarted since.
 func TestPreferPeers_ReadsLogIfPeerStatesUnavailable(t *testing.T) {
-	w, log := newTrustingWorld()
+	f, log := newPreferPeersFleet()
 	for _, host := range []string{"a", "b", "c"} {
-		w.peer(host, 9, 9)
-		delete(w.peers.states, host)
+		f.peer(host, 9, 9)
+		delete(f.peers.states, host)
 	}
-	w.mustServe(t, 9, NoProblem)
+	f.mustServe(t, 9, NoProblem)
 	must.Positive(t, log.bounds)
 }
 
@@ -85,13 +85,13 @@
 // complete newest configuration: a round must not end for a wait of zero before the checkpoint is
 // read.
 func TestPreferPeers_FleetStartReadsBoundsOnce(t *testing.T) {
-	w, log := newTrustingWorld()
-	w.opts.Stagger = 0
+	f, log := newPreferPeersFleet()
+	f.opts.Stagger = 0
 	for _, host := range []string{"a", "b", "c"} {
-		w.peer(host, 0, 0)
+		f.peer(host, 0, 0)
 	}
-	w.checkpoint(9)
-	w.mustServe(t, 9, NoProblem)
+	f.checkpoint(9)
+	f.mustServe(t, 9, NoProblem)
 	must.Eq(t, 1, log.bounds)
-	must.Zero(t, w.waits)
+	must.Zero(t, f.waits)
 }
--- a/recovery/property_test.go
+++ b/recovery/property_test.go
@@ -11,27 +11,27 @@
 
 // drawFleet draws a log of which retention may have dropped the first records, checkpoints, and
 // daemons with random versions in force and random floors.
-func drawWorld(t *rapid.T) (w *world, end int) {
+func drawFleet(t *rapid.T) (f *fleet, end int) {
 	end = rapid.IntRange(0, 12).Draw(t, "records")
-	w = newWorld(end)
+	f = newFleet(end)
 	for range rapid.IntRange(0, 2).Draw(t, "checkpoints") {
-		w.checkpoint(rapid.IntRange(0, end).Draw(t, "checkpoint"))
+		f.checkpoint(rapid.IntRange(0, end).Draw(t, "checkpoint"))
 	}
 	for _, host := range []string{"a", "b", "c", "d"}[:rapid.IntRange(0, 4).Draw(t, "daemons")] {
-		w.peer(host, rapid.IntRange(0, end).Draw(t, "in force"), uint64(rapid.IntRange(0, end).Draw(t, "heard")))
+		f.peer(host, rapid.IntRange(0, end).Draw(t, "in force"), uint64(rapid.IntRange(0, end).Draw(t, "heard")))
 		if rapid.IntRange(0, 4).Draw(t, "gone") == 0 {
-			delete(w.peers.states, host)
+			delete(f.peers.states, host)
 		}
 	}
-	w.peers.known += rapid.IntRange(0, 8).Draw(t, "silent")
-	w.config.Cut(eventlog.Offset(rapid.IntRange(1, end+1).Draw(t, "first")))
-	return w, end
+	f.peers.known += rapid.IntRange(0, 8).Draw(t, "silent")
+	f.config.Cut(eventlog.Offset(rapid.IntRange(1, end+1).Draw(t, "first")))
+	return f, end
 }
 
 // knownFloor returns the highest floor in the daemons' answers, and the number of daemons with a
 // version in force.
-func (w *world) heard() (floor uint64, inForce int) {
-	for _, a := range w.peers.answers {
+func (f *fleet) knownFloor() (floor uint64, inForce int) {
+	for _, a := range f.peers.answers {
 		floor = max(floor, a.Floor)
 		if a.Offset > 0 {
 			inForce++
@@ -46,21 +46,21 @@
 // log, and nothing is served where that cannot be reached.
 func TestRecoverProperty_ServesNothingBelowFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, end := drawWorld(t)
-		w.svc.SetOutage(rapid.Bool().Draw(t, "down"))
+		f, end := drawFleet(t)
+		f.svc.SetOutage(rapid.Bool().Draw(t, "down"))
 		comesBack := rapid.IntRange(1, 2*maxRounds).Draw(t, "comes back")
-		res, err := w.recover(func(round int) {
+		res, err := f.recover(func(round int) {
 			if round >= comesBack {
-				w.svc.SetOutage(false)
+				f.svc.SetOutage(false)
 			}
 		})
-		floor, inForce := w.heard()
-		enough := inForce > 0 && inForce >= min(3, w.peers.known/2+1)
+		floor, inForce := f.knownFloor()
+		enough := inForce > 0 && inForce >= min(3, f.peers.known/2+1)
 		if err != nil {
 			must.ErrorIs(t, err, errWaits)
 			return
 		}
-		must.Eq(t, encoded(w.states[res.State.Offset]), encoded(res.State))
+		must.Eq(t, encoded(f.states[res.State.Offset]), encoded(res.State))
 		must.GreaterEq(t, floor, res.State.Offset)
 		must.GreaterEq(t, res.Floor, res.State.Offset)
 		must.True(t, enough || res.State.Offset == uint64(end))
@@ -71,18 +71,18 @@
 // of the log. Guards against past failures that keep a daemon from serving.
 func TestRecoverProperty_ServesIfLogEndIsReachable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w, end := drawWorld(t)
-		bounds, _ := w.config.Bounds(t.Context())
-		reach := bounds.First == 1
-		for _, st := range w.peers.states {
-			reach = reach || st.Offset+1 >= bounds.First
+		f, end := drawFleet(t)
+		bounds, _ := f.config.Bounds(t.Context())
+		reachable := bounds.First == 1
+		for _, st := range f.peers.states {
+			reachable = reachable || st.Offset+1 >= bounds.First
 		}
-		for _, offset := range w.written {
-			reach = reach || offset+1 >= bounds.First
+		for _, offset := range f.checkpointOffsets {
+			reachable = reachable || offset+1 >= bounds.First
 		}
-		res, err := w.recover(nil)
-		if !reach {
-			must.True(t, err != nil || res.Problem == ProblemHistoryLost)
+		res, err := f.recover(nil)
+		if !reachable {
+			must.True(t, err != nil || res.Problem == ProblemRetentionGap)
 			return
 		}
 		must.NoError(t, err)
--- a/recovery/recover.go
+++ b/recovery/recover.go
@@ -47,7 +47,7 @@
 	AskTimeout time.Duration
 	// AskInterval is the longest wait between two calls of Peers.Ask while the log is being read.
 	// Each wait is drawn at random from AskInterval/2 to AskInterval.
-	AskPause time.Duration
+	AskInterval time.Duration
 	// LogTimeout limits one request to the log.
 	LogTimeout time.Duration
 	// LogTimeoutWithPeers limits the request for the bounds of the log in a round in which
@@ -77,7 +77,7 @@
 	return Options{
 		MinAnswers:          3,
 		AskTimeout:          500 * time.Millisecond,
-		AskPause:            150 * time.Millisecond,
+		AskInterval:         150 * time.Millisecond,
 		LogTimeout:          2 * time.Second,
 		LogTimeoutWithPeers: 2 * time.Second,
 		FetchTimeout:        10 * time.Second,
@@ -119,15 +119,15 @@
 	r := newRecoverer(opts)
 	for attempt := 0; ; attempt++ {
 		d := r.round(ctx)
-		r.note(d)
-		if d.Serve() {
+		r.logProblem(d)
+		if d.CanServe() {
 			return &Result{State: r.state, Floor: d.Floor, From: r.from, Problem: d.Problem}, nil
 		}
 		if err := ctx.Err(); err != nil {
 			return nil, err
 		}
 		// The daemons' states were not sufficient.
-		r.askLog = true
+		r.needLog = true
 		opts.Report(d)
 		if err := opts.Sleep(ctx, r.pause(d, attempt)); err != nil {
 			return nil, err
@@ -138,7 +138,7 @@
 // pause returns the wait after a round: the stagger if the next step is to read a checkpoint, an
 // exponential backoff with full jitter otherwise.
 func (r *recoverer) pause(d Decision, attempt int) time.Duration {
-	if d.LookForCheckpoint {
+	if d.NeedCheckpoint {
 		return rand.N(r.opts.Stagger + 1)
 	}
 	const maxDoublings = 16
@@ -146,16 +146,16 @@
 	return rand.N(bound + 1)
 }
 
-// note logs the problem of a decision if it differs from the one logged last.
-func (r *recoverer) note(d Decision) {
-	if d.Problem == r.noted || d.LookForCheckpoint {
+// logProblem logs the problem of a decision if it differs from the one logged last.
+func (r *recoverer) logProblem(d Decision) {
+	if d.Problem == r.loggedProblem || d.NeedCheckpoint {
 		return
 	}
-	r.noted = d.Problem
+	r.loggedProblem = d.Problem
 	if d.Problem == NoProblem {
 		r.opts.Logger.Info("recovery: problem is over", "offset", d.Start.Offset)
 		return
 	}
 	r.opts.Logger.Error("recovery: "+string(d.Problem),
-		"serves", d.Serve(), "offset", d.Start.Offset, "from", d.Start.From, "floor", d.Floor, "floor_known", d.FloorKnown, "log_error", r.logError)
+		"serves", d.CanServe(), "offset", d.Start.Offset, "from", d.Start.From, "floor", d.Floor, "floor_known", d.FloorKnown, "log_error", r.logError)
 }
--- a/recovery/restore_test.go
+++ b/recovery/restore_test.go
@@ -13,19 +13,19 @@
 )
 
 // restoredLog is a log in epoch 2 that holds one document.
-type copyLog struct {
+type restoredLog struct {
 	eventlog.Log
 	data []byte
 }
 
-var copyEnd = eventlog.At(2, 5)
+var restoredEnd = eventlog.At(2, 5)
 
-func (l copyLog) Bounds(context.Context) (eventlog.Bounds, error) {
-	return eventlog.Bounds{First: copyEnd - 1, End: copyEnd}, nil
+func (l restoredLog) Bounds(context.Context) (eventlog.Bounds, error) {
+	return eventlog.Bounds{First: restoredEnd - 1, End: restoredEnd}, nil
 }
 
-func (l copyLog) Read(_ context.Context, from eventlog.Offset, _ int, _ time.Duration) ([]eventlog.Record, error) {
-	if from == copyEnd-1 {
+func (l restoredLog) Read(_ context.Context, from eventlog.Offset, _ int, _ time.Duration) ([]eventlog.Record, error) {
+	if from == restoredEnd-1 {
 		return []eventlog.Record{{Offset: from, Data: l.data}}, nil
 	}
 	return nil, nil
@@ -46,15 +46,15 @@
 func TestRecover_RestoredLogMergesNewerPeerState(t *testing.T) {
 	for name, version := range map[string]uint64{"newer": 9, "older": 3} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(0)
-			inLog, data := documentAt(t, copyEnd-1, 7)
-			w.opts.Config = copyLog{data: data}
-			w.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) { return inLog, nil }
-			w.opts.Stagger, w.opts.PreferPeers = 0, true
+			f := newFleet(0)
+			inLog, data := documentAt(t, restoredEnd-1, 7)
+			f.opts.Config = restoredLog{data: data}
+			f.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) { return inLog, nil }
+			f.opts.Stagger, f.opts.PreferPeers = 0, true
 			theirs, _ := documentAt(t, eventlog.At(1, 8), version)
-			w.peerWith("a", theirs, theirs.Offset)
-			w.peers.known = 20
-			res := w.mustServe(t, copyEnd-1, NoProblem)
+			f.peerWith("a", theirs, theirs.Offset)
+			f.peers.known = 20
+			res := f.mustServe(t, restoredEnd-1, NoProblem)
 			must.Eq(t, FromCheckpoint, res.From)
 			must.Eq(t, max(version, 7), res.State.Document().GetVersion())
 		})
--- a/recovery/round.go
+++ b/recovery/round.go
@@ -16,7 +16,7 @@
 const readLimit = 256
 
 // errStaleState means that a daemon's state is older than the position in its answer.
-var errBehind = errors.New("state is older than announced")
+var errStaleState = errors.New("state is older than announced")
 
 // recoverer holds the data that persists between rounds.
 type recoverer struct {
@@ -26,7 +26,7 @@
 	from  Origin
 	// unsupportedOffset is the offset of a record that needs a newer program, 0 if none has
 	// been read.
-	blocked uint64
+	unsupportedOffset uint64
 	// staggered is set once the wait before the checkpoint is read has been requested.
 	staggered bool
 	// scanner resumes where it stopped, so that a later round reads new records only. found is
@@ -35,9 +35,9 @@
 	found   *checkpoint.Found
 	loaded  *fold.State
 	// needLog is set once a round has shown that the answers of daemons are not sufficient.
-	askLog bool
+	needLog bool
 	// loggedProblem is the problem logged last.
-	noted Problem
+	loggedProblem Problem
 	// logError is the last error of the log in the current round, nil if there was none.
 	logError error
 }
@@ -51,7 +51,7 @@
 
 // reset drops a fetched state in favor of opts.Own.
 func (r *recoverer) reset() {
-	r.state, r.from = r.opts.Own, FromNowhere
+	r.state, r.from = r.opts.Own, FromNone
 	if r.state != nil {
 		r.from = FromOwn
 	}
@@ -61,10 +61,10 @@
 // of the log that follow it. If the returned decision allows it, r.state may be served.
 func (r *recoverer) round(ctx context.Context) Decision {
 	in := r.gather(ctx)
-	d := r.settle(ctx, &in)
-	if d.CatchUp {
+	d := r.obtainStart(ctx, &in)
+	if d.CanCatchUp {
 		r.catchUp(ctx, &in, d.Floor)
-		d = r.decide(&in)
+		d = r.updateAndDecide(&in)
 	}
 	if d.Problem == ProblemForked {
 		// A fetched state may belong to the wrong history. It was never in force on this
@@ -81,17 +81,17 @@
 	in := Input{Host: r.opts.Host, MinAnswers: r.opts.MinAnswers}
 	askCtx, cancel := context.WithTimeout(ctx, r.opts.AskTimeout)
 	defer cancel()
-	in.Hearing = r.opts.Peers.Ask(askCtx)
-	in.Hearing.Answers = slices.Clone(in.Hearing.Answers)
-	if r.opts.PreferPeers && !r.askLog && in.enoughAnswers() {
+	in.Peers = r.opts.Peers.Ask(askCtx)
+	in.Peers.Answers = slices.Clone(in.Peers.Answers)
+	if r.opts.PreferPeers && !r.needLog && in.enoughAnswers() {
 		r.setOwn(&in)
 		return in
 	}
 
-	end, peerFirst := r.readBeside(ctx, &in)
+	end, peerFirst := r.readBoundsOrPeer(ctx, &in)
 	if !peerFirst {
 		r.noteLogError(end.err)
-		in.Log = LogFacts{Readable: end.err == nil, Bounds: end.bounds}
+		in.Log = LogStatus{Readable: end.err == nil, Bounds: end.bounds}
 	}
 	r.setOwn(&in)
 	return in
@@ -115,8 +115,8 @@
 	}
 }
 
-// decide updates the input with the current state and returns the decision.
-func (r *recoverer) decide(in *Input) Decision {
+// updateAndDecide updates the input with the current state and returns the decision.
+func (r *recoverer) updateAndDecide(in *Input) Decision {
 	r.setOwn(in)
 	return Decide(*in)
 }
@@ -128,24 +128,24 @@
 	}
 	own := PositionOf(r.state)
 	in.Own = &own
-	in.Log.Blocked = r.blocked == own.Offset+1
+	in.Log.NextUnsupported = r.unsupportedOffset == own.Offset+1
 }
 
 // findCheckpoint searches for the newest usable checkpoint. After an error the log counts as
 // unavailable, never as one without a checkpoint.
-func (r *recoverer) findCheckpoint(ctx context.Context, facts *LogFacts) {
+func (r *recoverer) findCheckpoint(ctx context.Context, status *LogStatus) {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.FetchTimeout)
 	defer cancel()
 	if err := r.loadCheckpoint(ctx); err != nil {
 		r.noteLogError(errors.Wrap(err, "load checkpoint"))
-		facts.Readable = false
-		facts.Unusable = errors.Is(err, fold.ErrBadDocument)
+		status.Readable = false
+		status.NewestInvalid = errors.Is(err, fold.ErrBadDocument)
 		return
 	}
-	facts.Looked = true
+	status.CheckpointSearched = true
 	if r.loaded != nil {
 		p := PositionOf(r.loaded)
-		facts.Checkpoint = &p
+		status.Checkpoint = &p
 	}
 }
 
@@ -172,19 +172,19 @@
 	return nil
 }
 
-// settle decides and carries out what the decision requires, until the state to start from is
+// obtainStart decides and carries out what the decision requires, until the state to start from is
 // available or known to be unavailable. It terminates because each step adds information or marks
 // the state of one daemon as unavailable.
-func (r *recoverer) settle(ctx context.Context, in *Input) Decision {
+func (r *recoverer) obtainStart(ctx context.Context, in *Input) Decision {
 	for {
-		d := r.decide(in)
+		d := r.updateAndDecide(in)
 		switch {
-		case d.LookForCheckpoint:
+		case d.NeedCheckpoint:
 			if r.mustStagger(in) {
 				return d
 			}
 			r.findCheckpoint(ctx, &in.Log)
-		case d.Problem == ProblemForked, d.Start.From == FromNowhere, d.Start.From == FromOwn:
+		case d.Problem == ProblemForked, d.Start.From == FromNone, d.Start.From == FromOwn:
 			return d
 		default:
 			r.fetch(ctx, in, d.Start)
@@ -197,7 +197,7 @@
 // again, and a store sends its complete newest configuration with them. On a host with a slow link,
 // callers would be refused for the time of a second transfer.
 func (r *recoverer) mustStagger(in *Input) bool {
-	if r.staggered || r.opts.Stagger == 0 || in.Hearing.Known == 0 || in.Log.Bounds.End == 1 {
+	if r.staggered || r.opts.Stagger == 0 || in.Peers.Known == 0 || in.Log.Bounds.End == 1 {
 		return false
 	}
 	r.staggered = true
@@ -206,48 +206,48 @@
 
 // fetch obtains the state to start from. If that fails, it marks the state of the daemon as
 // unavailable.
-func (r *recoverer) fetch(ctx context.Context, in *Input, from Start) {
+func (r *recoverer) fetch(ctx context.Context, in *Input, from StartPoint) {
 	st, err := r.stateOf(ctx, from)
 	if err == nil {
-		r.state, r.from = r.carryOver(ctx, in, st), from.From
-		r.readEnd(ctx, in)
+		r.state, r.from = r.mergeEarlierEpoch(ctx, in, st), from.From
+		r.refreshBounds(ctx, in)
 		return
 	}
 	r.opts.Logger.Debug("recovery: cannot fetch state", "host", from.Host, "error", err)
-	for i, a := range in.Hearing.Answers {
+	for i, a := range in.Peers.Answers {
 		if a.Host == from.Host {
-			in.Hearing.Answers[i].Unusable = true
+			in.Peers.Answers[i].StateUnavailable = true
 		}
 	}
 }
 
-// carryOver merges newer configuration from before a restore of the log into a state. If the log
+// mergeEarlierEpoch merges newer configuration from before a restore of the log into a state. If the log
 // was restored from an older copy, it may lack versions that are in force on this host or on
 // daemons that have not yet received the new epoch. The newest state from an earlier epoch among
 // those daemons is fetched for that; without it, the merge is limited to the state of this host.
-func (r *recoverer) carryOver(ctx context.Context, in *Input, st *fold.State) *fold.State {
+func (r *recoverer) mergeEarlierEpoch(ctx context.Context, in *Input, st *fold.State) *fold.State {
 	st = st.After(r.state)
-	var before PeerAnswer
-	for _, a := range in.Hearing.Answers {
-		if !a.Unusable && a.Offset > before.Offset && eventlog.Epoch(a.Offset) < eventlog.Epoch(st.Offset) {
-			before = a
+	var earlier PeerAnswer
+	for _, a := range in.Peers.Answers {
+		if !a.StateUnavailable && a.Offset > earlier.Offset && eventlog.Epoch(a.Offset) < eventlog.Epoch(st.Offset) {
+			earlier = a
 		}
 	}
-	if before.Offset == 0 {
+	if earlier.Offset == 0 {
 		return st
 	}
-	theirs, err := r.stateOf(ctx, Start{From: FromPeer, Host: before.Host, Position: before.Position})
+	theirs, err := r.stateOf(ctx, StartPoint{From: FromPeer, Host: earlier.Host, Position: earlier.Position})
 	if err != nil {
-		r.opts.Logger.Warn("recovery: cannot fetch state of earlier epoch", "host", before.Host, "error", err)
+		r.opts.Logger.Warn("recovery: cannot fetch state of earlier epoch", "host", earlier.Host, "error", err)
 		return st
 	}
 	return st.After(theirs)
 }
 
-// readEnd reads the bounds of the log again if the current state is beyond its end. The state may
+// refreshBounds reads the bounds of the log again if the current state is beyond its end. The state may
 // be newer than the daemon's answer because records were appended in between, and the end read
 // before is then out of date. A log that has lost records still ends before the state.
-func (r *recoverer) readEnd(ctx context.Context, in *Input) {
+func (r *recoverer) refreshBounds(ctx context.Context, in *Input) {
 	if !in.Log.Readable || r.state.Offset < in.Log.Bounds.End {
 		return
 	}
@@ -261,11 +261,11 @@
 
 // stateOf returns the state for a starting point. A daemon's state that is older than announced
 // results in errStaleState.
-func (r *recoverer) stateOf(ctx context.Context, s Start) (*fold.State, error) {
+func (r *recoverer) stateOf(ctx context.Context, s StartPoint) (*fold.State, error) {
 	switch s.From {
 	case FromCheckpoint:
 		return r.loaded, nil
-	case FromScratch:
+	case FromEmpty:
 		return fold.Empty(), nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.opts.FetchTimeout)
@@ -275,7 +275,7 @@
 		return nil, err
 	}
 	if st.Offset < s.Offset {
-		return nil, errors.Wrapf(errBehind, "host %s sent offset %d instead of %d", s.Host, st.Offset, s.Offset)
+		return nil, errors.Wrapf(errStaleState, "host %s sent offset %d instead of %d", s.Host, st.Offset, s.Offset)
 	}
 	return st, nil
 }
@@ -285,9 +285,9 @@
 // lost records and has since grown beyond the state. Folding it would mix two histories.
 //
 // It also adds the document of that record if the state lacks it, see fold.State.WithLastDocument.
-func (r *recoverer) verifyLog(ctx context.Context, facts *LogFacts) bool {
+func (r *recoverer) verifyLog(ctx context.Context, status *LogStatus) bool {
 	at := r.state.Offset
-	if at < facts.Bounds.First {
+	if at < status.Bounds.First {
 		return true
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.opts.LogTimeout)
@@ -298,12 +298,12 @@
 	}
 	if err != nil {
 		r.noteLogError(errors.Wrap(err, "read last folded record"))
-		facts.Readable = false
+		status.Readable = false
 		return false
 	}
-	facts.Rewritten = !r.state.LastIs(records[0].Data)
+	status.Rewritten = !r.state.LastIs(records[0].Data)
 	r.state = r.state.WithLastDocument(records[0].Data)
-	return !facts.Rewritten
+	return !status.Rewritten
 }
 
 // catchUp folds the records of the log up to an offset into the current state. If that fails, it
@@ -314,14 +314,14 @@
 	}
 	chains := in.chains()
 	for r.state.Offset < to {
-		err := r.readSome(ctx, to, chains)
+		err := r.foldNext(ctx, to, chains)
 		if err == nil {
 			continue
 		}
 		r.noteLogError(errors.Wrap(err, "fold records of the log"))
 		var unknown *fold.UnknownRuleError
 		if errors.As(err, &unknown) {
-			r.blocked = unknown.Offset
+			r.unsupportedOffset = unknown.Offset
 		}
 		var fork *fold.ForkError
 		in.Forked = errors.As(err, &fork)
@@ -329,9 +329,9 @@
 	}
 }
 
-// readSome reads and folds the next records, at most readLimit of them. It returns a
+// foldNext reads and folds the next records, at most readLimit of them. It returns a
 // *fold.ForkError at an offset where the resulting chain differs from the known one.
-func (r *recoverer) readSome(ctx context.Context, to uint64, chains map[uint64]fold.Chain) error {
+func (r *recoverer) foldNext(ctx context.Context, to uint64, chains map[uint64]fold.Chain) error {
 	ctx, cancel := context.WithTimeout(ctx, r.opts.LogTimeout)
 	defer cancel()
 	from := r.state.Offset + 1
