--- a/admission/callees.go
+++ b/admission/callees.go
@@ -13,8 +13,8 @@
 	// recent runs weigh more than old ones.
 	calleeWindow = 500
 	// minRuns is the number of runs that must be counted before rates are reported, and
-	// leastCalls the lowest rate that is reported, in calls per run: a route that has only
-	// just been classified as MadeByCallers leaves a few calls in the counts.
+	// minCallsPerRun the lowest rate that is reported: a route that has only just been
+	// classified as MadeByCallers leaves a few calls in the counts.
 	minRuns        = 20
 	minCallsPerRun = 0.02
 	// maxExpanded limits the number of services that CallGraph.CallsPerRequest expands into their
@@ -125,7 +125,7 @@
 	return c.Service == o.Service && c.Calls < 1.1*o.Calls && o.Calls < 1.1*c.Calls
 }
 
-// calleesOf returns the direct callees calleesOf a service.
+// calleesOf returns the direct callees of a service.
 func (c *CallGraph) calleesOf(service string) []Callee {
 	if services := c.services.Load(); services != nil {
 		return (*services)[service]
--- a/admission/classifier.go
+++ b/admission/classifier.go
@@ -17,8 +17,8 @@
 	// minKnownOrigin is the number of calls of known origin from which on the share of
 	// OriginCaller decides: the first few may come from a host whose daemon has just started.
 	minKnownOrigin = 5
-	// sufficientKnownOrigin is the number of calls of known origin that settles the classification
-	// either way: it reaches maxChance for callers on nine tenths of the hosts.
+	// sufficientKnownOrigin is the number of calls of known origin that settles the
+	// classification either way: it reaches maxChance for callers on nine tenths of the hosts.
 	sufficientKnownOrigin = 66
 	// routeWindow is the number of a route's calls at which its counts are halved.
 	routeWindow = 500
@@ -71,32 +71,32 @@
 
 // Observe counts a call that was sent from a host of callerService, and returns the
 // classification of its route.
-func (o *RouteClassifier) Observe(route, callerService string, from Origin) MadeBy {
+func (c *RouteClassifier) Observe(route, callerService string, from Origin) MadeBy {
 	if route == "" || callerService == "" {
 		return MadeByCallers
 	}
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	r := o.routes[route]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.routes[route]
 	if r == nil {
-		r = o.newRoute(route)
+		r = c.newRoute(route)
 	}
 	r.add(callerService, from)
-	return r.classify(o.hostShare)
+	return r.classify(c.hostShare)
 }
 
-// newRoute adds a route. At maxOriginRoutes all others are dropped, since configurations add and
+// newRoute adds a route. At maxRoutes all others are dropped, since configurations add and
 // remove routes over time.
-func (o *RouteClassifier) newRoute(route string) *routeStats {
-	if len(o.routes) >= maxRoutes {
-		clear(o.routes)
+func (c *RouteClassifier) newRoute(route string) *routeStats {
+	if len(c.routes) >= maxRoutes {
+		clear(c.routes)
 	}
 	r := &routeStats{services: make(map[string]float64)}
-	o.routes[route] = r
+	c.routes[route] = r
 	return r
 }
 
-// add counts a call and halves all counts at originMemory calls.
+// add counts a call and halves all counts at routeWindow calls.
 func (r *routeStats) add(callerService string, from Origin) {
 	r.services[callerService]++
 	r.total++
--- a/admission/request.go
+++ b/admission/request.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// minAnswerDivisor is the inverse of the share of the latency objective that an attempt needs
-	// at least for an answer within the objective.
+	// minAnswerDivisor determines the time that an attempt needs at least to be answered, as the
+	// latency objective divided by minAnswerDivisor.
 	minAnswerDivisor = 3
 	// shortWaitTries is the number of gates that a request tries with a short wait before it
-	// accepts the full one, and impatientShare the short wait as a share of the latency
+	// accepts the full one, and shortWaitShare the short wait as a share of the latency
 	// objective.
 	shortWaitTries = 2
 	shortWaitShare = 0.125
@@ -16,8 +16,8 @@
 	// it would wait in turn. A request that is refused at once can be sent again by its caller
 	// when the queue is shorter.
 	fullWaitShare = 0.6
-	// lateRetryWaitDivisor is the inverse of the share of its remaining time that a late retry
-	// may wait.
+	// lateRetryWaitDivisor determines how long a late retry may wait, as its remaining time
+	// divided by lateRetryWaitDivisor.
 	lateRetryWaitDivisor = 4
 )
 
@@ -71,8 +71,8 @@
 type AttemptHistory struct {
 	// Refusals is the number of gates that refused the request.
 	Refusals int
-	// FullWait is set if the request accepts the full wait at the next gate, whatever the
-	// number of refusals.
+	// FullWait is set if the request may wait at the next gate for as long as an answer within
+	// its objective is still likely, whatever the number of refusals.
 	FullWait bool
 	// RemoteCost is the additional waiting time that is acceptable to keep the request in its
 	// availability zone.
--- a/admission/runs.go
+++ b/admission/runs.go
@@ -99,7 +99,7 @@
 func (n *Run) mayHaveMade(expiry time.Time) bool { return !expiry.After(n.expiry.Add(expirySlack)) }
 
 // PossibleParents returns the IDs of the requests whose runs may have made a call that expires
-// at expiry. PossibleParents without an ID are left out.
+// at expiry. Requests without an ID are left out.
 func (r *Runs) PossibleParents(expiry time.Time) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/admission/timeouts.go
+++ b/admission/timeouts.go
@@ -31,8 +31,8 @@
 // routeTimeout is the estimate for one route.
 type routeTimeout struct {
 	longest time.Duration
-	// calls counts all calls, atLongest those within usualSlack of longest. Both are halved
-	// at usualMemory calls.
+	// calls counts all calls, atLongest those within timeoutSlack of longest. Both are halved
+	// at timeoutWindow calls.
 	calls, atLongest int
 }
 
--- a/recovery/bounds.go
+++ b/recovery/bounds.go
@@ -45,7 +45,7 @@
 		}
 		// Answers without a state to serve are discarded: the bounds of the log must be compared
 		// with answers that were received before the request for the bounds.
-		if answers, st := r.statePeersAllow(ctx); st != nil {
+		if answers, st := r.queryPeers(ctx); st != nil {
 			r.state, r.from = st, FromPeer
 			in.Peers = answers
 			return boundsResult{}, true
@@ -53,9 +53,9 @@
 	}
 }
 
-// statePeersAllow queries the daemons once. It returns their answers and a state that may be served
+// queryPeers queries the daemons once. It returns their answers and a state that may be served
 // without the log, nil if there is none.
-func (r *recoverer) statePeersAllow(ctx context.Context) (PeerAnswers, *fold.State) {
+func (r *recoverer) queryPeers(ctx context.Context) (PeerAnswers, *fold.State) {
 	askCtx, cancel := context.WithTimeout(ctx, r.opts.AskTimeout)
 	defer cancel()
 	in := Input{Host: r.opts.Host, MinAnswers: r.opts.MinAnswers, Peers: r.opts.Peers.Ask(askCtx)}
--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -29,8 +29,8 @@
 	Host string
 	// Position is that of the version in force at the daemon, zero if there is none.
 	Position
-	// Floor is the highest offset known to the daemon that was in force on the asking host, in
-	// any process of the asking daemon.
+	// Floor is the highest offset that the daemon knows to have been in force on the asking
+	// host, including earlier processes of the daemon there.
 	Floor uint64
 	// StateUnavailable is set if the daemon's state could not be fetched: the daemon has ended,
 	// or its state follows a later rule version that this program cannot decode. The offsets in
--- a/recovery/example_test.go
+++ b/recovery/example_test.go
@@ -16,12 +16,12 @@
 type others struct{ states map[string]*fold.State }
 
 func (o others) Ask(context.Context) recovery.PeerAnswers {
-	h := recovery.PeerAnswers{Known: len(o.states)}
+	answers := recovery.PeerAnswers{Known: len(o.states)}
 	for host, st := range o.states {
 		// Both know that version 2 was in force on this host.
-		h.Answers = append(h.Answers, recovery.PeerAnswer{Host: host, Position: recovery.PositionOf(st), Floor: 2})
+		answers.Answers = append(answers.Answers, recovery.PeerAnswer{Host: host, Position: recovery.PositionOf(st), Floor: 2})
 	}
-	return h
+	return answers
 }
 
 func (o others) State(_ context.Context, host string) (*fold.State, error) {
--- a/recovery/preferpeers_test.go
+++ b/recovery/preferpeers_test.go
@@ -15,9 +15,9 @@
 	bounds int
 }
 
-func (a *countingLog) Bounds(ctx context.Context) (eventlog.Bounds, error) {
-	a.bounds++
-	return a.Log.Bounds(ctx)
+func (l *countingLog) Bounds(ctx context.Context) (eventlog.Bounds, error) {
+	l.bounds++
+	return l.Log.Bounds(ctx)
 }
 
 // newPreferPeersFleet returns a fleet with PreferPeers set and the log of its daemon.
--- a/recovery/property_test.go
+++ b/recovery/property_test.go
@@ -18,12 +18,12 @@
 		f.checkpoint(rapid.IntRange(0, end).Draw(t, "checkpoint"))
 	}
 	for _, host := range []string{"a", "b", "c", "d"}[:rapid.IntRange(0, 4).Draw(t, "daemons")] {
-		f.peer(host, rapid.IntRange(0, end).Draw(t, "in force"), uint64(rapid.IntRange(0, end).Draw(t, "heard")))
-		if rapid.IntRange(0, 4).Draw(t, "gone") == 0 {
+		f.peer(host, rapid.IntRange(0, end).Draw(t, "in force"), uint64(rapid.IntRange(0, end).Draw(t, "floor")))
+		if rapid.IntRange(0, 4).Draw(t, "state unavailable") == 0 {
 			delete(f.peers.states, host)
 		}
 	}
-	f.peers.known += rapid.IntRange(0, 8).Draw(t, "silent")
+	f.peers.known += rapid.IntRange(0, 8).Draw(t, "not answering")
 	f.config.Cut(eventlog.Offset(rapid.IntRange(1, end+1).Draw(t, "first")))
 	return f, end
 }
@@ -47,10 +47,10 @@
 func TestRecoverProperty_ServesNothingBelowFloor(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f, end := drawFleet(t)
-		f.svc.SetOutage(rapid.Bool().Draw(t, "down"))
-		comesBack := rapid.IntRange(1, 2*maxRounds).Draw(t, "comes back")
+		f.svc.SetOutage(rapid.Bool().Draw(t, "outage"))
+		availableFrom := rapid.IntRange(1, 2*maxRounds).Draw(t, "available from round")
 		res, err := f.recover(func(round int) {
-			if round >= comesBack {
+			if round >= availableFrom {
 				f.svc.SetOutage(false)
 			}
 		})
--- a/recovery/recover.go
+++ b/recovery/recover.go
@@ -32,9 +32,9 @@
 	// set, it is used instead of Checkpoints.
 	LoadCheckpoint func(ctx context.Context) (*fold.State, error)
 	// PreferPeers skips the log if enough daemons have answered and one of them has a state that
-	// may be served. It suits a log that pushes its records to the daemons within a time limit
-	// that is documented to callers: a start then needs no request to the platform and transfers
-	// no complete document from it.
+	// may be served. It suits a log that pushes its records to the daemons within a maximum
+	// delay that callers can rely on: a start then needs no request to the platform and
+	// transfers no complete document from it.
 	PreferPeers bool
 	// Own is the state that the daemon holds, nil in a process that has just started. A running
 	// daemon sets it if the log has dropped the record after its state. Recover then returns no
--- a/recovery/round.go
+++ b/recovery/round.go
@@ -221,10 +221,10 @@
 	}
 }
 
-// mergeEarlierEpoch merges newer configuration from before a restore of the log into a state. If the log
-// was restored from an older copy, it may lack versions that are in force on this host or on
-// daemons that have not yet received the new epoch. The newest state from an earlier epoch among
-// those daemons is fetched for that; without it, the merge is limited to the state of this host.
+// mergeEarlierEpoch returns a state with newer configuration from before a restore of the log. A
+// log that was restored from an older copy may lack versions that are in force on this host, or on
+// daemons that have not yet received the new epoch. The newest state of such a daemon is fetched
+// and merged; if that fails, only the state of this host is.
 func (r *recoverer) mergeEarlierEpoch(ctx context.Context, in *Input, st *fold.State) *fold.State {
 	st = st.After(r.state)
 	var earlier PeerAnswer
@@ -244,9 +244,9 @@
 	return st.After(theirs)
 }
 
-// refreshBounds reads the bounds of the log again if the current state is beyond its end. The state may
-// be newer than the daemon's answer because records were appended in between, and the end read
-// before is then out of date. A log that has lost records still ends before the state.
+// refreshBounds reads the bounds of the log again if the current state is beyond its end. Records
+// may have been appended since the daemon answered, so that its state is newer than its answer and
+// the bounds are out of date. A log that has lost records still ends before the state.
 func (r *recoverer) refreshBounds(ctx context.Context, in *Input) {
 	if !in.Log.Readable || r.state.Offset < in.Log.Bounds.End {
 		return
@@ -275,7 +275,7 @@
 		return nil, err
 	}
 	if st.Offset < s.Offset {
-		return nil, errors.Wrapf(errStaleState, "host %s sent offset %d instead of %d", s.Host, st.Offset, s.Offset)
+		return nil, errors.Wrapf(errStaleState, "offset %d instead of %d", st.Offset, s.Offset)
 	}
 	return st, nil
 }
