--- a/recovery/decide.go
+++ b/recovery/decide.go
@@ -40,8 +40,8 @@
 
 // PeerAnswers holds the answers of one round of Peers.Ask.
 type PeerAnswers struct {
-	// Known is the number of other daemons in the member table. Members that are considered
-	// dead count, because they may be alive on the other side of a network partition.
+	// Known is the number of other daemons in the member table. Members considered dead are
+	// included, because they may be alive on the other side of a network partition.
 	Known   int
 	Answers []PeerAnswer
 }
--- a/recovery/round.go
+++ b/recovery/round.go
@@ -284,7 +284,8 @@
 // was folded last, or has dropped it by retention. This is the only check that detects a log that
 // lost records and has since grown beyond the state. Folding it would mix two histories.
 //
-// It also adds the document of that record if the state lacks it, see fold.State.WithLastDocument.
+// It also adds the document of that record to a state that lacks it because the daemon that sent
+// the state has narrower limits and rejected the document.
 func (r *recoverer) verifyLog(ctx context.Context, status *LogStatus) bool {
 	at := r.state.Offset
 	if at < status.Bounds.First {
