--- a/spread/example_test.go
+++ b/spread/example_test.go
@@ -16,7 +16,7 @@
 	"github.com/crocuscross/crocuscross/spread"
 )
 
-// daemon is one Spreader with its listener for the other.
+// daemon is a Spreader with a listener for other daemons.
 type daemon struct {
 	*spread.Spreader
 	member *membership.Member
@@ -46,7 +46,7 @@
 	return d
 }
 
-// await returns when a version is in force.
+// await returns when an offset has been applied.
 func (d *daemon) await(ctx context.Context, offset uint64) {
 	for {
 		select {
@@ -60,8 +60,8 @@
 	}
 }
 
-// Two daemons of one availability zone. One of them reads the log and pushes
-// what it read to the other.
+// Two daemons in one availability zone. One of them reads the log and pushes the record to the
+// other.
 func Example() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -23,16 +23,16 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// hop is the time of a message between two nodes. Tests run in a synctest
-// bubble, where time is virtual.
-const hop = 500 * time.Microsecond
+// hopLatency is the time of a message between two nodes. Tests run in a synctest bubble, where time
+// is virtual.
+const hopLatency = 500 * time.Microsecond
 
-// traffic counts what the nodes send.
+// traffic counts the messages and bytes that the nodes send.
 type traffic struct {
 	pushes, digests, pulls, bytes atomic.Int64
 }
 
-// fleet is a set of Spreaders over one log and a network of function calls.
+// fleet is a set of Spreaders with one log, connected by function calls.
 type fleet struct {
 	t       testing.TB
 	svc     *memlog.Service
@@ -40,23 +40,23 @@
 	nodes   []*node
 	byAddr  map[netip.AddrPort]*node
 	traffic *traffic
-	// quiet turns the probes of await off.
-	quiet bool
-	// linkMbps bounds what each node sends, 0 for no bound.
+	// noProbes disables the membership probes of await.
+	noProbes bool
+	// linkMbps is the bandwidth at which each node sends, 0 for unlimited.
 	linkMbps int
-	// handlers are the pushes being served.
+	// handlers counts the pushes being served.
 	handlers sync.WaitGroup
 }
 
-// node is one daemon; it is the Peers and the log that its Spreader sees.
+// node is one daemon. It implements the Peers and the log of its Spreader.
 type node struct {
 	*Spreader
 	eventlog.Log
 	fleet  *fleet
 	member *membership.Member
 	stop   context.CancelFunc
-	// logCut ends when the node loses the log.
-	logCut  context.Context
+	// logDone is canceled when the node loses access to the log.
+	logDone  context.Context
 	cutLog  context.CancelFunc
 	link    link
 	dead    atomic.Bool
@@ -73,12 +73,12 @@
 			Host: fmt.Sprintf("host-%d", i), AvailabilityZone: fmt.Sprintf("zone-%d", i%zones), Liveness: membership.Alive,
 			PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000),
 		}}
-		n.logCut, n.cutLog = context.WithCancel(context.Background())
+		n.logDone, n.cutLog = context.WithCancel(context.Background())
 		opts := DefaultOptions()
 		opts.Host, opts.AvailabilityZone, opts.Log, opts.Peers = n.member.Host, n.member.AvailabilityZone, n, n
 		opts.OnState = func(st *fold.State) {
 			if st.Offset < n.inForce.Load() {
-				t.Errorf("%s: version fell from %d to %d", n.member.Host, n.inForce.Load(), st.Offset)
+				t.Errorf("%s: offset went back from %d to %d", n.member.Host, n.inForce.Load(), st.Offset)
 			}
 			n.inForce.Store(st.Offset)
 		}
@@ -97,7 +97,7 @@
 	return f
 }
 
-// run starts all live nodes at the empty state.
+// run starts all live nodes with the empty state.
 func (f *fleet) run() {
 	f.setViews()
 	for _, n := range f.nodes {
@@ -108,7 +108,7 @@
 	synctest.Wait()
 }
 
-// run starts the node, and stops it at the test's end.
+// run starts the node and stops it at the end of the test.
 func (n *node) run() {
 	n.InstallState(fold.Empty())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -122,7 +122,7 @@
 	})
 }
 
-// setViews tells the live nodes of one another.
+// setViews gives each live node a view of all live nodes.
 func (f *fleet) setViews() {
 	var members []*membership.Member
 	for _, n := range f.nodes {
@@ -137,7 +137,7 @@
 	}
 }
 
-// probe lets each live node hear one other and be heard by it.
+// probe makes each live node exchange offsets with one other random node.
 func (f *fleet) probe() {
 	for i, n := range f.nodes {
 		m := f.nodes[(i+1+rand.IntN(len(f.nodes)-1))%len(f.nodes)]
@@ -149,25 +149,24 @@
 	}
 }
 
-// await lets time pass, with a round of probes each second unless the fleet is
-// quiet, until all live nodes have an offset in force, and returns how long that
-// took.
+// await waits until all live nodes have reached an offset and returns how long that took. It runs a
+// round of probes each second unless noProbes is set.
 func (f *fleet) await(offset uint64, limit time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
-	for tick := 1; f.lacking(offset) > 0; tick++ {
+	for tick := 1; f.countBehind(offset) > 0; tick++ {
 		if time.Since(began) > limit {
-			f.t.Fatalf("%d nodes lack %d after %v", f.lacking(offset), offset, limit)
+			f.t.Fatalf("%d nodes have not reached offset %d after %v", f.countBehind(offset), offset, limit)
 		}
 		time.Sleep(time.Millisecond)
-		if tick%1000 == 0 && !f.quiet {
+		if tick%1000 == 0 && !f.noProbes {
 			f.probe()
 		}
 	}
 	return time.Since(began)
 }
 
-func (f *fleet) lacking(offset uint64) int {
+func (f *fleet) countBehind(offset uint64) int {
 	lacking := 0
 	for _, n := range f.nodes {
 		if !n.dead.Load() && n.inForce.Load() < offset {
@@ -177,11 +176,11 @@
 	return lacking
 }
 
-// readers returns the reading nodes of a zone by rank.
+// readers returns the readers of a zone by rank.
 func (f *fleet) readers(zone string) []*node {
 	list := make([]*node, 2)
 	for _, n := range f.nodes {
-		if p := n.plan.Load(); n.member.AvailabilityZone == zone && p.rank != notRanked {
+		if p := n.topology.Load(); n.member.AvailabilityZone == zone && p.rank != notRanked {
 			list[p.rank] = n
 		}
 	}
@@ -197,23 +196,23 @@
 	return offset
 }
 
-// kill makes a node vanish without a word.
+// kill stops a node abruptly; the views still hold it.
 func (n *node) kill() {
 	n.dead.Store(true)
 	n.stop()
 }
 
-// Read fails once the node has lost the log.
+// Read implements eventlog.Log. It fails once the node has lost access to the log.
 func (n *node) Read(ctx context.Context, from eventlog.Offset, limit int, wait time.Duration) ([]eventlog.Record, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	defer context.AfterFunc(n.logCut, cancel)()
-	if n.logCut.Err() != nil {
+	defer context.AfterFunc(n.logDone, cancel)()
+	if n.logDone.Err() != nil {
 		return nil, eventlog.ErrUnavailable
 	}
 	return n.Log.Read(ctx, from, limit, wait)
 }
 
-// Push implements Peers: the receiver's handler runs as it would over a stream.
+// Push implements Peers. It runs the receiver's handler as for a stream.
 func (n *node) Push(ctx context.Context, addr netip.AddrPort, m *peerpb.Push) (*peerpb.PushAck, error) {
 	n.fleet.traffic.count(m)
 	acks := make(chan *peerpb.PushAck, 1)
@@ -227,7 +226,7 @@
 	})
 	select {
 	case ack := <-acks:
-		time.Sleep(hop)
+		time.Sleep(hopLatency)
 		return ack, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
@@ -244,14 +243,15 @@
 	n.fleet.traffic.pulls.Add(1)
 	n.fleet.traffic.bytes.Add(int64(proto.Size(m) + proto.Size(answer)))
 	to.link.send(ctx, answer, n.fleet.linkMbps)
-	time.Sleep(hop)
+	time.Sleep(hopLatency)
 	return answer, ctx.Err()
 }
 
-// reach takes the time of a hop. Dead nodes of odd ports refuse, the others are
-// silent, as a host without power is.
+// reach waits for the latency of a hop and returns the node at addr. A dead node with an odd last
+// address byte refuses the connection; any other dead node does not answer, like a host without
+// power.
 func (f *fleet) reach(ctx context.Context, addr netip.AddrPort) (*node, error) {
-	time.Sleep(hop)
+	time.Sleep(hopLatency)
 	if ctx.Err() != nil {
 		return nil, ctx.Err()
 	}
@@ -275,8 +275,8 @@
 	t.pushes.Add(1)
 }
 
-// change returns a record that sets one contract anew.
-func change(id string, replaces uint64) *configpb.Record {
+// contractChange returns a record that replaces one contract.
+func contractChange(id string, replaces uint64) *configpb.Record {
 	return &configpb.Record{RuleVersion: fold.BundleRule, Bundle: &configpb.Bundle{
 		PublishId: id, Author: "operator",
 		Changes: []*configpb.Change{{Replaces: replaces, Resource: &configpb.Resource{Kind: &configpb.Resource_Contract{
--- a/spread/history.go
+++ b/spread/history.go
@@ -10,41 +10,42 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// Bounds of the batches kept that arrived before the one they follow. A larger
-// batch is pulled again when its turn has come.
+// Bounds of the batches that wait for the records before them. A batch larger than
+// maxPendingBatchBytes is dropped and pulled again when the records before it have arrived.
 const (
-	maxHeld      = 64
-	maxHeldBytes = 64 << 10
+	maxPendingBatches      = 64
+	maxPendingBatchBytes = 64 << 10
 )
 
 var (
 	// errGap means that records before the batch are missing.
 	errGap = errors.New("records before the batch are missing")
-	// errDiverged means that a batch does not continue the records folded here:
-	// the two daemons read different logs.
+	// errDiverged means that a batch does not continue the records applied here: the two daemons
+	// read different logs.
 	errDiverged = errors.New("records do not follow the version in force")
-	// errMalformed means that a batch contradicts itself.
+	// errMalformed means that a message from another daemon is inconsistent or cannot be decoded.
 	errMalformed = errors.New("batch of records is malformed")
 )
 
-// batch is a run of records that follow one another.
+// batch is a sequence of records with consecutive offsets.
 type batch struct {
-	// base is the offset before the first record, chain the digest there.
+	// base is the offset before the first record; chain is the chain digest at base.
 	base    uint64
 	chain   fold.Chain
 	records []*configpb.SequencedRecord
 }
 
-// newBatch checks what a peer sent.
+// newBatch returns a batch received from another daemon, or errMalformed if its parts are
+// inconsistent.
 func newBatch(base uint64, chain []byte, records []*configpb.SequencedRecord) (batch, error) {
 	b := batch{base: base, records: records}
 	if len(chain) != len(b.chain) {
-		return batch{}, errors.Wrap(errMalformed, "chain digest length")
+		return batch{}, errors.Wrap(errMalformed, "wrong length of the chain digest")
 	}
 	copy(b.chain[:], chain)
 	for i, r := range records {
 		if r.GetOffset() != base+uint64(i)+1 {
-			return batch{}, errors.Wrapf(errMalformed, "record %d after %d", r.GetOffset(), base+uint64(i))
+			return batch{}, errors.Wrapf(errMalformed, "record at offset %d follows offset %d", r.GetOffset(), base+uint64(i))
 		}
 	}
 	return b, nil
@@ -60,30 +61,31 @@
 	return n
 }
 
-// history is the folded state with the latest records. It is where every
-// record comes into force, whichever way it came.
+// history holds the current state and the latest records. All records are applied here, whichever
+// way they arrived.
 type history struct {
 	onState func(*fold.State)
-	// onRejected is told of each record that moved the offset and changed nothing.
+	// onRejected is called with each record that advanced the offset but changed nothing, and with
+	// its size in bytes.
 	onRejected func(v fold.Verdict, bytes int)
 
 	mu    sync.Mutex
 	state *fold.State
 	ring  ring
-	held  []batch
-	// unknownRule is the offset of a record that this program cannot fold, 0
-	// if there is none.
-	unknownRule uint64
+	pending  []batch
+	// unknownRuleOffset is the offset of a record whose rule version this program does not support,
+	// 0 if there is none.
+	unknownRuleOffset uint64
 }
 
-// current returns the state in force, nil before the first.
+// current returns the current state, or nil before the first.
 func (h *history) current() *fold.State {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.state
 }
 
-// offset returns the version in force, 0 before the first.
+// offset returns the offset of the current state, or 0 before the first.
 func (h *history) offset() uint64 {
 	if st := h.current(); st != nil {
 		return st.Offset
@@ -91,16 +93,17 @@
 	return 0
 }
 
-// blockedAt reports whether the next record is one that cannot be folded.
+// blockedAt reports whether the record after offset is one that this program cannot apply.
 func (h *history) blockedAt(offset uint64) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.unknownRule != 0 && h.unknownRule == offset+1
+	return h.unknownRuleOffset != 0 && h.unknownRuleOffset == offset+1
 }
 
-// adopt puts a whole state in force if it is newer, and reports whether it was. What a log
-// that was restored from an older copy lacks stays in force.
-func (h *history) adopt(st *fold.State) bool {
+// install sets a whole state as the current one if it is newer, and reports whether it was. If the
+// state comes from a log that was restored from an older copy, newer content of the current state
+// that the log lacks is kept.
+func (h *history) install(st *fold.State) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.state != nil && st.Offset <= h.state.Offset {
@@ -110,13 +113,13 @@
 	h.state = st
 	h.ring.reset(st.Offset, st.Chain, lastRecord(st))
 	h.onState(st)
-	_, _ = h.applyHeld()
+	_, _ = h.applyPending()
 	return true
 }
 
-// carry puts in force what another daemon has in force beyond the state here, and reports
-// whether there was something.
-func (h *history) carry(theirs *fold.State) bool {
+// mergeNewer merges what another daemon's state holds beyond the current state into it, and reports
+// whether there was anything.
+func (h *history) mergeNewer(theirs *fold.State) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	st := h.state.WithCarried(theirs)
@@ -128,13 +131,14 @@
 	return true
 }
 
-// lastRecord returns the record that a state folded last where the state tells it: that
-// of the document in force, if no record came after it. Else it is nil.
+// lastRecord returns the record that was applied last to a state, if it can be derived from the
+// state: it is then the record of the current document and no record followed it. Otherwise it
+// returns nil, and the next record is packed without a dictionary.
 //
-// Without it, the first version after a start of all daemons has nothing to be packed
-// with and travels whole, and pushes of large documents run into their timeouts on narrow
-// links. That is enough, since a state whose chain ends with these bytes has them for its
-// last record, whoever encoded it; another one is packed alone.
+// Without this, the first version after a start of all daemons would have no dictionary and be sent
+// whole, and pushes of large documents would time out on slow links. The check against the chain
+// digest suffices: a state whose chain ends with these bytes has them as its last record,
+// regardless of which program encoded them.
 func lastRecord(st *fold.State) []byte {
 	d := st.Document()
 	if d == nil {
@@ -147,24 +151,24 @@
 	return data
 }
 
-// apply folds the records of a batch that are new and returns their number. On
-// errGap the batch is kept until the records before it have come. An error
-// leaves the state at the last record that could be folded.
+// apply applies the new records of a batch and returns their number. On errGap the batch is kept
+// until the records before it have arrived. After an error the state is at the last record that
+// could be applied.
 func (h *history) apply(b batch) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n, err := h.applyOne(b)
+	n, err := h.applyContiguous(b)
 	if errors.Is(err, errGap) && (h.state == nil || b.base > h.state.Offset) {
-		h.hold(b)
+		h.keepPending(b)
 	}
 	if err != nil || n == 0 {
 		return n, err
 	}
-	more, err := h.applyHeld()
+	more, err := h.applyPending()
 	return n + more, err
 }
 
-func (h *history) applyOne(b batch) (int, error) {
+func (h *history) applyContiguous(b batch) (int, error) {
 	if h.state == nil || b.base > h.state.Offset {
 		return 0, errGap
 	}
@@ -176,7 +180,7 @@
 		if r.GetOffset() <= h.state.Offset {
 			continue
 		}
-		if err := h.foldOne(r); err != nil {
+		if err := h.applyRecord(r); err != nil {
 			return n, err
 		}
 		n++
@@ -187,36 +191,36 @@
 	return n, nil
 }
 
-// checkOverlap compares a batch with the records folded already. Offsets alone
-// would let in the records of a log that lost its end and was written anew:
-// two daemons would then run different contracts under the same version.
+// checkOverlap compares a batch with the records applied already. A comparison of offsets alone
+// would accept records of a log that lost its end and was written again; two daemons would then
+// serve different contracts under the same version.
 func (h *history) checkOverlap(b batch) error {
 	chain, ok := h.ring.chainAt(b.base)
 	if !ok {
-		// The batch begins before what is remembered. Its end may be new, but
-		// cannot be tied to the version in force; a pull can.
+		// The batch begins before the records held. Its end may be new but cannot be verified
+		// against the current state; a pull can be.
 		if b.end() <= h.state.Offset {
 			return nil
 		}
 		return errGap
 	}
 	if chain != b.chain {
-		return errors.Wrapf(errDiverged, "digest at %d", b.base)
+		return errors.Wrapf(errDiverged, "chain digest at offset %d", b.base)
 	}
 	for _, r := range b.records {
-		if e := h.ring.at(r.GetOffset()); e != nil && !bytes.Equal(e.record.GetData(), r.GetData()) {
-			return errors.Wrapf(errDiverged, "record %d", r.GetOffset())
+		if e := h.ring.entry(r.GetOffset()); e != nil && !bytes.Equal(e.record.GetData(), r.GetData()) {
+			return errors.Wrapf(errDiverged, "record at offset %d", r.GetOffset())
 		}
 	}
 	return nil
 }
 
-func (h *history) foldOne(r *configpb.SequencedRecord) error {
+func (h *history) applyRecord(r *configpb.SequencedRecord) error {
 	st, verdict, err := fold.Apply(h.state, r.GetOffset(), r.GetData())
 	if err != nil {
 		var unknown *fold.UnknownRuleError
 		if errors.As(err, &unknown) {
-			h.unknownRule = unknown.Offset
+			h.unknownRuleOffset = unknown.Offset
 		}
 		return err
 	}
@@ -228,58 +232,59 @@
 	return nil
 }
 
-// hold keeps a batch that came too early; pushes over different streams may
-// overtake one another.
-func (h *history) hold(b batch) {
-	if b.bytes() > maxHeldBytes {
+// keepPending keeps a batch that arrived before the records it follows. Pushes over different
+// streams may arrive out of order.
+func (h *history) keepPending(b batch) {
+	if b.bytes() > maxPendingBatchBytes {
 		return
 	}
-	if len(h.held) == maxHeld {
-		h.held = h.held[1:]
+	if len(h.pending) == maxPendingBatches {
+		h.pending = h.pending[1:]
 	}
-	h.held = append(h.held, b)
+	h.pending = append(h.pending, b)
 }
 
-// applyHeld folds the held batches whose turn has come and drops those passed by.
-func (h *history) applyHeld() (int, error) {
+// applyPending applies the pending batches that have become contiguous and drops those that are
+// already applied.
+func (h *history) applyPending() (int, error) {
 	total := 0
 	for again := true; again; {
 		again = false
-		kept := h.held[:0]
-		for _, b := range h.held {
+		kept := h.pending[:0]
+		for _, b := range h.pending {
 			if b.base > h.state.Offset {
 				kept = append(kept, b)
 				continue
 			}
-			n, err := h.applyOne(b)
+			n, err := h.applyContiguous(b)
 			total += n
 			again = again || n > 0
 			if err != nil && !errors.Is(err, errGap) {
-				h.held = nil
+				h.pending = nil
 				return total, err
 			}
 		}
-		h.held = kept
+		h.pending = kept
 	}
 	return total, nil
 }
 
-// chainAt returns the digest at an offset, if it is remembered.
+// chainAt returns the chain digest at an offset; ok is false if it is not held.
 func (h *history) chainAt(offset uint64) (fold.Chain, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ring.chainAt(offset)
 }
 
-// recordAt returns a folded record, if it is known.
+// recordAt returns the record at an offset if it is known.
 func (h *history) recordAt(offset uint64) ([]byte, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.ring.dictionary(offset)
 }
 
-// after returns the records that follow an offset, at most maxBytes of them;
-// ok is false where they are not all remembered.
+// after returns the records that follow an offset, limited to maxBytes; ok is false if they are not
+// all held.
 func (h *history) after(offset uint64, maxBytes int) (b batch, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/spread/history_test.go
+++ b/spread/history_test.go
@@ -18,15 +18,15 @@
 	for i, d := range data {
 		records[i] = eventlog.Record{Offset: offset + uint64(i), Data: d}
 	}
-	return sequenced(records)
+	return toSequenced(records)
 }
 
-// logOf returns records with the states after each, the empty one first.
-func logOf(t must.T, n int) ([]*configpb.SequencedRecord, []*fold.State) {
+// recordsAndStates returns n records and the states after each, with the empty state first.
+func recordsAndStates(t must.T, n int) ([]*configpb.SequencedRecord, []*fold.State) {
 	states := []*fold.State{fold.Empty()}
 	var data [][]byte
 	for i := range n {
-		d, err := fold.EncodeRecord(change(fmt.Sprint(i), uint64(i)).GetBundle())
+		d, err := fold.EncodeRecord(contractChange(fmt.Sprint(i), uint64(i)).GetBundle())
 		must.NoError(t, err)
 		st, _, err := fold.Apply(states[i], uint64(i+1), d)
 		must.NoError(t, err)
@@ -35,11 +35,11 @@
 	return sequencedFrom(1, data...), states
 }
 
-// Batches cut anywhere, in any order and any number of times, with whole states
-// in between, give the same state as the log in order, and no version falls.
-func TestAnyOrderFoldsTheSame(t *testing.T) {
+// Batches with any bounds, in any order and repeated, with whole states in between, must give the
+// same state as the log in order, and the offset must never decrease.
+func TestBatchOrderDoesNotAffectState(t *testing.T) {
 	const n = 12
-	records, states := logOf(t, n)
+	records, states := recordsAndStates(t, n)
 	rapid.Check(t, func(t *rapid.T) {
 		last := -1
 		h := history{onState: func(st *fold.State) {
@@ -47,12 +47,12 @@
 			must.Eq(t, states[st.Offset].Chain, st.Chain)
 			last = int(st.Offset)
 		}, onRejected: func(fold.Verdict, int) {}}
-		h.adopt(states[0])
+		h.install(states[0])
 		for range rapid.IntRange(0, 40).Draw(t, "batches") {
 			from := rapid.IntRange(0, n).Draw(t, "from")
 			to := rapid.IntRange(from, n).Draw(t, "to")
 			if rapid.IntRange(0, 9).Draw(t, "whole state") == 0 {
-				h.adopt(states[to])
+				h.install(states[to])
 				continue
 			}
 			_, err := h.apply(batch{base: uint64(from), chain: states[from].Chain, records: records[from:to]})
@@ -63,11 +63,11 @@
 			must.NoError(t, err)
 		}
 		must.Eq(t, states[n].Chain, h.current().Chain)
-		must.Zero(t, len(h.held))
+		must.Zero(t, len(h.pending))
 	})
 }
 
-// The ring forgets the oldest records beyond its bounds and answers for the rest.
+// The ring must drop the oldest records beyond its bounds and return the rest.
 func TestRingBounds(t *testing.T) {
 	var r ring
 	const n = maxRingRecords + 10
@@ -88,10 +88,10 @@
 	must.Len(t, 2, r.entries)
 }
 
-// The record with which a daemon started packs what follows it as long as the ring
-// reaches back so far. After that it must not stand for a later one: what is packed with
-// the wrong record is refused as made up, and the others cease to follow.
-func TestRingForgetsTheRecordItBeganWith(t *testing.T) {
+// The record with which a daemon started is the dictionary for the next record as long as the ring
+// reaches back to it. Afterwards it must not be used for a later record: other daemons would refuse
+// a record packed with the wrong dictionary as malformed and stop following.
+func TestRingDropsBaseRecord(t *testing.T) {
 	var r ring
 	r.reset(7, fold.Chain{7}, []byte("7"))
 	for o := uint64(8); r.base == 7; o++ {
@@ -108,17 +108,16 @@
 	must.True(t, ok)
 }
 
-// Versions of a document follow one another whose records are larger than half of the
-// ring. Each push held the whole record, however little had changed, and so did the
-// answers to those that pulled: the ring kept the latest record alone, and there was
-// none to pack it with. More than the two are not kept.
-func TestRingKeepsTheRecordBeforeALargeOne(t *testing.T) {
+// Records are larger than half of the ring. If the ring kept only the latest one, there would be no
+// dictionary for it, and each push and answer would hold the whole record however small the change.
+// No more than two records are kept.
+func TestRingKeepsTwoLargeRecords(t *testing.T) {
 	var r ring
 	for i := range uint64(5) {
 		r.add(sequencedFrom(i+1, make([]byte, maxRingBytes*2/3))[0], fold.Chain{byte(i)})
 	}
-	must.NotNil(t, r.at(5))
-	must.NotNil(t, r.at(4))
+	must.NotNil(t, r.entry(5))
+	must.NotNil(t, r.entry(4))
 	must.Len(t, 2, r.entries)
 	must.Eq(t, 2*(maxRingBytes*2/3), r.bytes)
 	records, ok := r.after(3, maxRingBytes)
--- a/spread/options.go
+++ b/spread/options.go
@@ -12,18 +12,17 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// Mode selects how records travel from the log to all daemons.
+// Mode selects how records travel from the log to the daemons.
 type Mode uint8
 
 const (
-	// ModeTree lets a few readers of each availability zone read the log and
-	// push new records along a tree; digests and pulls mend what is missed.
+	// ModeTree has a few readers of each availability zone read the log and push new records along
+	// a tree. Daemons that miss a push find out from membership digests and pull.
 	ModeTree Mode = iota
-	// ModeDirect lets every daemon read the log. Reads at the source grow with
-	// the fleet.
+	// ModeDirect has every daemon read the log. The load on the log grows with the fleet.
 	ModeDirect
-	// ModeGossip lets a few readers read the log; all others learn of new
-	// records by membership digests and pull them.
+	// ModeGossip has a few readers of each availability zone read the log. All other daemons detect
+	// new records from membership digests and pull them.
 	ModeGossip
 )
 
@@ -35,7 +34,7 @@
 // MarshalText returns the name used in settings.
 func (m Mode) MarshalText() ([]byte, error) { return []byte(m.String()), nil }
 
-// UnmarshalText reads the name used in settings.
+// UnmarshalText parses the name used in settings.
 func (m *Mode) UnmarshalText(b []byte) error {
 	for i, name := range modeNames {
 		if name == string(b) {
@@ -43,21 +42,21 @@
 			return nil
 		}
 	}
-	return errors.Newf("spread mode %q is none of %v", b, modeNames)
+	return errors.Newf("unknown spread mode %q, must be one of %v", b, modeNames)
 }
 
-// Redundancy selects what a reader sends along its tree when the push of
-// another reader of its availability zone has reached it already.
+// Redundancy selects what a reader sends along its tree when the push of another reader of its
+// availability zone has already arrived.
 type Redundancy uint8
 
 const (
-	// RedundancyDigest sends the offset alone; a daemon that the first push
-	// missed pulls.
+	// RedundancyDigest sends only the offset; a daemon that the first push did not reach pulls the
+	// records.
 	RedundancyDigest Redundancy = iota
-	// RedundancyNone sends nothing; the digests of membership find gaps.
+	// RedundancyNone sends nothing; membership digests reveal missed pushes.
 	RedundancyNone
-	// RedundancyEager makes every reader send the records at once, without
-	// waiting for another.
+	// RedundancyEager has every reader send the records at once, without waiting for the readers
+	// ranked before it.
 	RedundancyEager
 )
 
@@ -69,7 +68,7 @@
 // MarshalText returns the name used in settings.
 func (r Redundancy) MarshalText() ([]byte, error) { return []byte(r.String()), nil }
 
-// UnmarshalText reads the name used in settings.
+// UnmarshalText parses the name used in settings.
 func (r *Redundancy) UnmarshalText(b []byte) error {
 	for i, name := range redundancyNames {
 		if name == string(b) {
@@ -77,71 +76,71 @@
 			return nil
 		}
 	}
-	return errors.Newf("spread redundancy %q is none of %v", b, redundancyNames)
+	return errors.Newf("unknown spread redundancy %q, must be one of %v", b, redundancyNames)
 }
 
-// Options configure a Spreader. Host, AvailabilityZone, Log and Peers are
-// required.
+// Options configure a Spreader. Host, AvailabilityZone, Log and Peers are required.
 type Options struct {
 	Host             string
 	AvailabilityZone string
 	Log              eventlog.Log
 	Peers            Peers
-	// LogReportsRestores is whether the log loses what it has acknowledged only by a restore from an
-	// older copy, which it tells (eventlog.RestoredError), so that it need not be asked whether
-	// it still holds the version in force.
+	// LogReportsRestores states that the log loses acknowledged records only when it is restored
+	// from an older copy, and that its reads then return eventlog.RestoredError. Such a log is not
+	// checked for whether it still holds the current version.
 	LogReportsRestores bool
 
 	Mode       Mode
 	Redundancy Redundancy
-	// ReadersPerZone daemons of each availability zone read the log.
+	// ReadersPerZone is the number of daemons of each availability zone that read the log.
 	ReadersPerZone int
-	// FanOut is how many daemons each daemon passes a push on to.
+	// FanOut is the number of daemons to which each daemon forwards a push.
 	FanOut int
 
-	// ReadWait is how long a read at the log waits for new records.
+	// ReadWait is how long a read from the log waits for new records.
 	ReadWait time.Duration
-	// OwnReadAfter is how long a daemon that is no reader hears of no offset
-	// before it reads the log itself. The time is jittered by half either way
-	// and is also the least between two such reads. Membership lets a daemon
-	// hear others about twice in a probe interval, so a few of these are
-	// enough for reads to stay away but from a daemon cut off from all peers.
+	// OwnReadAfter is how long a daemon that is not a reader receives no offset from other daemons
+	// before it reads the log itself. The time is jittered by up to half either way and is also the
+	// minimum between two such reads. Membership delivers an offset about twice per probe interval,
+	// so a few probe intervals are enough to keep all daemons but an isolated one from reading the
+	// log.
 	OwnReadAfter time.Duration
-	// Debounce is the least time between two pushes of one root, so that a
-	// burst travels in a few batches.
+	// Debounce is the minimum time between two pushes of one root, so that a burst of records is
+	// sent in a few batches.
 	Debounce time.Duration
-	// BackupDelay is how long each reader waits for the push of the one before
-	// it in rank, and how long a root waits before it tells other availability
-	// zones, which as a rule have read the log themselves by then.
+	// BackupDelay is how long each reader waits for the push of the reader ranked before it, and
+	// how long a root waits before it hands its offset off to other availability zones. Those have
+	// usually read the log themselves by then.
 	BackupDelay time.Duration
-	// PullDelay is the most that a daemon waits, with full jitter, before it
-	// pulls what a digest told of; as a rule the push arrives first.
+	// PullDelay is the maximum wait, with full jitter, before a daemon pulls records announced by a
+	// digest. The push usually arrives first.
 	PullDelay time.Duration
-	// PushTimeout bounds the wait for one acknowledgement, PullTimeout that for
-	// one answer.
+	// PushTimeout bounds the wait for one acknowledgment, not counting the transfer time of large
+	// pushes. PullTimeout bounds the wait for one answer to a pull.
 	PushTimeout, PullTimeout time.Duration
 
-	// Floor returns the highest offset that a host was heard to have in force;
-	// it is told to daemons that pull.
+	// Floor returns the highest offset that a host was ever reported to have applied, 0 if unknown.
+	// It is included in answers to pulls, so that a restarted host can tell from which version on
+	// it may resume.
 	Floor func(host string) uint64
-	// LoadCheckpoint returns the newest state kept in the platform's
-	// checkpoints. It is asked when the log no longer retains the next record, or was
-	// restored from an older copy.
+	// LoadCheckpoint returns the newest state stored in the platform's checkpoints, nil if there is
+	// none. It is called when the log no longer retains the next record, or was restored from an
+	// older copy. It is optional.
 	LoadCheckpoint func(ctx context.Context) (*fold.State, error)
-	// OnState is called with each new state, in order of offset. It must
-	// return quickly and must not call the Spreader.
+	// OnState is called with each new state, in order of offset. It must return quickly and must
+	// not call the Spreader.
 	OnState func(*fold.State)
-	// OnStatus is called when the status changes, under the same terms.
+	// OnStatus is called when the status changes, with the same restrictions as OnState.
 	OnStatus func(Status)
 
-	// Rand returns numbers in [0, 1) for jitter.
+	// Rand returns random numbers in [0, 1) for jitter.
 	Rand   func() float64
 	Meter  Meter
 	Logger *slog.Logger
 }
 
-// DefaultOptions suit a fleet of about a thousand daemons in a few availability
-// zones.
+// DefaultOptions returns options for a fleet of about a thousand daemons in a few availability
+// zones, without the required fields.
 func DefaultOptions() Options {
 	return Options{
 		ReadersPerZone: 2,
@@ -162,25 +161,25 @@
 	}
 }
 
-// Meter counts what spreading costs. Implementations are safe for concurrent
-// use.
+// Meter records metrics of configuration distribution. Implementations are safe for concurrent use.
 type Meter interface {
-	// LogRead counts one read at the log with what it brought.
+	// LogRead counts one read from the log with the number of records and bytes received.
 	LogRead(records, bytes int, err error)
-	// Pushed counts one push to one daemon; digest tells that it held no
+	// Pushed counts one push to one daemon. digest is set if the push held an offset but no
 	// records.
 	Pushed(digest bool, err error)
-	// Pulled counts one pull from another daemon.
+	// Pulled counts one pull from another daemon with the number of records by which it advanced.
 	Pulled(records int, err error)
-	// Applied counts records that were folded, the rejected ones too.
+	// Applied counts applied records, including rejected ones.
 	Applied(records int)
-	// Rejected counts one record that was folded and changed nothing.
+	// Rejected counts one record that advanced the offset but was rejected and changed nothing
+	// else.
 	Rejected()
-	// Restored counts the times that this daemon found the log restored from an older copy.
+	// Restored counts one detection of a log that was restored from an older copy.
 	Restored()
 }
 
-// NoMeter counts nothing.
+// NoMeter is a Meter that discards everything.
 type NoMeter struct{}
 
 // LogRead does nothing.
--- a/spread/pack.go
+++ b/spread/pack.go
@@ -14,33 +14,34 @@
 )
 
 const (
-	// packFrom is the least size of a batch or state that is packed, in bytes. Below
-	// it a push is one or two packets anyway, and an encoder costs 5 MB of garbage.
-	packFrom = 4 << 10
-	// packHardFrom is the size of a record, in bytes, above which one with a dictionary
-	// is packed at zstd's default level. The fastest finds ever less of the record before:
-	// the change of one of 16,384 routes (1 MB) took 159,999 bytes, 0.26 s of a link of
-	// 5 Mbit/s; of 10,000 (632 kB) 2,345 bytes, of 8,000 (505 kB) 886. The default level
-	// takes 208, 104 and 90 bytes, for up to 3.5 ms and 6 MB of garbage more, once for all
-	// daemons (packFrame at either level, best of 7 runs). Without a dictionary it takes
-	// up to twice the time for no fewer bytes.
-	packHardFrom = 512 << 10
-	// maxUnpacked bounds what one frame may grow to, in bytes. It is that of a message
-	// between daemons, so that what may travel plain may travel packed: a state has a
-	// document of up to fold.MaxDocumentBytes (4 MB) beside up to fold.MaxResourceBytes.
-	maxUnpacked = peer.MaxMessageBytes
-	// dictionaryID marks a frame that needs the record before it; zstd keeps 0 for
-	// frames without a dictionary.
+	// minPackBytes is the minimum size of a batch or state that is packed, in bytes. A smaller push
+	// takes only one or two packets anyway, and an encoder allocates 5 MB.
+	minPackBytes = 4 << 10
+	// minDefaultLevelBytes is the size of a record, in bytes, above which it is packed at zstd's
+	// default level if it has a dictionary. The larger the record, the fewer matches the fastest
+	// level finds in the dictionary: a change of one route takes 886 bytes among 8,000 routes (505
+	// kB), 2,345 bytes among 10,000 (632 kB) and 159,999 bytes, or 0.26 s of a link of 5 Mbit/s,
+	// among 16,384 (1 MB). The default level takes 90, 104 and 208 bytes, for up to 3.5 ms and 6 MB
+	// of allocations more, once for all daemons. Without a dictionary it takes up to twice the time
+	// and saves no bytes.
+	minDefaultLevelBytes = 512 << 10
+	// maxUnpackedBytes limits the unpacked size of one frame, in bytes. It equals the limit of a
+	// message between daemons, so that everything that may be sent plain may be sent packed: a
+	// state holds a document of up to fold.MaxDocumentBytes (4 MB) and up to fold.MaxResourceBytes
+	// besides.
+	maxUnpackedBytes = peer.MaxMessageBytes
+	// dictionaryID marks a frame that needs the preceding record as its dictionary; zstd reserves 0
+	// for frames without a dictionary.
 	dictionaryID = 1
 )
 
-// errNoDictionary means that a packed record needs one that is not at hand.
-var errNoDictionary = errors.New("record before a packed one is not at hand")
+// errNoDictionary means that the record needed to unpack the next one is not known.
+var errNoDictionary = errors.New("record needed to unpack the next one is not known")
 
-// packFrame returns data as a zstd frame, with the record before it as dictionary
-// unless that is nil. A document of 3,000 routes (143 kB) of which one has changed
-// takes 0.1 kB with it and 37 kB without. On links of 5 Mbit/s the whole documents of
-// a series of versions leave callers' requests no room for seconds.
+// packFrame returns data as a zstd frame, with the preceding record as dictionary unless before is
+// nil. A document of 3,000 routes (143 kB) in which one route has changed takes 0.1 kB with the
+// dictionary and 37 kB without. On links of 5 Mbit/s, a series of versions sent as whole documents
+// leaves no bandwidth for callers' requests for seconds.
 func packFrame(before, data []byte) ([]byte, error) {
 	opts := []zstd.EOption{
 		zstd.WithEncoderLevel(packLevel(before, data)), zstd.WithEncoderConcurrency(1), zstd.WithLowerEncoderMem(true),
@@ -55,19 +56,19 @@
 	return e.EncodeAll(data, nil), errors.Wrap(e.Close(), "pack")
 }
 
-// packLevel returns how hard to look for what data has in common with before.
+// packLevel returns the compression level for data with before as the dictionary.
 func packLevel(before, data []byte) zstd.EncoderLevel {
-	if before != nil && len(data) > packHardFrom {
+	if before != nil && len(data) > minDefaultLevelBytes {
 		return zstd.SpeedDefault
 	}
 	return zstd.SpeedFastest
 }
 
-// unpackFrame is the inverse of packFrame. The error is errMalformed; a frame packed
-// with another dictionary fails its checksum.
+// unpackFrame is the inverse of packFrame. The error is marked errMalformed if the frame cannot be
+// decoded; a frame packed with a different dictionary fails its checksum.
 func unpackFrame(before, frame []byte) ([]byte, error) {
 	opts := []zstd.DOption{
-		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpacked),
+		zstd.WithDecoderConcurrency(1), zstd.WithDecoderLowmem(true), zstd.WithDecoderMaxMemory(maxUnpackedBytes),
 	}
 	if before != nil {
 		opts = append(opts, zstd.WithDecoderDictRaw(dictionaryID, before))
@@ -84,33 +85,34 @@
 	return data, nil
 }
 
-// pack returns the records of a batch packed, each with the one before it as its
-// dictionary. alone keeps the first from needing one.
+// pack returns the records of a batch packed, each with the preceding record as dictionary. If
+// alone is set, the first record is packed without a dictionary.
 func (h *history) pack(b batch, alone bool) ([]*peerpb.PackedRecord, error) {
-	before, held := h.recordAt(b.base)
+	before, known := h.recordAt(b.base)
 	out := make([]*peerpb.PackedRecord, 0, len(b.records))
 	for i, r := range b.records {
-		single := i == 0 && (alone || !held)
-		if single {
+		withoutDictionary := i == 0 && (alone || !known)
+		if withoutDictionary {
 			before = nil
 		}
-		frame, err := h.frame(r, before, single)
+		frame, err := h.frame(r, before, withoutDictionary)
 		if err != nil {
 			return nil, err
 		}
-		out = append(out, &peerpb.PackedRecord{Offset: r.GetOffset(), Frame: frame, Alone: single})
+		out = append(out, &peerpb.PackedRecord{Offset: r.GetOffset(), Frame: frame, Alone: withoutDictionary})
 		before = r.GetData()
 	}
 	return out, nil
 }
 
-// frame packs one record, once for all daemons that ask for it.
+// frame returns one record packed. The result is cached, so a record is usually packed once for all
+// daemons.
 func (h *history) frame(r *configpb.SequencedRecord, before []byte, alone bool) ([]byte, error) {
 	h.mu.Lock()
-	kept := h.ring.frame(r.GetOffset(), alone)
-	if kept != nil && *kept != nil {
+	slot := h.ring.packedSlot(r.GetOffset(), alone)
+	if slot != nil && *slot != nil {
 		defer h.mu.Unlock()
-		return *kept, nil
+		return *slot, nil
 	}
 	h.mu.Unlock()
 	frame, err := packFrame(before, r.GetData())
@@ -119,23 +121,23 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// The record may have been dropped meanwhile.
-	if kept := h.ring.frame(r.GetOffset(), alone); kept != nil {
-		*kept = frame
+	// The ring may have dropped the record in the meantime.
+	if slot := h.ring.packedSlot(r.GetOffset(), alone); slot != nil {
+		*slot = frame
 	}
 	return frame, nil
 }
 
-// unpack returns the records that were packed after an offset. The error is
-// errNoDictionary where the first needs a record that is not remembered.
+// unpack returns the records that were packed after offset base. The error is errNoDictionary if
+// the first one needs a record that is not known.
 func (h *history) unpack(base uint64, packed []*peerpb.PackedRecord) ([]*configpb.SequencedRecord, error) {
-	before, held := h.recordAt(base)
+	before, known := h.recordAt(base)
 	out := make([]*configpb.SequencedRecord, 0, len(packed))
 	for _, p := range packed {
 		switch {
 		case p.GetAlone():
 			before = nil
-		case !held:
+		case !known:
 			return nil, errNoDictionary
 		}
 		data, err := unpackFrame(before, p.GetFrame())
@@ -143,32 +145,31 @@
 			return nil, err
 		}
 		out = append(out, &configpb.SequencedRecord{Offset: p.GetOffset(), Data: data})
-		before, held = data, true
+		before, known = data, true
 	}
 	return out, nil
 }
 
-// packedState keeps the packed form of the latest state that was asked for. When all
-// daemons of a fleet start, up to maxServedPulls ask for the same one at once: packed for
-// each, one of 4,000 routes took 5.3 MB of garbage and 3.7 ms a piece; from the kept form
-// an answer takes 0.2 kB and 0.2 us (benchmark of servePull).
-type packedState struct {
+// packedStateCache caches the packed form of the latest requested state. When all daemons of a
+// fleet start, up to maxServedPulls request the same state at once. Packing a state of 4,000 routes
+// allocates 5.3 MB and takes 3.7 ms; an answer from the cache allocates 0.2 kB and takes 0.2 us.
+type packedStateCache struct {
 	mu     sync.Mutex
 	offset uint64
 	frame  []byte
 }
 
-// of returns a state packed, nil if it is too small for that. Those that ask meanwhile
-// wait for the one form.
-func (p *packedState) of(st *fold.State) ([]byte, error) {
+// get returns a state packed, or nil if it is too small to be packed. Concurrent calls wait for one
+// result.
+func (p *packedStateCache) get(st *fold.State) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// A daemon has one state at an offset: history never goes back.
+	// The offset is the cache key, as history never goes back to an earlier offset.
 	if p.frame != nil && p.offset == st.Offset {
 		return p.frame, nil
 	}
 	state := st.Encode()
-	if proto.Size(state) < packFrom {
+	if proto.Size(state) < minPackBytes {
 		return nil, nil
 	}
 	frame, err := packState(state)
@@ -179,7 +180,7 @@
 	return frame, nil
 }
 
-// packState returns a state as packed bytes.
+// packState returns an encoded state packed without a dictionary.
 func packState(st *configpb.State) ([]byte, error) {
 	data, err := proto.Marshal(st)
 	if err != nil {
--- a/spread/pack_test.go
+++ b/spread/pack_test.go
@@ -18,9 +18,9 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// document returns version v of a document of many routes, of which each version
+// documentRecord returns the record of a version of a documentRecord with many routes, of which each version
 // changes one.
-func document(t testing.TB, v uint64, routes int) []byte {
+func documentRecord(t testing.TB, v uint64, routes int) []byte {
 	t.Helper()
 	names := rand.New(rand.NewPCG(7, 7))
 	d := &configpb.Document{Version: v, Services: []*configpb.DocumentService{{Name: "signs"}}}
@@ -40,46 +40,46 @@
 	return data
 }
 
-// An operator publishes versions of a large document in quick succession. Callers
-// wait for seconds: on links of 5 Mbit/s the documents leave their requests no room.
-// Only the first travels whole; each later one costs a daemon less than a
-// fiftieth of its size. Sent as it is, the first alone took 0.9 of its size a daemon.
-func TestLargeDocumentsTravelAsChanges(t *testing.T) {
+// Versions of a large document are published in quick succession. Sent whole over links of 5
+// Mbit/s, they would leave no bandwidth for callers' requests for seconds. Only the first version
+// may be sent whole, packed; each later one must cost a daemon less than a fiftieth of the
+// document's size. Unpacked, the first version took 0.9 of its size per daemon.
+func TestLargeDocumentsAreSentAsDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 40, 4, nil)
 		f.run()
-		first := document(t, 1, 800)
+		first := documentRecord(t, 1, 800)
 		f.publish(first)
 		f.await(1, 2*time.Second)
-		must.Less(t, int64(len(first))*30, f.traffic.bytes.Swap(0), must.Sprint("packed by itself"))
+		must.Less(t, int64(len(first))*30, f.traffic.bytes.Swap(0), must.Sprint("the first version must be packed without a dictionary"))
 		for v := uint64(2); v <= 11; v++ {
-			f.publish(document(t, v, 800))
+			f.publish(documentRecord(t, v, 800))
 			time.Sleep(300 * time.Millisecond)
 		}
 		f.await(11, 2*time.Second)
 		perVersion := f.traffic.bytes.Load() / 10 / 40
-		t.Logf("%d bytes a version and daemon, the document has %d", perVersion, len(first))
+		t.Logf("%d bytes per version and daemon, the document has %d", perVersion, len(first))
 		must.Less(t, int64(len(first))/50, perVersion)
 	})
 }
 
-// A daemon misses a push and gets the next, which is packed with what it missed. It
-// passes that on, folds nothing made up, and pulls both.
-func TestPackedPushBeyondAGap(t *testing.T) {
+// A daemon misses a push and then receives the next one, which is packed with the missed record as
+// dictionary. It must not apply anything wrong, and must pull both records.
+func TestPackedPushAfterMissedPush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 1, func(o *Options) { o.OwnReadAfter = time.Hour })
-		f.quiet = true
+		f.noProbes = true
 		ahead, behind := f.nodes[0], f.nodes[1]
 		f.setViews()
 		ahead.InstallState(fold.Empty())
 		behind.run()
 		for v := uint64(1); v <= 3; v++ {
-			must.NoError(t, ahead.foldNext(document(t, v, 100)))
+			must.NoError(t, ahead.applyNext(documentRecord(t, v, 100)))
 		}
 		b, ok := ahead.history.after(2, maxBatchBytes)
 		must.True(t, ok)
 		m := &peerpb.Push{Base: b.base, BaseChain: b.chain[:], Root: "host-0", Source: encodeAddr(ahead.member.PeerAddr)}
-		m.Records, m.Packed = ahead.wireForm(b, false)
+		m.Records, m.Packed = ahead.encodeBatch(b, false)
 		must.Len(t, 1, m.GetPacked())
 		must.NoError(t, behind.servePush(m, func(*peerpb.PushAck) error { return nil }))
 		must.Eq(t, 0, behind.inForce.Load())
@@ -88,13 +88,13 @@
 	})
 }
 
-// Bytes on a link are damaged, or made up. The push is refused, and what was in force
-// stays.
-func TestDamagedPackedPush(t *testing.T) {
-	s, relayed := lone(t)
+// A packed push arrives corrupted. It must be refused without a relay, and the state must stay as
+// it was.
+func TestCorruptedPackedPushIsRefused(t *testing.T) {
+	s, relayed := newCounted(t)
 	s.InstallState(fold.Empty())
 	before := s.State()
-	frame, err := packFrame(nil, document(t, 1, 100))
+	frame, err := packFrame(nil, documentRecord(t, 1, 100))
 	must.NoError(t, err)
 	frame[len(frame)/2] ^= 1
 	var ack *peerpb.PushAck
@@ -105,12 +105,12 @@
 	must.Eq(t, 0, relayed.Load())
 }
 
-// A daemon of an older program pulls: it does not say that it takes packed records and
-// gets them as they are. It takes a packed push for a digest.
-func TestOlderProgramsGetPlainRecords(t *testing.T) {
-	s, _ := lone(t)
+// A daemon of an older program does not set takes_packed in its pull and must receive plain
+// records. It treats a packed push as a digest.
+func TestOlderProgramsReceivePlainRecords(t *testing.T) {
+	s, _ := newCounted(t)
 	s.InstallState(fold.Empty())
-	must.NoError(t, s.foldNext(document(t, 1, 100)))
+	must.NoError(t, s.applyNext(documentRecord(t, 1, 100)))
 	must.Len(t, 1, s.servePull(&peerpb.Pull{}).GetRecords())
 	must.NotNil(t, s.servePull(&peerpb.Pull{WholeState: true}).GetState())
 	packed := s.servePull(&peerpb.Pull{TakesPacked: true})
@@ -121,25 +121,24 @@
 	must.True(t, proto.Equal(state, s.State().Encode()))
 }
 
-// Many daemons start at once and ask one for its whole state. That host runs short of
-// memory while it serves callers: each answer was packed anew, with 5.3 MB of garbage for
-// 4,000 routes, and 16 are answered at once. The answers share what was packed, until
-// another version is in force.
-func TestPackedStateIsKept(t *testing.T) {
-	s, _ := lone(t)
-	s.InstallState(startedWith(t, 7, document(t, 1, 100)))
+// Many daemons start at once and request the whole state from one. If each answer were packed anew,
+// with 5.3 MB of allocations for 4,000 routes and 16 concurrent answers, that host would run short
+// of memory. The answers must share one packed form until the version changes.
+func TestPackedStateIsCached(t *testing.T) {
+	s, _ := newCounted(t)
+	s.InstallState(recoveredState(t, 7, documentRecord(t, 1, 100)))
 	ask := func() []byte {
 		return s.servePull(&peerpb.Pull{WholeState: true, TakesPacked: true}).GetPackedState()
 	}
 	first, second := ask(), ask()
-	must.True(t, &first[0] == &second[0], must.Sprint("packed anew"))
-	must.NoError(t, s.foldNext(document(t, 2, 100)))
+	must.True(t, &first[0] == &second[0], must.Sprint("the state was packed again"))
+	must.NoError(t, s.applyNext(documentRecord(t, 2, 100)))
 	st, err := unpackState(ask())
 	must.NoError(t, err)
 	must.True(t, proto.Equal(st, s.State().Encode()))
 }
 
-// What was packed comes out the same, with and without the record before.
+// Packed data must be unchanged after unpacking, with and without a dictionary.
 func TestFramesRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		before := rapid.SliceOfN(rapid.Byte(), 8, 4096).Draw(t, "before")
@@ -154,13 +153,12 @@
 	})
 }
 
-// One route changes in a document of 16,384 routes. Callers' requests wait: the push takes
-// 159,999 bytes, which occupy a link of 5 Mbit/s for 0.26 s. The packer's fastest level
-// remembers too few places of the record before to find what is the same in so large a
-// one; at 10,000 routes the push took 2,345 bytes, at 4,000 it took 220.
-func TestSmallChangeOfALargeDocumentIsSmall(t *testing.T) {
+// One route changes in a document of 16,384 routes. At zstd's fastest level the push takes 159,999
+// bytes, which occupy a link of 5 Mbit/s for 0.26 s, because that level indexes too few positions
+// of a large dictionary. It takes 2,345 bytes at 10,000 routes and 220 at 4,000.
+func TestSmallChangeOfLargeDocumentPacksSmall(t *testing.T) {
 	for _, routes := range []int{4_000, 10_000, 16_384} {
-		before, data := document(t, 5, routes), document(t, 6, routes)
+		before, data := documentRecord(t, 5, routes), documentRecord(t, 6, routes)
 		frame, err := packFrame(before, data)
 		must.NoError(t, err)
 		t.Logf("%d routes, %d bytes: %d bytes packed", routes, len(data), len(frame))
@@ -178,16 +176,15 @@
 	must.NoError(f.t, err)
 }
 
-// foldNext folds the record that follows the version in force.
-func (s *Spreader) foldNext(data []byte) error {
+// applyNext applies the record that follows the current state.
+func (s *Spreader) applyNext(data []byte) error {
 	st := s.State()
-	_, err := s.fold(batch{base: st.Offset, chain: st.Chain, records: sequencedFrom(st.Offset+1, data)}, "test")
+	_, err := s.applyBatch(batch{base: st.Offset, chain: st.Chain, records: sequencedFrom(st.Offset+1, data)}, "test")
 	return err
 }
 
-// A daemon starts beside others and asks for their state, with the largest document that
-// the fold takes in it. What may travel between daemons must unpack, or the newcomer is
-// refused by all of them; what is larger must not fill its memory.
+// A state with the largest document must unpack, or a newly started daemon could not load it from
+// any other daemon. A larger frame must be rejected, so that it does not exhaust memory.
 func TestLargestStateUnpacks(t *testing.T) {
 	largest := make([]byte, fold.MaxDocumentBytes+fold.MaxResourceBytes)
 	frame, err := packFrame(nil, largest)
@@ -195,7 +192,7 @@
 	got, err := unpackFrame(nil, frame)
 	must.NoError(t, err)
 	must.Eq(t, len(largest), len(got))
-	frame, err = packFrame(nil, make([]byte, maxUnpacked+1))
+	frame, err = packFrame(nil, make([]byte, maxUnpackedBytes+1))
 	must.NoError(t, err)
 	_, err = unpackFrame(nil, frame)
 	must.True(t, errors.Is(err, errMalformed))
--- a/spread/peers.go
+++ b/spread/peers.go
@@ -11,47 +11,47 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// Peers reaches other daemons.
+// Peers sends requests to other daemons.
 type Peers interface {
-	// Push passes records on and returns the acknowledgement.
+	// Push sends a push and returns the acknowledgment.
 	Push(ctx context.Context, addr netip.AddrPort, m *peerpb.Push) (*peerpb.PushAck, error)
-	// Pull asks for what follows an offset.
+	// Pull requests the records that follow an offset.
 	Pull(ctx context.Context, addr netip.AddrPort, m *peerpb.Pull) (*peerpb.PullAnswer, error)
 }
 
-// exchangeTimeout bounds how long a daemon that began an exchange may take
-// over its part.
+// exchangeTimeout bounds receiving the request and sending the reply on a stream that another
+// daemon opened.
 const exchangeTimeout = 5 * time.Second
 
-// PoolPeers reaches daemons over a pool of sessions.
+// PoolPeers implements Peers over a pool of sessions.
 //
-// The pool must not be shared with callers' requests: a session on which an
-// answer is overdue is dropped, because something between the ends may have
-// lost track of it while new ones work, and a drop ends all its streams.
+// The pool must not be shared with callers' requests: a session on which an answer is overdue is
+// closed, which ends all its streams. A middlebox on the path may have lost the state of that
+// connection while new connections still work.
 type PoolPeers struct {
 	pool *peer.Pool
 }
 
-// NewPoolPeers returns Peers over a pool.
+// NewPoolPeers returns Peers that use the sessions of a pool.
 func NewPoolPeers(pool *peer.Pool) *PoolPeers { return &PoolPeers{pool: pool} }
 
 // Push implements Peers.
 func (p *PoolPeers) Push(ctx context.Context, addr netip.AddrPort, m *peerpb.Push) (*peerpb.PushAck, error) {
 	ack := &peerpb.PushAck{}
 	err := p.pool.Call(ctx, addr, peerpb.Kind_KIND_PUSH, m, ack)
-	return ack, p.dropSilent(addr, err)
+	return ack, p.dropOnTimeout(addr, err)
 }
 
 // Pull implements Peers.
 func (p *PoolPeers) Pull(ctx context.Context, addr netip.AddrPort, m *peerpb.Pull) (*peerpb.PullAnswer, error) {
 	answer := &peerpb.PullAnswer{}
 	err := p.pool.Call(ctx, addr, peerpb.Kind_KIND_PULL, m, answer)
-	return answer, p.dropSilent(addr, err)
+	return answer, p.dropOnTimeout(addr, err)
 }
 
-// dropSilent closes the session to a daemon that did not answer in time. A
-// session gone silent would otherwise fail every later exchange, too.
-func (p *PoolPeers) dropSilent(addr netip.AddrPort, err error) error {
+// dropOnTimeout closes the session to a daemon that did not answer in time, since every later
+// exchange on a dead session would fail as well. It returns err unchanged.
+func (p *PoolPeers) dropOnTimeout(addr netip.AddrPort, err error) error {
 	if errors.Is(err, context.DeadlineExceeded) {
 		p.pool.Drop(addr)
 	}
--- a/spread/pull.go
+++ b/spread/pull.go
@@ -17,101 +17,100 @@
 )
 
 const (
-	// maxCandidates bounds the daemons remembered to pull from.
-	maxCandidates = 4
-	// maxServedPulls bounds the pulls answered at once; a state takes its
-	// bytes a few times over while it is encoded.
+	// maxPullCandidates limits the number of daemons remembered to pull from.
+	maxPullCandidates = 4
+	// maxServedPulls limits the pulls answered concurrently; encoding a state temporarily takes a
+	// few times its size in memory.
 	maxServedPulls = 16
-	// pullsBeforeRead is after how many pulls without progress a daemon that
+	// pullsBeforeRead is the number of consecutive pulls without progress after which a daemon that
 	// is behind reads the log itself.
 	pullsBeforeRead = 3
-	// anywhereTries is how many daemons are asked for what the log has dropped.
-	anywhereTries = 3
+	// maxZonePulls is the number of daemons asked for records that the log no longer retains.
+	maxZonePulls = 3
 )
 
-// errNoProgress means that a pull brought nothing new.
-var errNoProgress = errors.New("pull brought nothing new")
+// errNoProgress means that a pull did not advance the state.
+var errNoProgress = errors.New("pull returned nothing new")
 
-// candidate is a daemon heard to be ahead.
-type candidate struct {
+// pullCandidate is a daemon reported to be ahead, with its reported offset.
+type pullCandidate struct {
 	addr   netip.AddrPort
 	offset uint64
 }
 
-// noteAhead remembers a daemon to pull from if it is ahead.
-func (s *Spreader) noteAhead(addr netip.AddrPort, offset uint64) {
+// addPullCandidate remembers a daemon to pull from if it is ahead.
+func (s *Spreader) addPullCandidate(addr netip.AddrPort, offset uint64) {
 	if offset <= s.history.offset() {
 		return
 	}
-	s.noteKnown(offset)
+	s.raiseKnownOffset(offset)
 	s.mu.Lock()
-	s.candidates = slices.DeleteFunc(s.candidates, func(c candidate) bool { return c.addr == addr })
-	if len(s.candidates) == maxCandidates {
-		s.candidates = s.candidates[1:]
+	s.pullCandidates = slices.DeleteFunc(s.pullCandidates, func(c pullCandidate) bool { return c.addr == addr })
+	if len(s.pullCandidates) == maxPullCandidates {
+		s.pullCandidates = s.pullCandidates[1:]
 	}
-	s.candidates = append(s.candidates, candidate{addr, offset})
+	s.pullCandidates = append(s.pullCandidates, pullCandidate{addr, offset})
 	s.mu.Unlock()
 	s.pullWake.Set()
 }
 
-// takeCandidate removes and returns the latest daemon heard to be ahead.
-func (s *Spreader) takeCandidate() (candidate, bool) {
+// takePullCandidate removes and returns the most recently reported daemon that is still ahead.
+func (s *Spreader) takePullCandidate() (pullCandidate, bool) {
 	offset := s.history.offset()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for n := len(s.candidates); n > 0; n = len(s.candidates) {
-		c := s.candidates[n-1]
-		s.candidates = s.candidates[:n-1]
+	for n := len(s.pullCandidates); n > 0; n = len(s.pullCandidates) {
+		c := s.pullCandidates[n-1]
+		s.pullCandidates = s.pullCandidates[:n-1]
 		if c.offset > offset {
 			return c, true
 		}
 	}
-	return candidate{}, false
+	return pullCandidate{}, false
 }
 
-// behind reports whether there is a record that this daemon lacks and can
-// fold.
+// behind reports whether a record exists that this daemon lacks and can apply.
 func (s *Spreader) behind() bool {
 	st := s.State()
 	return st != nil && s.Status().KnownOffset > st.Offset && !s.history.blockedAt(st.Offset)
 }
 
-// pullLoop pulls while this daemon is behind, and reads the log itself where
-// nobody can be heard or asked.
+// pullLoop pulls while this daemon is behind, and reads the log as a fallback if no other daemon is
+// in contact or pulls fail.
 func (s *Spreader) pullLoop() error {
-	w := s.newWatch()
+	w := s.newPullScheduler()
 	for s.ctx.Err() == nil {
-		w.schedule()
+		w.schedulePull()
 		timer := time.NewTimer(time.Until(w.next()))
 		select {
 		case <-s.ctx.Done():
 		case <-s.pullWake:
 		case <-timer.C:
-			w.act()
+			w.runDue()
 		}
 		timer.Stop()
 	}
 	return nil
 }
 
-// watch decides when a daemon pulls and when it reads the log itself.
-type watch struct {
+// pullScheduler decides when a daemon pulls and when it reads the log as a fallback.
+type pullScheduler struct {
 	s *Spreader
-	// pullAt is when the next pull is due, zero while not behind.
+	// pullAt is when the next pull is due, zero while the daemon is not behind.
 	pullAt time.Time
-	// quiet is how long to hear nothing before an own read.
-	quiet time.Duration
-	// nextRead is when the log may be read here out of turn again.
-	nextRead time.Time
+	// maxSilence is the time without contact after which the log is read.
+	maxSilence time.Duration
+	// nextFallbackRead is the earliest time of the next fallback read.
+	nextFallbackRead time.Time
 	failures int
 }
 
-func (s *Spreader) newWatch() *watch {
-	return &watch{s: s, quiet: s.aroundHalf(s.opts.OwnReadAfter)}
+func (s *Spreader) newPullScheduler() *pullScheduler {
+	return &pullScheduler{s: s, maxSilence: s.jitterAround(s.opts.OwnReadAfter)}
 }
 
-// schedule sets or clears the next pull.
-func (w *watch) schedule() {
+// schedulePull sets the time of the next pull, or clears it if the daemon is not behind.
+func (w *pullScheduler) schedulePull() {
 	switch {
 	case !w.s.behind():
 		w.pullAt, w.failures = time.Time{}, 0
@@ -120,47 +119,47 @@
 	}
 }
 
-// next returns when to act.
-func (w *watch) next() time.Time {
-	read := w.readAt()
+// next returns when the next pull or fallback read is due.
+func (w *pullScheduler) next() time.Time {
+	read := w.fallbackReadAt()
 	if !w.pullAt.IsZero() && w.pullAt.Before(read) {
 		return w.pullAt
 	}
 	return read
 }
 
-// readAt returns when an own read is due if nothing is heard until then.
-func (w *watch) readAt() time.Time {
+// fallbackReadAt returns when a fallback read is due unless another daemon makes contact before.
+func (w *pullScheduler) fallbackReadAt() time.Time {
 	w.s.mu.Lock()
-	at := w.s.lastHeard.Add(w.quiet)
+	at := w.s.lastContact.Add(w.maxSilence)
 	w.s.mu.Unlock()
-	if w.nextRead.After(at) {
-		return w.nextRead
+	if w.nextFallbackRead.After(at) {
+		return w.nextFallbackRead
 	}
 	return at
 }
 
-// act pulls or reads, whichever is due.
-func (w *watch) act() {
+// runDue pulls or reads, whichever is due.
+func (w *pullScheduler) runDue() {
 	now := time.Now()
 	switch {
 	case !w.pullAt.IsZero() && !now.Before(w.pullAt):
 		w.pull()
-	case !now.Before(w.readAt()):
-		w.read()
+	case !now.Before(w.fallbackReadAt()):
+		w.fallbackRead()
 	}
 }
 
-// pull asks a daemon that is ahead; after some failures the log.
-func (w *watch) pull() {
+// pull pulls from a daemon that is ahead. After pullsBeforeRead failures it also reads the log.
+func (w *pullScheduler) pull() {
 	s := w.s
 	before := s.history.offset()
-	c, ok := s.takeCandidate()
+	c, ok := s.takePullCandidate()
 	if ok {
-		s.fetch(c.addr, c.offset)
+		s.pullUntil(c.addr, c.offset)
 	}
-	if s.history.offset() == before && w.failures >= pullsBeforeRead && !time.Now().Before(w.nextRead) {
-		w.read()
+	if s.history.offset() == before && w.failures >= pullsBeforeRead && !time.Now().Before(w.nextFallbackRead) {
+		w.fallbackRead()
 	}
 	if s.history.offset() > before {
 		w.failures = 0
@@ -171,18 +170,19 @@
 	w.pullAt = time.Now().Add(s.backoff(w.failures))
 }
 
-// read reads the log out of turn. Readers do so all the time anyway.
-func (w *watch) read() {
+// fallbackRead reads the log as a fallback until it has no more records. Readers skip this because they
+// fallbackRead the log continuously.
+func (w *pullScheduler) fallbackRead() {
 	s := w.s
-	w.quiet = s.aroundHalf(s.opts.OwnReadAfter)
-	w.nextRead = time.Now().Add(w.quiet)
-	if s.reads() || s.State() == nil {
+	w.maxSilence = s.jitterAround(s.opts.OwnReadAfter)
+	w.nextFallbackRead = time.Now().Add(w.maxSilence)
+	if s.readsLog() || s.State() == nil {
 		return
 	}
 	for s.ctx.Err() == nil {
-		n, err := s.readOnce(0, ownReadSlack)
+		n, err := s.readOnce(0, fallbackReadSlack)
 		if err != nil {
-			s.opts.Logger.Debug("spread: own read failed", "error", err)
+			s.opts.Logger.Debug("spread: fallback read failed", "error", err)
 		}
 		if err != nil || n < readLimit {
 			return
@@ -190,11 +190,11 @@
 	}
 }
 
-// fetch pulls from a daemon until this one has an offset in force.
-func (s *Spreader) fetch(addr netip.AddrPort, offset uint64) {
+// pullUntil pulls from a daemon until this daemon has reached an offset or a pull fails.
+func (s *Spreader) pullUntil(addr netip.AddrPort, offset uint64) {
 	select {
-	case s.fetching <- struct{}{}:
-		defer func() { <-s.fetching }()
+	case s.pullSem <- struct{}{}:
+		defer func() { <-s.pullSem }()
 	case <-s.ctx.Done():
 		return
 	}
@@ -208,18 +208,18 @@
 	}
 }
 
-// pullAnywhere pulls from some daemons of the own availability zone and reports
-// whether this one has an offset in force then.
-func (s *Spreader) pullAnywhere(offset uint64) bool {
-	p := s.plan.Load()
-	for i := 0; p != nil && i < min(anywhereTries, len(p.tree)); i++ {
-		s.fetch(p.tree[int(s.opts.Rand()*float64(len(p.tree)))], offset)
+// pullFromZone pulls from random daemons of this daemon's availability zone and reports whether it
+// has reached an offset.
+func (s *Spreader) pullFromZone(offset uint64) bool {
+	p := s.topology.Load()
+	for i := 0; p != nil && i < min(maxZonePulls, len(p.tree)); i++ {
+		s.pullUntil(p.tree[int(s.opts.Rand()*float64(len(p.tree)))], offset)
 	}
 	return s.history.offset() >= offset
 }
 
-// pullOnce asks a daemon for what follows the version in force and returns by
-// how much that moved.
+// pullOnce pulls the records that follow the current state from a daemon and returns the number of
+// records by which the state advanced.
 func (s *Spreader) pullOnce(addr netip.AddrPort) (int, error) {
 	st := s.State()
 	if st == nil {
@@ -227,18 +227,18 @@
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, s.opts.PullTimeout)
 	defer cancel()
-	_, held := s.history.recordAt(st.Offset)
+	_, holdsRecord := s.history.recordAt(st.Offset)
 	answer, err := s.opts.Peers.Pull(ctx, addr, &peerpb.Pull{
-		Offset: st.Offset, Chain: st.Chain[:], Host: s.opts.Host, TakesPacked: true, HoldsRecord: held,
+		Offset: st.Offset, Chain: st.Chain[:], Host: s.opts.Host, TakesPacked: true, HoldsRecord: holdsRecord,
 	})
 	if err != nil {
 		return 0, err
 	}
 	if answer.GetDiverged() {
-		s.setFoldStuck(fmt.Sprintf("%v at %d; %s has others", errDiverged, st.Offset, addr))
+		s.setApplyStuck(fmt.Sprintf("%v at offset %d; %s has different records", errDiverged, st.Offset, addr))
 		return 0, errDiverged
 	}
-	if err := s.takeAnswer(st, addr, answer); err != nil {
+	if err := s.applyAnswer(st, addr, answer); err != nil {
 		return 0, err
 	}
 	if s.history.offset() == st.Offset {
@@ -247,8 +247,8 @@
 	return int(eventlog.Between(st.Offset, s.history.offset())), nil
 }
 
-// takeAnswer puts in force what a pull brought.
-func (s *Spreader) takeAnswer(asked *fold.State, addr netip.AddrPort, answer *peerpb.PullAnswer) error {
+// applyAnswer applies the state or records of an answer to a pull.
+func (s *Spreader) applyAnswer(asked *fold.State, addr netip.AddrPort, answer *peerpb.PullAnswer) error {
 	m, err := StateOf(answer)
 	if err != nil {
 		return err
@@ -257,7 +257,7 @@
 		st, err := fold.Decode(m)
 		var unknown *fold.UnknownRuleError
 		if errors.As(err, &unknown) {
-			s.setFoldStuck(unknown.Error())
+			s.setApplyStuck(unknown.Error())
 		}
 		if err == nil {
 			s.InstallState(st)
@@ -273,13 +273,14 @@
 		return err
 	}
 	if b.base != asked.Offset {
-		return errors.Wrapf(errMalformed, "asked for what follows %d, got what follows %d", asked.Offset, b.base)
+		return errors.Wrapf(errMalformed, "requested the records after offset %d, received those after offset %d", asked.Offset, b.base)
 	}
-	_, err = s.fold(b, addr.String())
+	_, err = s.applyBatch(b, addr.String())
 	return err
 }
 
-// StateOf returns the whole state of an answer, packed or not, nil if it has none.
+// StateOf returns the whole state of an answer, unpacked if necessary, or nil if the answer has
+// none.
 func StateOf(a *peerpb.PullAnswer) (*configpb.State, error) {
 	if len(a.GetPackedState()) == 0 {
 		return a.GetState(), nil
@@ -287,7 +288,7 @@
 	return unpackState(a.GetPackedState())
 }
 
-// recordsOf returns the records of an answer, packed or not.
+// recordsOf returns the records of an answer, unpacked if necessary.
 func (s *Spreader) recordsOf(a *peerpb.PullAnswer) ([]*configpb.SequencedRecord, error) {
 	if len(a.GetPacked()) == 0 {
 		return a.GetRecords(), nil
@@ -295,8 +296,8 @@
 	return s.history.unpack(a.GetBase(), a.GetPacked())
 }
 
-// servePull answers with the records after an offset, or with the state where
-// it is asked for or the records are no longer remembered.
+// servePull answers with the records after an offset, or with the whole state if that is requested
+// or the records are no longer held.
 func (s *Spreader) servePull(m *peerpb.Pull) *peerpb.PullAnswer {
 	st := s.State()
 	answer := &peerpb.PullAnswer{Floor: s.opts.Floor(m.GetHost())}
@@ -315,8 +316,8 @@
 		return answer
 	}
 	select {
-	case s.serving <- struct{}{}:
-		defer func() { <-s.serving }()
+	case s.serveSem <- struct{}{}:
+		defer func() { <-s.serveSem }()
 	default:
 		answer.Busy = true
 		return answer
@@ -324,20 +325,20 @@
 	b, ok := s.history.after(m.GetOffset(), maxBatchBytes)
 	switch {
 	case !ok || m.GetWholeState() || m.GetNewerDocument():
-		s.answerState(m, st, answer)
+		s.addState(m, st, answer)
 	case m.GetTakesPacked():
 		answer.Base = b.base
-		answer.Records, answer.Packed = s.wireForm(b, !m.GetHoldsRecord())
+		answer.Records, answer.Packed = s.encodeBatch(b, !m.GetHoldsRecord())
 	default:
 		answer.Base, answer.Records = b.base, b.records
 	}
 	return answer
 }
 
-// answerState adds the whole state to an answer.
-func (s *Spreader) answerState(m *peerpb.Pull, st *fold.State, answer *peerpb.PullAnswer) {
+// addState adds the whole state to an answer, packed if the requester accepts that.
+func (s *Spreader) addState(m *peerpb.Pull, st *fold.State, answer *peerpb.PullAnswer) {
 	if m.GetTakesPacked() {
-		packed, err := s.packed.of(st)
+		packed, err := s.packedStates.get(st)
 		if err != nil {
 			s.opts.Logger.Error("spread: state not packed", "offset", st.Offset, "error", err)
 		}
--- a/spread/push.go
+++ b/spread/push.go
@@ -15,103 +15,107 @@
 )
 
 const (
-	// maxBatchBytes bounds the records of one push or one pull, in bytes.
+	// maxBatchBytes limits the size of the records of one push or one pull, in bytes.
 	maxBatchBytes = 1 << 20
-	// handoffTries is how many daemons of another availability zone are tried.
-	handoffTries = 3
-	// pushBytesPerSecond is half of a link of 5 Mbit/s, the narrowest to design for;
-	// callers' requests have the other half.
+	// maxHandoffTargets is the number of daemons of another availability zone to which a handoff is
+	// attempted until one succeeds.
+	maxHandoffTargets = 3
+	// pushBytesPerSecond is half the rate of a link of 5 Mbit/s, the slowest supported. Callers'
+	// requests use the other half.
 	pushBytesPerSecond = 312_500
-	// maxPushTransfer bounds what a push is given for its bytes: those below a daemon
-	// that has died wait as long to be taken over.
-	maxPushTransfer = 5 * time.Second
-	// maxRootPushes bounds the pushes of one root that are under way. A daemon
-	// that does not answer must not hold up the next batch, and a burst must
-	// not pile up behind it.
+	// maxPushTransferTime limits the part of a push's timeout that depends on its size. The daemons
+	// below a failed daemon wait that long until its sender pushes to them instead.
+	maxPushTransferTime = 5 * time.Second
+	// maxRootPushes limits the concurrent pushes of one root. It is above 1 so that a daemon that
+	// does not answer does not delay the next batch, and limited so that a burst does not pile up
+	// behind such a daemon.
 	maxRootPushes = 8
 )
 
-// rootLoop spreads in the own availability zone what came into force here.
-func (s *Spreader) rootLoop() error {
-	for s.rootWake.Wait(s.ctx) {
-		for s.ctx.Err() == nil && s.pushes() && s.history.offset() > s.spreadTo() {
-			s.rootStep()
+// pushLoop pushes newly applied records in this daemon's availability zone.
+func (s *Spreader) pushLoop() error {
+	for s.pushWake.Wait(s.ctx) {
+		for s.ctx.Err() == nil && s.pushesRecords() && s.history.offset() > s.lastPushedOffset() {
+			s.pushNextBatch()
 		}
 	}
 	return nil
 }
 
-// rootStep spreads one batch, or leaves it to the roots of the zone.
-func (s *Spreader) rootStep() {
-	place, ok := s.place()
+// pushNextBatch pushes one batch, or leaves it to the roots of the zone if this daemon is not one
+// of them.
+func (s *Spreader) pushNextBatch() {
+	rank, ok := s.rootRank()
 	if !ok {
-		s.setSpread(s.history.offset())
+		s.raisePushedOffset(s.history.offset())
 		return
 	}
-	if s.waitTurn(place) {
-		s.setSpread(s.pushZone(s.spreadTo()))
+	if s.waitTurn(rank) {
+		s.raisePushedOffset(s.pushZone(s.lastPushedOffset()))
 		s.sleep(s.opts.Debounce)
 	}
 }
 
-// place returns this daemon's turn among the roots of its availability zone, 0
-// first; ok is false where it is none.
-func (s *Spreader) place() (place int, ok bool) {
-	if p := s.plan.Load(); p != nil && p.rank != notRanked {
+// rootRank returns this daemon's position among the roots of its availability zone, 0 first; ok is
+// false if it is not a root. A daemon that is not a reader but has to push comes after all readers.
+func (s *Spreader) rootRank() (rank int, ok bool) {
+	if p := s.topology.Load(); p != nil && p.rank != notRanked {
 		return p.rank, true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.opts.ReadersPerZone, s.assigned > s.spread
+	return s.opts.ReadersPerZone, s.assignedOffset > s.pushedOffset
 }
 
-func (s *Spreader) spreadTo() uint64 {
+func (s *Spreader) lastPushedOffset() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.spread
+	return s.pushedOffset
 }
 
-func (s *Spreader) setSpread(offset uint64) {
+func (s *Spreader) raisePushedOffset(offset uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spread = max(s.spread, offset)
+	s.pushedOffset = max(s.pushedOffset, offset)
 }
 
-// waitTurn leaves the roots before this one the time to push.
-func (s *Spreader) waitTurn(place int) bool {
+// waitTurn waits for the roots ranked before this one to push, and reports whether the daemon is
+// still running.
+func (s *Spreader) waitTurn(rank int) bool {
 	if s.opts.Redundancy == RedundancyEager {
-		place = 0
+		rank = 0
 	}
-	return s.sleep(time.Duration(place) * s.opts.BackupDelay)
+	return s.sleep(time.Duration(rank) * s.opts.BackupDelay)
 }
 
-// pushZone pushes what follows an offset along this daemon's tree and returns
-// the offset up to which it did.
+// pushZone pushes the records that follow an offset along this daemon's tree and returns the offset
+// up to which it pushed.
 func (s *Spreader) pushZone(from uint64) uint64 {
-	p := s.plan.Load()
+	p := s.topology.Load()
 	if p == nil {
 		return s.history.offset()
 	}
 	b, ok := s.history.after(from, maxBatchBytes)
 	if !ok {
-		// More came at once than is remembered; they pull the state.
+		// More records arrived at once than the history holds; the receivers pull the whole state.
 		return s.pushDigest(p)
 	}
-	switch s.formOf(b.end()) {
+	switch s.contentFor(b.end()) {
 	case sendNothing:
 		return b.end()
 	case sendDigest:
 		return s.pushDigest(p)
 	}
 	m := &peerpb.Push{Base: b.base, BaseChain: b.chain[:], Root: s.opts.Host, Source: encodeAddr(p.self)}
-	m.Records, m.Packed = s.wireForm(b, false)
-	s.startTree(m, p.tree)
+	m.Records, m.Packed = s.encodeBatch(b, false)
+	s.startTreePush(m, p.tree)
 	return b.end()
 }
 
-// wireForm returns a batch as it travels: packed where that is worth it.
-func (s *Spreader) wireForm(b batch, alone bool) ([]*configpb.SequencedRecord, []*peerpb.PackedRecord) {
-	if b.bytes() < packFrom {
+// encodeBatch returns the records of a batch as they are sent: packed if the batch is large enough,
+// plain otherwise. alone packs the first record without a dictionary.
+func (s *Spreader) encodeBatch(b batch, alone bool) ([]*configpb.SequencedRecord, []*peerpb.PackedRecord) {
+	if b.bytes() < minPackBytes {
 		return b.records, nil
 	}
 	packed, err := s.history.pack(b, alone)
@@ -122,68 +126,69 @@
 	return nil, packed
 }
 
-// isDigest reports whether a push only tells an offset.
+// isDigest reports whether a push holds an offset but no records.
 func isDigest(m *peerpb.Push) bool { return len(m.GetRecords()) == 0 && len(m.GetPacked()) == 0 }
 
-// startTree begins a push along this daemon's tree, once there is room.
-func (s *Spreader) startTree(m *peerpb.Push, tree []netip.AddrPort) {
+// startTreePush starts a push along this daemon's tree. It blocks while maxRootPushes are in
+// progress.
+func (s *Spreader) startTreePush(m *peerpb.Push, tree []netip.AddrPort) {
 	select {
-	case s.pushing <- struct{}{}:
+	case s.pushSem <- struct{}{}:
 	case <-s.ctx.Done():
 		return
 	}
 	s.t.Go(func() error {
-		defer func() { <-s.pushing }()
+		defer func() { <-s.pushSem }()
 		s.pushTree(m, tree)
 		return nil
 	})
 }
 
-// form is what a root sends.
-type form uint8
+// pushContent is what a root sends along its tree.
+type pushContent uint8
 
 const (
-	sendRecords form = iota
+	sendRecords pushContent = iota
 	sendDigest
 	sendNothing
 )
 
-// formOf returns what this root sends of records up to an offset.
-func (s *Spreader) formOf(end uint64) form {
+// contentFor returns what this root sends for records up to an offset.
+func (s *Spreader) contentFor(end uint64) pushContent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case s.opts.Redundancy == RedundancyEager:
 		return sendRecords
-	case s.covered >= end && s.opts.Redundancy == RedundancyNone:
+	case s.coveredOffset >= end && s.opts.Redundancy == RedundancyNone:
 		return sendNothing
-	case s.covered >= end, s.heard >= end:
-		// Most have the records already: a reader that catches up after its
-		// start must not send the fleet what it had before.
+	case s.coveredOffset >= end, s.maxPeerOffset >= end:
+		// Most daemons have the records already: a reader that catches up after its start must not
+		// send the fleet records that it already had.
 		return sendDigest
 	}
 	return sendRecords
 }
 
-// pushDigest sends the offset in force along this daemon's tree.
-func (s *Spreader) pushDigest(p *plan) uint64 {
-	m := s.digest(p)
-	s.startTree(m, p.tree)
+// pushDigest sends the current offset along this daemon's tree and returns it.
+func (s *Spreader) pushDigest(p *topology) uint64 {
+	m := s.newDigest(p)
+	s.startTreePush(m, p.tree)
 	return m.GetBase()
 }
 
-func (s *Spreader) digest(p *plan) *peerpb.Push {
+func (s *Spreader) newDigest(p *topology) *peerpb.Push {
 	return &peerpb.Push{Base: s.history.offset(), Root: s.opts.Host, Source: encodeAddr(p.self)}
 }
 
 func (s *Spreader) isCovered(offset uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.covered >= offset
+	return s.coveredOffset >= offset
 }
 
-// pushTree sends m to targets over daemons that pass it on, and returns when
-// each target is reached or given up.
+// pushTree sends m to all targets through daemons that relay it, and returns when each target has
+// been reached or given up.
 func (s *Spreader) pushTree(m *peerpb.Push, targets []netip.AddrPort) {
 	var wg sync.WaitGroup
 	for _, part := range split(targets, s.opts.FanOut) {
@@ -192,9 +197,9 @@
 	wg.Wait()
 }
 
-// pushPart sends m to the first of a part, which passes it on to the others. If
-// the first does not acknowledge, the others are taken over: a daemon that dies
-// must not cut off those below it.
+// pushPart sends m to the first daemon of a part, which relays it to the rest. If the first does
+// not acknowledge, this daemon pushes to the rest itself, so that a failed daemon does not cut off
+// the daemons below it.
 func (s *Spreader) pushPart(m *peerpb.Push, part []netip.AddrPort) {
 	err := s.pushOne(m, part[0], part[1:])
 	if err == nil || s.ctx.Err() != nil {
@@ -202,25 +207,25 @@
 	}
 	var wg sync.WaitGroup
 	if !errors.Is(err, peer.ErrUnreachable) && !errors.Is(err, errDiverged) {
-		// The session may have been dead while the daemon is not; a new one
-		// tells.
+		// The session may have failed while the daemon is alive; retry over a new session.
 		wg.Go(func() { _ = s.pushOne(m, part[0], nil) })
 	}
 	s.pushTree(m, part[1:])
 	wg.Wait()
 }
 
-// pushTimeout returns how long to wait for an acknowledgement of m. Its copies share this
-// host's link. Under one bound for all sizes a push of 200 kB is given up on 5 Mbit/s at
-// every daemon, and all is pushed and pulled anew over the same links: 21 hosts have the
-// version after 4.2 to 5.2 s, with the time of its bytes after 1.3 to 1.4 s
-// (TestLargeChangeOnSlowLinks, virtual time, two runs each).
+// pushTimeout returns how long to wait for the acknowledgment of m. It grows with the size of m
+// because the copies sent to FanOut daemons share this host's link. With a fixed timeout, a push of
+// 200 kB would time out at every daemon on links of 5 Mbit/s, and the records would be pushed and
+// pulled again over the same links: 21 hosts then receive a version after 4.2 to 5.2 s instead of
+// 1.3 to 1.4 s.
 func (s *Spreader) pushTimeout(m *peerpb.Push) time.Duration {
 	bytes := time.Duration(proto.Size(m) * s.opts.FanOut)
-	return s.opts.PushTimeout + min(bytes*time.Second/pushBytesPerSecond, maxPushTransfer)
+	return s.opts.PushTimeout + min(bytes*time.Second/pushBytesPerSecond, maxPushTransferTime)
 }
 
-// pushOne sends m to one daemon and waits for the acknowledgement.
+// pushOne sends m to one daemon, which is to relay it to the daemons below, and waits for the
+// acknowledgment.
 func (s *Spreader) pushOne(m *peerpb.Push, addr netip.AddrPort, below []netip.AddrPort) error {
 	ctx, cancel := context.WithTimeout(s.ctx, s.pushTimeout(m))
 	defer cancel()
@@ -236,24 +241,23 @@
 	return err
 }
 
-// handoffLoop tells other availability zones what this daemon read from the
-// log.
+// handoffLoop hands the offsets that this daemon read from the log off to other availability zones.
 func (s *Spreader) handoffLoop() error {
 	done := uint64(0)
 	for s.handoffWake.Wait(s.ctx) {
 		s.mu.Lock()
-		fromLog := s.fromLog
+		fromLog := s.logOffset
 		s.mu.Unlock()
-		if fromLog <= done || !s.pushes() {
+		if fromLog <= done || !s.pushesRecords() {
 			continue
 		}
 		if !s.sleep(s.opts.BackupDelay) {
 			return nil
 		}
 		done = fromLog
-		p := s.plan.Load()
+		p := s.topology.Load()
 		if p == nil || p.rank != 0 && s.isCovered(fromLog) {
-			// The root that covered the zone hands off as well.
+			// The root that covered this zone does the handoff.
 			continue
 		}
 		s.handoff(p)
@@ -261,14 +265,15 @@
 	return nil
 }
 
-// handoff tells one daemon of each other availability zone the offset in force.
-func (s *Spreader) handoff(p *plan) {
-	m := s.digest(p)
+// handoff sends the current offset to one daemon of each other availability zone, which then pushes
+// in its zone.
+func (s *Spreader) handoff(p *topology) {
+	m := s.newDigest(p)
 	m.Handoff = true
 	var wg sync.WaitGroup
 	for _, zone := range p.zones {
 		wg.Go(func() {
-			for _, addr := range zone[:min(handoffTries, len(zone))] {
+			for _, addr := range zone[:min(maxHandoffTargets, len(zone))] {
 				if s.pushOne(m, addr, nil) == nil {
 					return
 				}
@@ -278,9 +283,10 @@
 	wg.Wait()
 }
 
-// assign makes this daemon spread up to an offset in its availability zone.
-func (s *Spreader) assign(offset uint64) {
+// raiseAssignedOffset makes this daemon push up to an offset in its availability zone although it
+// may not be a reader.
+func (s *Spreader) raiseAssignedOffset(offset uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.assigned = max(s.assigned, offset)
+	s.assignedOffset = max(s.assignedOffset, offset)
 }
--- a/spread/push_test.go
+++ b/spread/push_test.go
@@ -17,11 +17,10 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// A push continues other records than those folded here, as after a log that
-// was written anew. It is refused, reported and not passed on; the sender sees
-// to the daemons below.
-func TestDivergedPush(t *testing.T) {
-	n, relayed := lone(t)
+// A push that does not continue the applied records, as after a log was written again, must be
+// refused, reported and not relayed. Its sender pushes to the daemons below.
+func TestDivergedPushIsRefused(t *testing.T) {
+	n, relayed := newCounted(t)
 	n.InstallState(fold.Empty())
 	must.False(t, push(t, n, 0, fold.Chain{}, "a").GetDiverged())
 	must.Eq(t, 1, relayed.Load())
@@ -38,38 +37,37 @@
 	must.Eq(t, "", n.Status().StuckReason)
 }
 
-// An old program gets a push that it cannot fold. The daemons below it may run
-// a newer one, so it passes the push on.
-func TestUnknownRuleIsPassedOn(t *testing.T) {
-	n, relayed := lone(t)
+// A daemon of an old program receives a record that it cannot apply. It must relay the push, as the
+// daemons below may run a newer program.
+func TestPushOfUnknownRuleIsRelayed(t *testing.T) {
+	n, relayed := newCounted(t)
 	n.InstallState(fold.Empty())
-	rec := change("a", 0)
+	rec := contractChange("a", 0)
 	rec.RuleVersion = fold.RuleVersion + 1
 	pushRecord(t, n, 0, fold.Chain{}, rec)
 	must.Eq(t, 0, n.State().Offset)
 	must.Eq(t, 1, relayed.Load())
 }
 
-// Two pushes overtake one another on the way. The later one waits for the
-// earlier one; nothing is pulled.
-func TestOvertakingPushes(t *testing.T) {
-	_, states := logOf(t, 2)
-	n, _ := lone(t)
+// Two pushes arrive in the wrong order. The later one must wait for the earlier one without a pull.
+func TestReorderedPushes(t *testing.T) {
+	_, states := recordsAndStates(t, 2)
+	n, _ := newCounted(t)
 	n.InstallState(fold.Empty())
 	must.Eq(t, 0, push(t, n, 1, states[1].Chain, "1").GetOffset())
 	must.Eq(t, 2, push(t, n, 0, fold.Chain{}, "0").GetOffset())
 }
 
-// Many daemons pull at once. Those above the bound are told to ask another.
-func TestServedPullsAreBounded(t *testing.T) {
-	n, _ := lone(t)
+// Pulls beyond the limit of concurrent answers must be answered as busy.
+func TestConcurrentPullsAreLimited(t *testing.T) {
+	n, _ := newCounted(t)
 	n.InstallState(fold.Empty())
 	push(t, n, 0, fold.Chain{}, "a")
 	for range maxServedPulls {
-		n.serving <- struct{}{}
+		n.serveSem <- struct{}{}
 	}
 	must.True(t, n.servePull(&peerpb.Pull{}).GetBusy())
-	<-n.serving
+	<-n.serveSem
 	must.Len(t, 1, n.servePull(&peerpb.Pull{}).GetRecords())
 	must.SliceEmpty(t, n.servePull(&peerpb.Pull{FloorOnly: true}).GetRecords())
 	whole := n.servePull(&peerpb.Pull{WholeState: true})
@@ -77,10 +75,10 @@
 	must.Eq(t, n.State().Chain[:], whole.GetChain())
 }
 
-// A sender that waited too long sends the same push again. Passing it on again
-// would double the traffic at each level.
-func TestRepeatedPushIsPassedOnOnce(t *testing.T) {
-	n, relayed := lone(t)
+// A sender repeats a push after a timeout. Relaying it again would double the traffic at each level
+// of the tree.
+func TestRepeatedPushIsRelayedOnce(t *testing.T) {
+	n, relayed := newCounted(t)
 	n.InstallState(fold.Empty())
 	for range 3 {
 		push(t, n, 0, fold.Chain{}, "a")
@@ -88,9 +86,9 @@
 	must.Eq(t, 1, relayed.Load())
 }
 
-// A push to one daemon fails. Where the session may be dead and the daemon not,
-// the daemon is tried over a new one; the daemons below are reached in any case.
-func TestFailedPush(t *testing.T) {
+// A push to one daemon fails. It must be retried over a new session if only the session may have
+// failed, and the daemons below must be reached in any case.
+func TestFailedPushIsRetriedAndBypassed(t *testing.T) {
 	part := []netip.AddrPort{netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("10.0.0.2:1")}
 	for _, tc := range []struct {
 		name string
@@ -102,7 +100,7 @@
 		{"no connection", peer.ErrUnreachable, nil, 2},
 		{"refused", nil, &peerpb.PushAck{Diverged: true}, 2},
 	} {
-		n, relayed := lone(t)
+		n, relayed := newCounted(t)
 		n.opts.Peers = peersFunc(func(m *peerpb.Push) (*peerpb.PushAck, error) {
 			relayed.Add(1)
 			if len(m.GetTargets()) > 0 {
@@ -115,11 +113,11 @@
 	}
 }
 
-// A digest reaches a whole zone that is behind. Each daemon pulls from the one
-// above it, not all from the root.
-func TestDigestNamesNearestSource(t *testing.T) {
-	n, _ := lone(t)
-	_, states := logOf(t, 1)
+// A digest reaches a zone that is behind. Each daemon must pull from the daemon above it in the
+// tree, and not all from the root.
+func TestRelayedDigestNamesRelayAsSource(t *testing.T) {
+	n, _ := newCounted(t)
+	_, states := recordsAndStates(t, 1)
 	n.InstallState(states[1])
 	var source []byte
 	n.opts.Peers = peersFunc(func(m *peerpb.Push) (*peerpb.PushAck, error) {
@@ -129,10 +127,10 @@
 	root := netip.MustParseAddrPort("10.0.0.1:1")
 	must.NoError(t, n.servePush(&peerpb.Push{Base: 1, Source: encodeAddr(root), Targets: encodeAddrs([]netip.AddrPort{root})},
 		func(*peerpb.PushAck) error { return nil }))
-	must.Eq(t, encodeAddr(n.plan.Load().self), source)
+	must.Eq(t, encodeAddr(n.topology.Load().self), source)
 }
 
-// peersFunc answers pushes.
+// peersFunc implements Peers with a function that answers pushes.
 type peersFunc func(*peerpb.Push) (*peerpb.PushAck, error)
 
 func (f peersFunc) Push(_ context.Context, _ netip.AddrPort, m *peerpb.Push) (*peerpb.PushAck, error) {
@@ -143,8 +141,8 @@
 	return nil, errors.New("no peer")
 }
 
-// lone returns a Spreader whose pushes are only counted.
-func lone(t *testing.T) (*Spreader, *atomic.Int64) {
+// newCounted returns a Spreader and the number of pushes that it has sent.
+func newCounted(t *testing.T) (*Spreader, *atomic.Int64) {
 	relayed := new(atomic.Int64)
 	opts := DefaultOptions()
 	opts.Host = "host-0"
@@ -158,9 +156,9 @@
 	return s, relayed
 }
 
-// push sends one record to s, to be passed on to one daemon.
+// push sends a push with one record to s, to be relayed to one daemon.
 func push(t *testing.T, s *Spreader, base uint64, chain fold.Chain, id string) *peerpb.PushAck {
-	return pushRecord(t, s, base, chain, change(id, base))
+	return pushRecord(t, s, base, chain, contractChange(id, base))
 }
 
 func pushRecord(t *testing.T, s *Spreader, base uint64, chain fold.Chain, rec *configpb.Record) *peerpb.PushAck {
--- a/spread/read.go
+++ b/spread/read.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// readLimit is the most records of one read.
+	// readLimit is the maximum number of records per read.
 	readLimit = 64
-	// readSlack is how much longer than its wait a read may take. The log's client ends
-	// a read on which nothing comes; this bounds one that comes in for good. A large
-	// document takes a narrow link for seconds, and a read that is ended sooner begins anew
-	// and never has it.
+	// readSlack is how much longer than its wait a read may take. The log's client aborts a read on
+	// which no data arrives; this bounds a read on which data keeps arriving. A large document
+	// takes seconds on a slow link, and a read that is aborted sooner starts over and never
+	// completes.
 	readSlack = 2 * time.Minute
-	// ownReadSlack is the same for a read out of turn, during which nothing is pulled:
-	// a daemon that may be heard again by then must not wait for minutes.
-	ownReadSlack = 10 * time.Second
-	// pollWait is the longest wait of a read at a log that keeps its end; such a read
-	// has no check of the end behind it and may be made more often. A log that goes
-	// silent answers none of the reads that reach it meanwhile, and a reader ends its
-	// own only after the wait and its client's slack (2 s). After a record all readers
-	// ask at the same moment, so that with long waits no daemon would have a new version
-	// for as long after an outage that began then.
-	pollWait = 2 * time.Second
-	// blockedPause is about the wait between reads of a record that this
-	// program cannot fold. Only a newer program ends that.
+	// fallbackReadSlack is the slack of a fallback read, which blocks pulls. It is shorter because
+	// other daemons may be reachable again in the meantime.
+	fallbackReadSlack = 10 * time.Second
+	// maxPollWait is the longest wait of a read from a log that reports restores; such reads are
+	// not followed by a check of the log's end and can be more frequent. A log that stops
+	// responding never answers the reads that are pending, and a reader aborts its own only after
+	// the wait plus the slack of its client (2 s). All readers issue their next read just after the
+	// same record, so long waits would keep a new version from every daemon for that long after an
+	// outage that begins then.
+	maxPollWait = 2 * time.Second
+	// blockedPause is the average wait between reads of a record that this program cannot apply.
+	// Only a newer program can apply it.
 	blockedPause = 30 * time.Second
 )
 
-// errLogWentBack means that the log no longer holds the record in force.
-var errLogWentBack = errors.New("log no longer holds the version in force")
+// errLogRegressed means that the log no longer holds the last applied record.
+var errLogRegressed = errors.New("log no longer holds the version in force")
 
 // readLoop reads the log while this daemon is a reader.
 func (s *Spreader) readLoop() error {
 	failures, verified := 0, false
 	for s.ctx.Err() == nil {
-		if !s.reads() || s.State() == nil {
+		if !s.readsLog() || s.State() == nil {
 			verified = false
 			s.setLogStuck("")
 			s.readWake.Wait(s.ctx)
@@ -56,23 +56,24 @@
 		}
 		verified = false
 		failures++
-		s.sleep(s.readPause(failures))
+		s.sleep(s.retryDelay(failures))
 	}
 	return nil
 }
 
-// readPause returns the wait after a failed read.
-func (s *Spreader) readPause(failures int) time.Duration {
+// retryDelay returns the wait after a number of consecutive failed reads.
+func (s *Spreader) retryDelay(failures int) time.Duration {
 	if s.history.blockedAt(s.history.offset()) {
-		return s.aroundHalf(blockedPause)
+		return s.jitterAround(blockedPause)
 	}
 	return s.backoff(failures)
 }
 
-// readStep checks the log if need be and waits for new records once.
+// readStep verifies the log if necessary and waits for new records once. verified states whether
+// the log was verified since the last failure.
 func (s *Spreader) readStep(verified *bool) error {
 	if s.opts.LogReportsRestores {
-		_, err := s.readOnce(min(s.opts.ReadWait, pollWait), readSlack)
+		_, err := s.readOnce(min(s.opts.ReadWait, maxPollWait), readSlack)
 		return err
 	}
 	if !*verified {
@@ -85,165 +86,165 @@
 	if err != nil || n > 0 {
 		return err
 	}
-	return s.checkEnd()
+	return s.checkLogEnd()
 }
 
-// readOnce reads what follows the version in force, waiting for it up to wait and for
-// its bytes up to slack, and returns the number of records read.
+// readOnce reads the records that follow the current state and returns their number. It waits up to
+// wait for a record, and up to slack more for its data.
 func (s *Spreader) readOnce(wait, slack time.Duration) (int, error) {
 	st := s.State()
 	ctx, cancel := context.WithTimeout(s.ctx, wait+slack)
 	defer cancel()
 	records, err := s.opts.Log.Read(ctx, st.Offset+1, readLimit, wait)
-	s.opts.Meter.LogRead(len(records), sizeOf(records), err)
+	s.opts.Meter.LogRead(len(records), totalBytes(records), err)
 	var truncated *eventlog.TruncatedError
 	var restored *eventlog.RestoredError
 	switch {
 	case errors.As(err, &truncated):
-		return 0, s.skipTruncated(ctx, truncated)
+		return 0, s.recoverTruncated(ctx, truncated)
 	case errors.As(err, &restored):
-		return 0, s.followRestored(ctx, restored)
+		return 0, s.continueFromRestored(ctx, restored)
 	}
-	s.noteLogError(err)
+	s.updateLogError(err)
 	if err != nil || len(records) == 0 {
 		return 0, err
 	}
-	b := batch{base: st.Offset, chain: st.Chain, records: sequenced(records)}
-	s.noteFromLog(b.end())
-	_, err = s.fold(b, "log")
+	b := batch{base: st.Offset, chain: st.Chain, records: toSequenced(records)}
+	s.raiseLogOffset(b.end())
+	_, err = s.applyBatch(b, "log")
 	return len(records), err
 }
 
-// skipTruncated finds a state beyond the records that the log has dropped: from
-// a peer, or else from the platform's checkpoints.
-func (s *Spreader) skipTruncated(ctx context.Context, cause *eventlog.TruncatedError) error {
+// recoverTruncated obtains a state beyond the records that the log no longer retains: from other
+// daemons, or else from the platform's checkpoints.
+func (s *Spreader) recoverTruncated(ctx context.Context, cause *eventlog.TruncatedError) error {
 	if cause.First <= cause.Asked {
-		// Nothing later is kept. What neighbours have is no further either, and taken for
-		// enough, the log would be asked again at once.
-		s.noteLogError(cause)
+		// The log retains nothing after the requested offset. Other daemons are not asked: they
+		// would count as caught up with cause.First-1 without progress, and the log would be read
+		// again without a pause.
+		s.updateLogError(cause)
 		return cause
 	}
 	s.opts.Logger.Warn("spread: log has dropped the next record", "asked", cause.Asked, "first", cause.First)
-	if s.pullAnywhere(cause.First - 1) {
+	if s.pullFromZone(cause.First - 1) {
 		return nil
 	}
 	if s.opts.LoadCheckpoint == nil {
-		s.noteLogError(cause)
+		s.updateLogError(cause)
 		return cause
 	}
 	st, err := s.opts.LoadCheckpoint(ctx)
 	if err != nil {
-		s.noteLogError(err)
+		s.updateLogError(err)
 		return err
 	}
 	if st == nil {
-		s.noteLogError(cause)
+		s.updateLogError(cause)
 		return cause
 	}
 	before := s.history.offset()
 	s.InstallState(st)
 	if s.history.offset() == before {
-		s.noteLogError(cause)
+		s.updateLogError(cause)
 		return cause
 	}
 	return nil
 }
 
-// verifyLog checks after an interruption that the log still holds the record
-// in force. A log that lost its end and was written anew gives other records
-// under the same offsets; a reader that went on would fold a mix of the two.
+// verifyLog checks after an interruption that the log still holds the last applied record. A log
+// that lost its end and was written again has other records at the same offsets; a reader that
+// continued would apply a mix of the two.
 func (s *Spreader) verifyLog() error {
 	ctx, cancel := context.WithTimeout(s.ctx, readSlack)
 	defer cancel()
 	st := s.State()
 	want, ok := s.history.recordAt(st.Offset)
 	if !ok {
-		return s.checkEnd()
+		return s.checkLogEnd()
 	}
 	records, err := s.opts.Log.Read(ctx, st.Offset, 1, 0)
-	s.opts.Meter.LogRead(len(records), sizeOf(records), err)
+	s.opts.Meter.LogRead(len(records), totalBytes(records), err)
 	var truncated *eventlog.TruncatedError
 	switch {
 	case errors.As(err, &truncated):
-		return s.checkEnd()
+		return s.checkLogEnd()
 	case err != nil:
-		s.noteLogError(err)
+		s.updateLogError(err)
 		return err
 	case len(records) == 0:
-		return s.logWentBack(st, "the log ends before it")
+		return s.reportLogRegressed(st, "the log ends before it")
 	case !bytes.Equal(records[0].Data, want):
-		return s.logWentBack(st, "the log holds another record there")
+		return s.reportLogRegressed(st, "the log holds another record there")
 	}
-	s.noteLogError(nil)
+	s.updateLogError(nil)
 	s.setLogStuck("")
 	return nil
 }
 
-// checkEnd checks that the log does not end before the version in force.
-func (s *Spreader) checkEnd() error {
+// checkLogEnd checks that the log does not end before the current offset.
+func (s *Spreader) checkLogEnd() error {
 	ctx, cancel := context.WithTimeout(s.ctx, readSlack)
 	defer cancel()
 	st := s.State()
 	bounds, err := s.opts.Log.Bounds(ctx)
 	s.opts.Meter.LogRead(0, 0, err)
-	s.noteLogError(err)
+	s.updateLogError(err)
 	if err != nil {
 		return err
 	}
 	if bounds.End <= st.Offset {
-		return s.logWentBack(st, "the log ends before it")
+		return s.reportLogRegressed(st, "the log ends before it")
 	}
-	s.noteKnown(bounds.End - 1)
+	s.raiseKnownOffset(bounds.End - 1)
 	s.setLogStuck("")
 	return nil
 }
 
-func (s *Spreader) logWentBack(st *fold.State, reason string) error {
+func (s *Spreader) reportLogRegressed(st *fold.State, reason string) error {
 	s.setLogStuck(fmt.Sprintf("version %d is in force, but %s", st.Offset, reason))
-	return errLogWentBack
+	return errLogRegressed
 }
 
-// Appended tells of a record that this daemon appended to the log. It is folded
-// and spread from here, so that it reaches all daemons also when the log fails
-// before any reader has seen it.
+// Appended reports a record that this daemon appended to the log. The record is applied and pushed
+// from here, so that it reaches all daemons even if the log fails before any reader has read it.
 func (s *Spreader) Appended(offset uint64, data []byte) {
-	s.noteKnown(offset)
+	s.raiseKnownOffset(offset)
 	st := s.State()
 	if st == nil || st.Offset+1 != offset {
 		s.pullWake.Set()
 		return
 	}
-	b := batch{base: st.Offset, chain: st.Chain, records: sequenced([]eventlog.Record{{Offset: offset, Data: data}})}
-	s.assign(offset)
-	s.noteFromLog(offset)
-	_, _ = s.fold(b, "own append")
+	b := batch{base: st.Offset, chain: st.Chain, records: toSequenced([]eventlog.Record{{Offset: offset, Data: data}})}
+	s.raiseAssignedOffset(offset)
+	s.raiseLogOffset(offset)
+	_, _ = s.applyBatch(b, "own append")
 }
 
-// fold puts the new records of a batch in force and notes why if it cannot.
-// origin tells where the batch came from.
-func (s *Spreader) fold(b batch, origin string) (int, error) {
-	s.noteKnown(b.end())
+// applyBatch applies the new records of a batch and records the reason if it cannot. origin names
+// the source of the batch.
+func (s *Spreader) applyBatch(b batch, origin string) (int, error) {
+	s.raiseKnownOffset(b.end())
 	n, err := s.history.apply(b)
 	if n > 0 {
 		s.opts.Meter.Applied(n)
-		s.rootWake.Set()
+		s.pushWake.Set()
 	}
 	var unknown *fold.UnknownRuleError
 	switch {
 	case errors.As(err, &unknown):
-		s.setFoldStuck(unknown.Error())
+		s.setApplyStuck(unknown.Error())
 	case errors.Is(err, errDiverged):
-		s.setFoldStuck(fmt.Sprintf("%v; they came from %s", err, origin))
+		s.setApplyStuck(fmt.Sprintf("%v; received from %s", err, origin))
 	case n > 0:
-		s.setFoldStuck("")
+		s.setApplyStuck("")
 	}
 	return n, err
 }
 
-// noteRejected tells of a record that moved the offset and changed nothing: without
-// the line a daemon says that it has the newest version and serves the one before,
-// and nobody learns why. An empty record stands for one that is no configuration.
-func (s *Spreader) noteRejected(v fold.Verdict, bytes int) {
+// reportRejected logs and counts a record that advanced the offset but changed nothing. Otherwise
+// the daemon would report the newest version while it serves the one before, without an
+// explanation. An empty record is not configuration and is not reported.
+func (s *Spreader) reportRejected(v fold.Verdict, bytes int) {
 	if bytes == 0 {
 		return
 	}
@@ -251,9 +252,9 @@
 	s.opts.Logger.Warn("spread: record rejected", "offset", v.Offset, "bytes", bytes, "reasons", v.Reasons)
 }
 
-func (s *Spreader) setLogStuck(reason string) { s.setStuck(&s.logStuck, reason) }
+func (s *Spreader) setLogStuck(reason string) { s.setStuck(&s.logStuckReason, reason) }
 
-func (s *Spreader) setFoldStuck(reason string) { s.setStuck(&s.foldStuck, reason) }
+func (s *Spreader) setApplyStuck(reason string) { s.setStuck(&s.applyStuckReason, reason) }
 
 func (s *Spreader) setStuck(field *string, reason string) {
 	s.mu.Lock()
@@ -269,8 +270,9 @@
 	s.updateStatus(func(*Status) {})
 }
 
-// noteLogError keeps since when reads fail, and logs when they begin and cease to.
-func (s *Spreader) noteLogError(err error) {
+// updateLogError updates the status after a read and logs when reads begin to fail and when they
+// succeed again.
+func (s *Spreader) updateLogError(err error) {
 	if s.ctx.Err() != nil {
 		return
 	}
@@ -290,15 +292,15 @@
 	})
 }
 
-// noteFromLog tells of records that other availability zones may lack.
-func (s *Spreader) noteFromLog(offset uint64) {
+// raiseLogOffset triggers a handoff of records that other availability zones may lack.
+func (s *Spreader) raiseLogOffset(offset uint64) {
 	s.mu.Lock()
-	s.fromLog = max(s.fromLog, offset)
+	s.logOffset = max(s.logOffset, offset)
 	s.mu.Unlock()
 	s.handoffWake.Set()
 }
 
-func sequenced(records []eventlog.Record) []*configpb.SequencedRecord {
+func toSequenced(records []eventlog.Record) []*configpb.SequencedRecord {
 	out := make([]*configpb.SequencedRecord, len(records))
 	for i, r := range records {
 		out[i] = &configpb.SequencedRecord{Offset: r.Offset, Data: r.Data}
@@ -306,7 +308,7 @@
 	return out
 }
 
-func sizeOf(records []eventlog.Record) int {
+func totalBytes(records []eventlog.Record) int {
 	n := 0
 	for _, r := range records {
 		n += len(r.Data)
--- a/spread/receive.go
+++ b/spread/receive.go
@@ -8,18 +8,18 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// servePush takes a push, passes it on and acknowledges it with reply. The
-// acknowledgement means that the daemons below are taken care of, so passing on
-// begins first; a sender that gets none takes them over.
+// servePush applies a push, relays it and acknowledges it with reply. The acknowledgment means that
+// this daemon takes care of the daemons below it, so the relay starts first; a sender without an
+// acknowledgment pushes to them itself.
 func (s *Spreader) servePush(m *peerpb.Push, reply func(*peerpb.PushAck) error) error {
-	s.touch()
+	s.recordContact()
 	if isDigest(m) {
 		return s.serveDigest(m, reply)
 	}
 	end := m.GetBase() + uint64(len(m.GetRecords())+len(m.GetPacked()))
-	b, err := s.pushed(m, end)
+	b, err := s.decodePush(m, end)
 	if err == nil {
-		_, err = s.fold(b, m.GetRoot())
+		_, err = s.applyBatch(b, m.GetRoot())
 	}
 	if errors.Is(err, errMalformed) {
 		s.opts.Logger.Warn("spread: push refused", "root", m.GetRoot(), "error", err)
@@ -27,12 +27,12 @@
 	if errors.Is(err, errMalformed) || errors.Is(err, errDiverged) {
 		return reply(&peerpb.PushAck{Offset: s.history.offset(), Diverged: true})
 	}
-	s.noteCovered(end)
+	s.raiseCoveredOffset(end)
 	if source, ok := decodeAddr(m.GetSource()); ok {
-		s.noteAhead(source, end)
+		s.addPullCandidate(source, end)
 	}
-	// A daemon that cannot fold a record passes it on all the same: those below
-	// may run a newer program.
+	// A daemon that cannot apply a record relays it nevertheless: the daemons below it may run a
+	// newer program.
 	var wg sync.WaitGroup
 	wg.Go(func() { s.relay(m, end) })
 	err = reply(&peerpb.PushAck{Offset: s.history.offset()})
@@ -40,10 +40,10 @@
 	return err
 }
 
-// pushed returns the batch of a push that ends at an offset. What is in force already
-// is not unpacked again; what cannot be unpacked without the records before it is
-// pulled (errNoDictionary).
-func (s *Spreader) pushed(m *peerpb.Push, end uint64) (batch, error) {
+// decodePush returns the batch of a push that ends at offset end. Records that are already applied
+// are not unpacked again. The error is errNoDictionary if the records cannot be unpacked without
+// earlier ones; they are pulled instead.
+func (s *Spreader) decodePush(m *peerpb.Push, end uint64) (batch, error) {
 	records := m.GetRecords()
 	if len(m.GetPacked()) > 0 && s.history.offset() < end {
 		var err error
@@ -54,30 +54,29 @@
 	return newBatch(m.GetBase(), m.GetBaseChain(), records)
 }
 
-// serveDigest takes a push without records: it pulls what is missing and passes
-// the digest on.
+// serveDigest handles a push without records: it pulls the missing records and relays the digest.
 func (s *Spreader) serveDigest(m *peerpb.Push, reply func(*peerpb.PushAck) error) error {
-	// The sender waits for no more than the message's arrival; a pull may take
-	// longer than its patience.
+	// Acknowledge first: the sender only waits for the push to arrive, and the pull below may take
+	// longer than the sender's timeout.
 	if err := reply(&peerpb.PushAck{Offset: s.history.offset()}); err != nil {
 		return err
 	}
 	end := m.GetBase()
 	if s.history.offset() < end {
-		s.noteKnown(end)
+		s.raiseKnownOffset(end)
 		if m.GetHandoff() {
-			s.assign(end)
+			s.raiseAssignedOffset(end)
 		}
 		if source, ok := decodeAddr(m.GetSource()); ok {
-			s.fetch(source, end)
-			s.noteAhead(source, end)
+			s.pullUntil(source, end)
+			s.addPullCandidate(source, end)
 		}
 	}
 	s.relay(m, end)
 	return nil
 }
 
-// relay passes a push on to the daemons that it names, once.
+// relay forwards a push once to the daemons that it names.
 func (s *Spreader) relay(m *peerpb.Push, end uint64) {
 	targets := decodeAddrs(m.GetTargets())
 	if len(targets) == 0 || !s.firstRelay(m) {
@@ -87,39 +86,39 @@
 		Base: m.GetBase(), BaseChain: m.GetBaseChain(), Records: m.GetRecords(),
 		Root: m.GetRoot(), Depth: m.GetDepth(), Source: m.GetSource(), Packed: m.GetPacked(),
 	}
-	if p := s.plan.Load(); p != nil && s.history.offset() >= end {
-		// Those below pull from here and not all from the root.
+	if p := s.topology.Load(); p != nil && s.history.offset() >= end {
+		// The daemons below pull from this daemon instead of all from the root.
 		next.Source = encodeAddr(p.self)
 	}
 	s.pushTree(next, targets)
 }
 
-func (s *Spreader) noteCovered(offset uint64) {
+func (s *Spreader) raiseCoveredOffset(offset uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.covered = max(s.covered, offset)
+	s.coveredOffset = max(s.coveredOffset, offset)
 }
 
-// firstRelay reports whether a push has not been passed on yet. A sender that
-// takes over the daemons below a slow one sends them the same push again; each
-// level would double it.
+// firstRelay reports whether a push has not been relayed yet. A sender that pushes to the daemons
+// below a slow daemon sends them the same push again; without this check, each level of the tree
+// would double the traffic.
 func (s *Spreader) firstRelay(m *peerpb.Push) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.relayed.add(pushKey{root: m.GetRoot(), base: m.GetBase(), records: len(m.GetRecords()) + len(m.GetPacked())})
 }
 
-// pushKey tells pushes apart.
+// pushKey identifies a push.
 type pushKey struct {
 	root    string
 	base    uint64
 	records int
 }
 
-// maxRecentPushes bounds the pushes remembered; a repeat comes within seconds.
+// maxRecentPushes limits the pushes remembered. A repeated push arrives within seconds.
 const maxRecentPushes = 256
 
-// recentPushes remembers the latest pushes passed on.
+// recentPushes remembers the latest relayed pushes.
 type recentPushes struct {
 	seen  map[pushKey]bool
 	order []pushKey
--- a/spread/restore.go
+++ b/spread/restore.go
@@ -11,63 +11,68 @@
 )
 
 const (
-	// carryTries is how many daemons are asked for what the log may lack.
-	carryTries = 3
-	// carryPause is about the wait between two tries, and for others to become known.
-	carryPause = 300 * time.Millisecond
-	// carryPatience bounds the search: the operator has written again by then what was lost.
-	carryPatience = 15 * time.Second
+	// reconcileTries is the number of daemons asked for a document that the log may lack.
+	reconcileTries = 3
+	// reconcilePause is the average wait between two requests. It also leaves time for other
+	// daemons to appear in the membership view.
+	reconcilePause = 300 * time.Millisecond
+	// reconcileTimeout bounds the search for a daemon that answers. By then the operator has
+	// usually written the lost documents again.
+	reconcileTimeout = 15 * time.Second
 )
 
-// followRestored goes on from the newest state of a log that came back from an older copy.
-// It is read even where a neighbour has gone on already: what the operator has written since
-// then may be newer. The others are told, as the state may hold a version that they lack.
-func (s *Spreader) followRestored(ctx context.Context, cause *eventlog.RestoredError) error {
+// continueFromRestored continues from the newest state of a log that was restored from an older copy. It
+// loads that state even if another daemon has already continued, because the operator may have
+// written a newer document since. The state is announced to the other daemons, as it may hold a
+// version that they lack.
+func (s *Spreader) continueFromRestored(ctx context.Context, cause *eventlog.RestoredError) error {
 	if s.opts.LoadCheckpoint == nil {
-		s.noteLogError(cause)
+		s.updateLogError(cause)
 		return cause
 	}
 	st, err := s.opts.LoadCheckpoint(ctx)
 	if err == nil && st == nil {
 		err = cause
 	}
-	s.noteLogError(err)
+	s.updateLogError(err)
 	if err != nil {
 		return err
 	}
 	before := s.State()
-	if s.history.adopt(st) {
-		s.noteRestored(before, st)
+	if s.history.install(st) {
+		s.reportRestored(before, st)
 	}
 	return nil
 }
 
-// noteRestored tells of the epoch that this daemon went on in.
-func (s *Spreader) noteRestored(before, told *fold.State) {
+// reportRestored logs and announces the epoch of the log in which this daemon continues. before is
+// the state until now, restored the state loaded from the log.
+func (s *Spreader) reportRestored(before, restored *fold.State) {
 	now := s.State()
 	s.opts.Meter.Restored()
 	s.opts.Logger.Warn("spread: log was restored from an older copy",
-		"epoch_before", eventlog.Epoch(before.Offset), "epoch", eventlog.Epoch(told.Offset),
-		"index_before", eventlog.Index(before.Offset), "index", eventlog.Index(told.Offset),
-		"document_in_force", now.Document().GetVersion(), "document_in_log", told.Document().GetVersion())
-	s.noteKnown(now.Offset)
-	s.noteFromLog(now.Offset)
-	s.rootWake.Set()
+		"epoch_before", eventlog.Epoch(before.Offset), "epoch", eventlog.Epoch(restored.Offset),
+		"index_before", eventlog.Index(before.Offset), "index", eventlog.Index(restored.Offset),
+		"document_in_force", now.Document().GetVersion(), "document_in_log", restored.Document().GetVersion())
+	s.raiseKnownOffset(now.Offset)
+	s.raiseLogOffset(now.Offset)
+	s.pushWake.Set()
 	s.pullWake.Set()
-	s.carryWake.Set()
+	s.reconcileWake.Set()
 }
 
-// carryLoop asks others for what the log may lack whenever the state in force comes from the
-// log alone. Offsets do not tell: the state of a daemon that started from an older copy stands
-// at the same offset as that of one which had something newer in force before.
-func (s *Spreader) carryLoop() error {
-	for s.carryWake.Wait(s.ctx) {
-		end := time.Now().Add(carryPatience)
-		for tries := 0; tries < carryTries && time.Now().Before(end); {
-			if s.carryOnce() {
+// reconcileLoop asks other daemons for a newer document whenever the current state was built from
+// the log alone. Offsets do not reveal that the document is older: a daemon that started from a
+// restored log is at the same offset as a daemon that kept a newer document from before the
+// restore.
+func (s *Spreader) reconcileLoop() error {
+	for s.reconcileWake.Wait(s.ctx) {
+		end := time.Now().Add(reconcileTimeout)
+		for tries := 0; tries < reconcileTries && time.Now().Before(end); {
+			if s.reconcileOnce() {
 				tries++
 			}
-			if !s.sleep(s.aroundHalf(carryPause)) {
+			if !s.sleep(s.jitterAround(reconcilePause)) {
 				return nil
 			}
 		}
@@ -75,9 +80,9 @@
 	return nil
 }
 
-// carryOnce asks one daemon, and reports whether it has answered.
-func (s *Spreader) carryOnce() bool {
-	p := s.plan.Load()
+// reconcileOnce asks one random daemon for a newer document and reports whether it answered.
+func (s *Spreader) reconcileOnce() bool {
+	p := s.topology.Load()
 	if p == nil {
 		return false
 	}
@@ -90,17 +95,18 @@
 	}
 	theirs, err := s.newerDocument(others[int(s.opts.Rand()*float64(len(others)))])
 	if err != nil {
-		s.opts.Logger.Debug("spread: not asked for a newer document", "error", err)
+		s.opts.Logger.Debug("spread: request for a newer document failed", "error", err)
 		return false
 	}
-	if theirs != nil && s.history.carry(theirs) {
+	if theirs != nil && s.history.mergeNewer(theirs) {
 		s.opts.Logger.Warn("spread: log lacks what other daemons have in force",
 			"document_in_force", s.State().Document().GetVersion(), "offset", s.history.offset())
 	}
 	return true
 }
 
-// newerDocument returns the state of a daemon whose document is newer, nil if it is not.
+// newerDocument returns the state of a daemon if its document is newer than the current one, else
+// nil.
 func (s *Spreader) newerDocument(addr netip.AddrPort) (*fold.State, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, s.opts.PullTimeout)
 	defer cancel()
--- a/spread/restore_test.go
+++ b/spread/restore_test.go
@@ -15,7 +15,7 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// shorterLog holds nothing from an offset on that its readers have, and says so each time.
+// shorterLog is a log that ends before the offset requested and reports so on each read.
 type shorterLog struct {
 	eventlog.Log
 	reads int
@@ -27,14 +27,14 @@
 	return nil, &eventlog.TruncatedError{Asked: from, First: 1}
 }
 
-// Guards against asking a log without a pause that does not hold the offset asked for.
-func TestReaderOfAShorterLogWaits(t *testing.T) {
+// A log that does not hold the requested offset must not be read again without a pause.
+func TestReaderOfShorterLogBacksOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := &shorterLog{}
 		o := DefaultOptions()
 		o.Log, o.LogReportsRestores, o.Mode = log, true, ModeDirect
 		s := New(o)
-		st, _, err := fold.Apply(fold.Empty(), 1, document(t, 1, 10))
+		st, _, err := fold.Apply(fold.Empty(), 1, documentRecord(t, 1, 10))
 		must.NoError(t, err)
 		s.InstallState(st)
 		ctx, stop := context.WithCancel(t.Context())
@@ -43,12 +43,12 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		must.NoError(t, <-done)
-		// The pauses grow to 2 s, with full jitter.
+		// The waits grow to 2 s, with full jitter.
 		must.Less(t, 100, log.reads)
 	})
 }
 
-// restoredLog is a log of documents that goes back to older copies of itself.
+// restoredLog is a log of documents that can be restored from older copies of itself.
 type restoredLog struct {
 	eventlog.Log
 	t *testing.T
@@ -57,9 +57,9 @@
 	epoch   uint32
 	records [][]byte
 	changed chan struct{}
-	away    bool
-	// reads counts reads and loads of the newest state.
-	reads int
+	unavailable    bool
+	// calls counts calls and loads of the newest state.
+	calls int
 }
 
 func newRestoredLog(t *testing.T) *restoredLog {
@@ -75,12 +75,12 @@
 func (l *restoredLog) write(version uint64) eventlog.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.records = append(l.records, document(l.t, version, 10))
+	l.records = append(l.records, documentRecord(l.t, version, 10))
 	l.wake()
 	return eventlog.At(l.epoch, uint64(len(l.records)))
 }
 
-// restore goes back to the first n records.
+// restore truncates the log to its first n records in a new epoch.
 func (l *restoredLog) restore(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,10 +89,10 @@
 	l.wake()
 }
 
-func (l *restoredLog) setAway(away bool) {
+func (l *restoredLog) setUnavailable(away bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.away = away
+	l.unavailable = away
 	l.wake()
 }
 
@@ -102,10 +102,10 @@
 	return len(l.records)
 }
 
-func (l *restoredLog) calls() int {
+func (l *restoredLog) callCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.reads
+	return l.calls
 }
 
 // Read implements eventlog.Log.
@@ -116,9 +116,9 @@
 	for first := true; ; first = false {
 		l.mu.Lock()
 		if first {
-			l.reads++
+			l.calls++
 		}
-		away, epoch, changed := l.away, l.epoch, l.changed
+		away, epoch, changed := l.unavailable, l.epoch, l.changed
 		records := l.records[min(len(l.records), int(eventlog.Index(from))-1):]
 		l.mu.Unlock()
 		switch {
@@ -143,14 +143,14 @@
 	}
 }
 
-// latest is what Options.LoadCheckpoint returns.
-func (l *restoredLog) latest(context.Context) (*fold.State, error) {
+// latestState implements Options.LoadCheckpoint.
+func (l *restoredLog) latestState(context.Context) (*fold.State, error) {
 	time.Sleep(4 * time.Millisecond)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reads++
+	l.calls++
 	switch n := len(l.records); {
-	case l.away:
+	case l.unavailable:
 		return nil, eventlog.ErrUnavailable
 	case n == 0:
 		return fold.EmptyAt(eventlog.At(l.epoch, 0)), nil
@@ -159,17 +159,17 @@
 	}
 }
 
-// newRestoredFleet is a fleet over a log that is restored now and then. No node may go back
-// to an older document.
+// newRestoredFleet returns a fleet over a log that the test restores. It fails the test if a node
+// goes back to an older document.
 func newRestoredFleet(t *testing.T, log *restoredLog, size, zones int) *fleet {
 	f := newFleet(t, size, zones, func(o *Options) {
-		o.LogReportsRestores, o.LoadCheckpoint = true, log.latest
+		o.LogReportsRestores, o.LoadCheckpoint = true, log.latestState
 		check := o.OnState
 		highest := uint64(0)
 		o.OnState = func(st *fold.State) {
 			check(st)
 			if v := st.Document().GetVersion(); v < highest {
-				t.Errorf("%s: document fell from version %d to %d", o.Host, highest, v)
+				t.Errorf("%s: document went back from version %d to %d", o.Host, highest, v)
 			} else {
 				highest = v
 			}
@@ -181,7 +181,8 @@
 	return f
 }
 
-// awaitVersion lets time pass until all live nodes have a document in force.
+// awaitVersion waits until all live nodes have a version of the document and returns how long that
+// took.
 func (f *fleet) awaitVersion(version uint64, limit time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -196,7 +197,7 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > limit {
-			f.t.Fatalf("%d nodes lack version %d after %v", lacking, version, limit)
+			f.t.Fatalf("%d nodes have not reached version %d after %v", lacking, version, limit)
 		}
 		time.Sleep(time.Millisecond)
 		if tick%1000 == 0 {
@@ -205,7 +206,8 @@
 	}
 }
 
-// Guards against versions that are lost, or fall back, over any series of writes, restores, outages and cuts.
+// Over any series of writes, restores, outages and lost connections to the log, no version may be
+// lost and no daemon may go back to an older one.
 func TestRestores_RandomSeries(t *testing.T) {
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
@@ -221,12 +223,12 @@
 					version += 1 + rnd.Uint64N(4)
 					log.write(version)
 				case 2:
-					log.setAway(true)
+					log.setUnavailable(true)
 					time.Sleep(time.Duration(rnd.IntN(3000)) * time.Millisecond)
 					log.restore(rnd.IntN(log.len() + 1))
-					log.setAway(false)
+					log.setUnavailable(false)
 					time.Sleep(time.Duration(rnd.IntN(2000)) * time.Millisecond)
-					// The operator writes again what was lost.
+					// The operator writes the lost document again.
 					log.write(version)
 				case 3:
 					log.restore(rnd.IntN(log.len() + 1))
@@ -251,8 +253,8 @@
 	}
 }
 
-// Guards against a version that is written right behind a restore and comes late: 2 s are the bound.
-func TestRestore_NextVersionComesInTime(t *testing.T) {
+// A version written right after a restore must reach all daemons within 2 s.
+func TestRestore_NextVersionArrivesInTime(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 11))
@@ -263,11 +265,12 @@
 				log.write(version + 1)
 			}
 			f.awaitVersion(8, 10*time.Second)
-			log.setAway(true)
+			log.setUnavailable(true)
 			time.Sleep(3 * time.Second)
 			log.restore(3 + rnd.IntN(4))
-			log.setAway(false)
-			// Calm hosts are in touch with the store three seconds after its return.
+			log.setUnavailable(false)
+			// Hosts in normal operation are connected to the store again three seconds after its
+			// return.
 			time.Sleep(3 * time.Second)
 			log.write(9)
 			took := f.awaitVersion(9, 10*time.Second)
@@ -279,7 +282,7 @@
 	}
 }
 
-// What a restore costs grows with the fleet at most: reads with the zones, bytes with the nodes.
+// The cost of a restore may grow at most linearly: reads with the zones, bytes with the nodes.
 func TestRestore_Cost(t *testing.T) {
 	for _, c := range []struct{ size, zones int }{{14, 4}, {90, 4}, {910, 8}} {
 		synctest.Test(t, func(t *testing.T) {
@@ -290,7 +293,7 @@
 				log.write(version + 1)
 			}
 			f.awaitVersion(8, 10*time.Second)
-			reads, pulls, bytes := log.calls(), f.traffic.pulls.Load(), f.traffic.bytes.Load()
+			reads, pulls, bytes := log.callCount(), f.traffic.pulls.Load(), f.traffic.bytes.Load()
 			log.restore(4)
 			f.await(eventlog.At(2, 4), 20*time.Second)
 			for range 5 {
@@ -298,17 +301,18 @@
 				f.probe()
 			}
 			perNode := (f.traffic.bytes.Load() - bytes) / int64(c.size)
-			t.Logf("%d nodes: %d reads, %.1f pulls a node, %d bytes a node", c.size, log.calls()-reads,
+			t.Logf("%d nodes: %d reads, %.1f pulls per node, %d bytes per node", c.size, log.callCount()-reads,
 				float64(f.traffic.pulls.Load()-pulls)/float64(c.size), perNode)
-			// Readers poll each 2 s, and make two calls at the restore.
-			must.LessEq(t, c.zones*2*6, log.calls()-reads)
+			// Readers poll every 2 s and make two calls at the restore.
+			must.LessEq(t, c.zones*2*6, log.callCount()-reads)
 			must.LessEq(t, 10<<10, perNode)
 		})
 	}
 }
 
-// Guards against a daemon that started from an older copy, at the offset of those that know better.
-func TestRestore_DaemonThatStartsFromTheCopy(t *testing.T) {
+// A daemon starts from a restored log, at the same offset as daemons that kept a newer document. It
+// must obtain that document from them.
+func TestRestore_DaemonStartedFromRestoredLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := newRestoredLog(t)
 		f := newRestoredFleet(t, log, 5, 2)
@@ -321,7 +325,7 @@
 		f.awaitVersion(4, 10*time.Second)
 		log.restore(2)
 		f.await(eventlog.At(2, 2), 10*time.Second)
-		st, err := log.latest(t.Context())
+		st, err := log.latestState(t.Context())
 		must.NoError(t, err)
 		late.dead.Store(false)
 		late.run()
--- a/spread/sessions_test.go
+++ b/spread/sessions_test.go
@@ -18,14 +18,14 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// wire counts the connections of a pool and the bytes on them.
-type wire struct {
+// connCounters counts the connections of a pool and the bytes on them.
+type connCounters struct {
 	dials, bytes atomic.Int64
 }
 
 type countedConn struct {
 	net.Conn
-	w *wire
+	w *connCounters
 }
 
 func (c countedConn) Read(b []byte) (int, error) {
@@ -40,15 +40,15 @@
 	return n, err
 }
 
-// connect serves handlers on loopback and returns Peers that reach them.
-func connect(tb testing.TB, push, pull peer.HandlerFunc) (*PoolPeers, netip.AddrPort, *wire) {
+// connect serves handlers on the loopback interface and returns Peers that reach them.
+func connect(tb testing.TB, push, pull peer.HandlerFunc) (*PoolPeers, netip.AddrPort, *connCounters) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(tb, err)
 	srv := peer.NewServer(peer.DefaultServerOptions())
 	srv.Handle(peerpb.Kind_KIND_PUSH, push)
 	srv.Handle(peerpb.Kind_KIND_PULL, pull)
 	go func() { _ = srv.Serve(ln) }()
-	w := &wire{}
+	w := &connCounters{}
 	opts := peer.DefaultPoolOptions()
 	opts.Dial = func(ctx context.Context, addr netip.AddrPort) (net.Conn, error) {
 		w.dials.Add(1)
@@ -60,12 +60,12 @@
 	return NewPoolPeers(pool), ln.Addr().(*net.TCPAddr).AddrPort(), w
 }
 
-// One daemon's records and whole state reach another over real sessions.
-func TestOverSessions(t *testing.T) {
+// Records and whole states must be transferred between daemons over real sessions.
+func TestPullOverSessions(t *testing.T) {
 	for _, wholeState := range []bool{false, true} {
-		ahead, _ := lone(t)
-		late, _ := lone(t)
-		_, states := logOf(t, 3)
+		ahead, _ := newCounted(t)
+		late, _ := newCounted(t)
+		_, states := recordsAndStates(t, 3)
 		ahead.InstallState(states[1])
 		push(t, ahead, 1, states[1].Chain, "1")
 		push(t, ahead, 2, states[2].Chain, "2")
@@ -75,14 +75,14 @@
 		}
 		peers, addr, _ := connect(t, ahead.HandlePush, ahead.HandlePull)
 		late.opts.Peers = peers
-		late.fetch(addr, 3)
+		late.pullUntil(addr, 3)
 		must.Eq(t, states[3].Chain, late.State().Chain)
 	}
 }
 
-// A session goes silent: the exchange on it runs into its timeout. The next one
-// must go over a new connection and not wait on the dead one.
-func TestSilentSessionIsDropped(t *testing.T) {
+// A session stops responding, and the exchange on it times out. The next exchange must use a new
+// connection.
+func TestTimedOutSessionIsDropped(t *testing.T) {
 	peers, addr, w := connect(t, func(ctx context.Context, _ *peer.Stream) error { <-ctx.Done(); return nil }, nil)
 	for i := range int64(2) {
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -93,8 +93,8 @@
 	}
 }
 
-// BenchmarkPush is one push to one daemon over an open session; wire-B is what
-// the connection carries both ways, TCP headers aside.
+// BenchmarkPush measures one push to one daemon over an open session. wire-B/op is the number of
+// bytes that the connection carries both ways, without TCP headers.
 func BenchmarkPush(b *testing.B) {
 	for _, size := range []int{0, 200, 2_000, 20_000} {
 		b.Run(fmt.Sprintf("record=%d", size), func(b *testing.B) {
@@ -118,8 +118,8 @@
 	}
 }
 
-// BenchmarkPlan ranks a fleet of the size to design for.
-func BenchmarkPlan(b *testing.B) {
+// BenchmarkNewTopology ranks the members of a fleet of the largest supported size.
+func BenchmarkNewTopology(b *testing.B) {
 	var members []*membership.Member
 	for i := range 910 {
 		members = append(members, &membership.Member{
@@ -129,6 +129,6 @@
 	v := &membership.View{Self: members[0], Members: members}
 	b.ReportAllocs()
 	for b.Loop() {
-		newPlan(v, 2)
+		newTopology(v, 2)
 	}
 }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -1,27 +1,26 @@
-// Package spread brings the records of the configuration stream from the
-// platform's log into the folded state of every daemon.
+// Package spread distributes configuration records from the platform's log to every daemon.
 //
-// Readers: in each availability zone the first few live daemons by rendezvous
-// hash read the log. Nobody appoints them. Where views differ, a zone has a
-// reader too many, which costs bytes, or one too few, which the other paths
-// make up for.
+// Readers: in each availability zone the first few live daemons by rendezvous hash read the log.
+// They are not elected: each daemon ranks the members of its own membership view. Where views
+// differ, a zone may have an extra reader, which costs bandwidth, or lack one, which the other
+// paths compensate for.
 //
-// Push: the first reader sends each batch along a tree over its zone's daemons.
-// A push names the daemons below its receiver, so that coverage depends on the
-// root's view alone. The sender takes over the daemons below one that does not
-// acknowledge. The next readers wait a moment for that push and then send its
-// offset along trees of their own, or the records if the push did not come.
+// Push: the first reader of a zone sends each batch along a tree over the daemons of the zone. It
+// is the root of that tree. A push names the daemons below its receiver, so coverage depends on the
+// root's membership view alone. If a daemon does not acknowledge a push, its sender pushes to the
+// daemons below it instead. The other readers wait a short time for that push and then send only
+// its offset along trees of their own, or the records if the push has not arrived.
 //
-// Handoff: a root tells one reader of each other zone its offset a moment
-// later, in case the log failed that zone.
+// Handoff: a root sends its offset to one reader of each other availability zone after a delay, in
+// case that zone cannot read the log.
 //
-// Pull: membership tells with each probe what offset others have; a daemon that
-// is behind pulls from one that is ahead. Who hears of nobody, or finds nobody
-// to pull from, reads the log itself, seldom and with jitter.
+// Pull: each membership probe carries the sender's offset, and a daemon that is behind pulls from
+// one that is ahead. A daemon that receives no probes, or finds no daemon to pull from, reads the
+// log itself, at long and jittered intervals.
 //
-// Whichever way a record comes, it is folded at its offset, after a check that
-// it continues the chain of those before; so no version ever falls, and a daemon
-// that cannot follow stays where it is and says why.
+// A record is applied at its offset whichever way it arrives, after a check that it continues the
+// hash chain of the records before it. The version of a daemon therefore never goes back, and a
+// daemon that cannot apply the next record stays at its version and reports the reason.
 package spread
 
 import (
@@ -39,85 +38,83 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// Status tells how a daemon gets its configuration.
+// Status describes how a daemon receives its configuration.
 type Status struct {
-	// Reader is whether the daemon reads the log for its availability zone.
+	// Reader reports whether the daemon reads the log for its availability zone.
 	Reader bool
-	// KnownOffset is the highest offset heard of anywhere.
+	// KnownOffset is the highest offset known to exist, from any source.
 	KnownOffset uint64
-	// LogError is the latest failure to read the log, empty if the last read
-	// went well.
+	// LogError is the error of the last read from the log, empty if that read succeeded.
 	LogError string
-	// LogErrorSince is when reads began to fail.
+	// LogErrorSince is the time of the first of the current series of failed reads.
 	LogErrorSince time.Time
-	// StuckReason tells why the daemon must stay at its version, empty if it need
-	// not.
+	// StuckReason says why the daemon cannot advance beyond its version, empty if it can.
 	StuckReason string
 }
 
-// Spreader takes part in spreading for one daemon. All methods are safe for
+// Spreader distributes configuration records on behalf of one daemon. All methods are safe for
 // concurrent use.
 type Spreader struct {
 	opts    Options
 	t       tomb.Tomb
 	ctx     context.Context
 	history history
-	packed  packedState
-	plan    atomic.Pointer[plan]
+	packedStates  packedStateCache
+	topology    atomic.Pointer[topology]
 
 	mu     sync.Mutex
 	status Status
-	// logStuck and foldStuck are the two sources of Status.Stuck: what the log
-	// shows, and what was refused from a peer.
-	logStuck, foldStuck string
-	// fromLog is the highest offset that this daemon read from the log or
-	// appended itself.
-	fromLog uint64
-	// spread is the offset up to which this daemon has pushed as a root, or has
-	// left it to others.
-	spread uint64
-	// covered is the highest offset that another root of the own availability
-	// zone pushed with its records.
-	covered uint64
-	// heard is the highest offset that membership told of another daemon.
-	heard uint64
-	// assigned is the highest offset that this daemon spreads in its
-	// availability zone although it is no reader.
-	assigned uint64
-	// candidates are daemons heard to be ahead, the latest last.
-	candidates []candidate
-	lastHeard  time.Time
+	// logStuckReason and applyStuckReason are the two sources of Status.StuckReason: an
+	// inconsistency found in the log, and records that could not be applied. The first takes
+	// precedence.
+	logStuckReason, applyStuckReason string
+	// logOffset is the highest offset that this daemon read from the log or appended itself.
+	logOffset uint64
+	// pushedOffset is the offset up to which this daemon, as a root, has pushed or has left the
+	// push to other roots.
+	pushedOffset uint64
+	// coveredOffset is the highest offset for which another root of this availability zone has
+	// pushed the records.
+	coveredOffset uint64
+	// maxPeerOffset is the highest offset that membership reported for another daemon.
+	maxPeerOffset uint64
+	// assignedOffset is the offset up to which this daemon pushes in its availability zone although
+	// it is not a reader.
+	assignedOffset uint64
+	// pullCandidates are daemons reported to be ahead, the most recent report last.
+	pullCandidates []pullCandidate
+	lastContact  time.Time
 	relayed    recentPushes
 
-	readWake, rootWake, handoffWake, pullWake, carryWake loop.Wake
+	readWake, pushWake, handoffWake, pullWake, reconcileWake loop.Wake
 
-	// fetching has room for one pull: one at a time is enough, and keeps a
-	// daemon that many digests reach from pulling the same records from all.
-	fetching chan struct{}
-	// serving bounds the pulls that are answered at once, pushing the pushes
-	// that this daemon is the root of.
-	serving, pushing chan struct{}
+	// pullSem admits one pull at a time. It keeps a daemon that receives many digests from pulling
+	// the same records from every sender.
+	pullSem chan struct{}
+	// serveSem limits the pulls answered concurrently, pushSem the concurrent pushes of which this
+	// daemon is the root.
+	serveSem, pushSem chan struct{}
 }
 
-// New returns a Spreader without a state. Until Start it folds nothing, but
-// passes pushes on.
+// New returns a Spreader without a state. Until InstallState is called it applies no records but
+// still relays pushes.
 func New(opts Options) *Spreader {
 	s := &Spreader{
 		opts:        opts,
-		lastHeard:   time.Now(),
+		lastContact:   time.Now(),
 		relayed:     newRecentPushes(),
 		readWake:    loop.NewWake(),
-		rootWake:    loop.NewWake(),
+		pushWake:    loop.NewWake(),
 		handoffWake: loop.NewWake(),
 		pullWake:    loop.NewWake(),
-		carryWake:   loop.NewWake(),
-		fetching:    make(chan struct{}, 1),
-		serving:     make(chan struct{}, maxServedPulls),
-		pushing:     make(chan struct{}, maxRootPushes),
+		reconcileWake:   loop.NewWake(),
+		pullSem:    make(chan struct{}, 1),
+		serveSem:     make(chan struct{}, maxServedPulls),
+		pushSem:     make(chan struct{}, maxRootPushes),
 	}
 	s.ctx = s.t.Context(context.Background())
 	s.history.onState = opts.OnState
-	s.history.onRejected = s.noteRejected
+	s.history.onRejected = s.reportRejected
 	return s
 }
 
@@ -125,129 +122,130 @@
 func (s *Spreader) Run(ctx context.Context) error {
 	defer context.AfterFunc(ctx, func() { s.t.Kill(nil) })()
 	s.t.Go(s.readLoop)
-	s.t.Go(s.rootLoop)
+	s.t.Go(s.pushLoop)
 	s.t.Go(s.handoffLoop)
 	s.t.Go(s.pullLoop)
-	s.t.Go(s.carryLoop)
+	s.t.Go(s.reconcileLoop)
 	return s.t.Wait()
 }
 
-// InstallState puts in force the state that recovery decided on. A later call with a
-// newer state, say from a checkpoint, moves ahead to it; an older one is
-// ignored.
+// InstallState sets the state that the daemon recovered at startup. A later call with a newer
+// state, for example from a checkpoint, replaces the current one; an older state is ignored.
 func (s *Spreader) InstallState(st *fold.State) {
-	if !s.history.adopt(st) {
+	if !s.history.install(st) {
 		return
 	}
-	s.noteKnown(st.Offset)
+	s.raiseKnownOffset(st.Offset)
 	s.mu.Lock()
-	// What a recovered state holds is no news to the others.
-	s.spread = max(s.spread, st.Offset)
+	// The other daemons have the records of a recovered state already: do not push them.
+	s.pushedOffset = max(s.pushedOffset, st.Offset)
 	s.mu.Unlock()
 	s.readWake.Set()
-	s.rootWake.Set()
+	s.pushWake.Set()
 	s.pullWake.Set()
 }
 
-// InstallStateFromLog is Start with a state that the log alone vouches for. If the log was ever
-// restored from an older copy, others may have something newer in force.
+// InstallStateFromLog is InstallState for a state that was built from the log alone. If the log was
+// ever restored from an older copy, that state may lack a newer document that other daemons serve,
+// so those are asked for it.
 func (s *Spreader) InstallStateFromLog(st *fold.State) {
 	s.InstallState(st)
 	if eventlog.Epoch(st.Offset) > 0 {
-		s.carryWake.Set()
+		s.reconcileWake.Set()
 	}
 }
 
-// State returns what is in force, nil before Start.
+// State returns the current state, or nil before InstallState.
 func (s *Spreader) State() *fold.State { return s.history.current() }
 
-// Status returns how the daemon gets its configuration.
+// Status returns the current status.
 func (s *Spreader) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.status
 }
 
-// SetView tells of the live daemons.
+// SetView updates the membership view from which readers and push trees are derived.
 func (s *Spreader) SetView(v *membership.View) {
-	p := newPlan(v, s.opts.ReadersPerZone)
-	s.plan.Store(p)
-	s.updateStatus(func(st *Status) { st.Reader = s.reads() })
+	p := newTopology(v, s.opts.ReadersPerZone)
+	s.topology.Store(p)
+	s.updateStatus(func(st *Status) { st.Reader = s.readsLog() })
 	s.readWake.Set()
-	s.rootWake.Set()
+	s.pushWake.Set()
 }
 
-// ObserveOffset tells that a host has an offset in force, as each probe of membership
-// does. A daemon that is behind pulls from the host.
+// ObserveOffset records the offset that a membership probe reported for a host. A daemon that is
+// behind that offset pulls from the host.
 func (s *Spreader) ObserveOffset(_ string, addr netip.AddrPort, offset uint64) {
 	s.mu.Lock()
-	s.lastHeard = time.Now()
-	s.heard = max(s.heard, offset)
+	s.lastContact = time.Now()
+	s.maxPeerOffset = max(s.maxPeerOffset, offset)
 	s.mu.Unlock()
-	s.noteAhead(addr, offset)
+	s.addPullCandidate(addr, offset)
 }
 
-// touch notes that others can be heard.
-func (s *Spreader) touch() {
+// recordContact resets the time without contact to other daemons, after which the log is read as a
+// fallback.
+func (s *Spreader) recordContact() {
 	s.mu.Lock()
-	s.lastHeard = time.Now()
+	s.lastContact = time.Now()
 	s.mu.Unlock()
 }
 
-// reads reports whether this daemon reads the log all the time.
-func (s *Spreader) reads() bool {
+// readsLog reports whether this daemon readsLog the log continuously.
+func (s *Spreader) readsLog() bool {
 	if s.opts.Mode == ModeDirect {
 		return true
 	}
-	p := s.plan.Load()
+	p := s.topology.Load()
 	return p != nil && p.rank != notRanked
 }
 
-// pushes reports whether this daemon sends what it reads along a tree.
-func (s *Spreader) pushes() bool { return s.opts.Mode == ModeTree }
+// pushesRecords reports whether this daemon pushesRecords new records along a tree.
+func (s *Spreader) pushesRecords() bool { return s.opts.Mode == ModeTree }
 
-// noteKnown tells of an offset that exists.
-func (s *Spreader) noteKnown(offset uint64) {
+// raiseKnownOffset raises Status.KnownOffset to offset if that is higher.
+func (s *Spreader) raiseKnownOffset(offset uint64) {
 	s.updateStatus(func(st *Status) { st.KnownOffset = max(st.KnownOffset, offset) })
 }
 
-// updateStatus changes the status and tells of it.
+// updateStatus applies f to the status and calls OnStatus if the status has changed.
 func (s *Spreader) updateStatus(f func(*Status)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.status
 	f(&s.status)
-	s.status.StuckReason = s.logStuck
+	s.status.StuckReason = s.logStuckReason
 	if s.status.StuckReason == "" {
-		s.status.StuckReason = s.foldStuck
+		s.status.StuckReason = s.applyStuckReason
 	}
 	if s.status != old {
 		s.opts.OnStatus(s.status)
 	}
 }
 
-// jitter returns a random part of d.
+// jitter returns a random duration in [0, d).
 func (s *Spreader) jitter(d time.Duration) time.Duration {
 	return time.Duration(s.opts.Rand() * float64(d))
 }
 
-// aroundHalf returns d, longer or shorter by up to half.
-func (s *Spreader) aroundHalf(d time.Duration) time.Duration { return d/2 + s.jitter(d) }
+// jitterAround returns a random duration in [d/2, 3d/2).
+func (s *Spreader) jitterAround(d time.Duration) time.Duration { return d/2 + s.jitter(d) }
 
-// Bounds of the wait between two tries.
+// Bounds of the backoff between attempts. Full jitter draws the wait from zero up to them.
 const (
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// backoff returns the wait after a number of failures in a row, with full
-// jitter, so that daemons that failed together do not come back together.
+// backoff returns the wait after a number of consecutive failures. Full jitter keeps daemons that
+// failed together from retrying together.
 func (s *Spreader) backoff(failures int) time.Duration {
 	d := minBackoff << min(failures, 10)
 	return s.jitter(min(d, maxBackoff))
 }
 
-// sleep waits and reports whether the daemon still runs.
+// sleep waits for d and reports whether the daemon is still running.
 func (s *Spreader) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -19,15 +19,15 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// One change in a calm fleet of the size to design for. All daemons get it by
-// the first readers' pushes within a few hops; each gets the records once, the
-// backup's digest once, and each zone one handoff from each other.
-func TestCalm(t *testing.T) {
+// In a stable fleet of the largest supported size, one change reaches all daemons within a few hops
+// of the first readers' pushes. Each daemon receives the records once and the second reader's
+// digest once, and each zone receives one handoff from each other zone.
+func TestPushCountsInStableFleet(t *testing.T) {
 	const size, zones = 910, 8
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, size, zones, nil)
 		f.run()
-		must.Less(t, 20*time.Millisecond, f.await(f.append(change("a", 0)), time.Second))
+		must.Less(t, 20*time.Millisecond, f.await(f.append(contractChange("a", 0)), time.Second))
 		time.Sleep(time.Second)
 		must.Eq(t, size-zones, f.traffic.pushes.Load())
 		must.Eq(t, size-zones+zones*(zones-1), f.traffic.digests.Load())
@@ -36,9 +36,9 @@
 	})
 }
 
-// Reads at the source grow with zones and not with daemons; in direct mode
-// they grow with daemons.
-func TestReadsAtSource(t *testing.T) {
+// In tree mode the number of reads from the log grows with the zones and not with the daemons. In
+// direct mode it grows with the daemons.
+func TestLogReadsGrowWithZones(t *testing.T) {
 	reads := func(mode Mode, size, zones int) (n uint64) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, size, zones, func(o *Options) { o.Mode = mode })
@@ -56,17 +56,17 @@
 	must.Eq(t, 4*reads(ModeDirect, 80, 4), reads(ModeDirect, 320, 4))
 }
 
-// A tenth of the daemons vanish, half of them without closing their
-// connections, at each of several moments of a push. The views still hold them.
-// No daemon that lives may wait for more than the timeouts of a few levels.
-func TestTenthDiesMidPush(t *testing.T) {
+// A tenth of the daemons fail at each of several moments of a push, half of them without closing
+// their connections, while the views still hold them. No surviving daemon may wait longer than the
+// push timeouts of a few tree levels.
+func TestPushWhileTenthOfDaemonsFail(t *testing.T) {
 	limits := map[Mode]time.Duration{ModeTree: 4 * time.Second, ModeGossip: 30 * time.Second}
 	for mode, limit := range limits {
 		for after := time.Duration(0); after < 3*time.Millisecond; after += 500 * time.Microsecond {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 300, 4, func(o *Options) { o.Mode = mode })
 				f.run()
-				offset := f.append(change("a", 0))
+				offset := f.append(contractChange("a", 0))
 				time.Sleep(after)
 				for i := 0; i < len(f.nodes); i += 10 {
 					f.nodes[i].kill()
@@ -77,12 +77,12 @@
 	}
 }
 
-// The views name dead daemons as inner nodes of the tree; digests and probes are
-// off. Those below must be reached by the push alone.
-func TestPushGoesRoundTheDead(t *testing.T) {
+// The views hold dead daemons that are inner nodes of the tree, and neither digests nor probes are
+// sent. The daemons below them must be reached by the push alone.
+func TestPushBypassesDeadDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 300, 1, func(o *Options) { o.Redundancy = RedundancyNone })
-		f.quiet = true
+		f.noProbes = true
 		f.run()
 		root := f.readers("zone-0")[0]
 		for i, n := range f.nodes {
@@ -90,36 +90,34 @@
 				n.kill()
 			}
 		}
-		f.await(f.append(change("a", 0)), 5*time.Second)
+		f.await(f.append(contractChange("a", 0)), 5*time.Second)
 		must.Zero(t, f.traffic.pulls.Load())
 	})
 }
 
-// The log fails just after an append that one reader has seen. That reader
-// pushes to its zone, hands off to the others, and they push; nobody needs the
-// log.
-func TestLogFailsAfterOneReaderSaw(t *testing.T) {
+// The log fails just after one reader has read a new record. That reader must push to its zone and
+// hand off to the other zones, whose daemons must receive the record without the log.
+func TestLogFailsAfterOneReaderRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 300, 4, nil)
 		f.run()
 		f.cutLogs(f.readers("zone-1")[0])
-		offset := f.append(change("a", 0))
+		offset := f.append(contractChange("a", 0))
 		synctest.Wait()
 		f.svc.SetOutage(true)
 		must.Less(t, time.Second, f.await(offset, 4*time.Second))
 	})
 }
 
-// The reader that alone saw a record pushes to its own zone and dies before it
-// tells the other zones. Their daemons hear of the offset by probes, pull, and
-// their readers push.
-func TestReaderDiesBeforeHandoff(t *testing.T) {
+// The only reader that has read a record pushes to its zone and fails before the handoff to the
+// other zones. Their daemons must find the offset by probes and pull, and their readers push.
+func TestReaderFailsBeforeHandoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 300, 4, nil)
 		f.run()
 		reader := f.readers("zone-1")[0]
 		f.cutLogs(reader)
-		offset := f.append(change("a", 0))
+		offset := f.append(contractChange("a", 0))
 		time.Sleep(2 * time.Millisecond)
 		reader.kill()
 		f.svc.SetOutage(true)
@@ -127,28 +125,28 @@
 	})
 }
 
-// The first reader of a zone is dead in fact but not yet in the views. The
-// second waits for its push in vain and sends the records itself.
+// The first reader of a zone has failed but is still in the views. The second reader must send the
+// records itself after it has waited for the first one's push.
 func TestSecondReaderTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 300, 1, nil)
-		f.quiet = true
+		f.noProbes = true
 		f.run()
 		f.readers("zone-0")[0].kill()
-		f.await(f.append(change("a", 0)), time.Second)
+		f.await(f.append(contractChange("a", 0)), time.Second)
 		must.Zero(t, f.traffic.digests.Load())
 	})
 }
 
-// A publisher's daemon holds what it appended when the log fails before any
-// reader read. It spreads the record itself.
-func TestAppendedSpreadsWithoutLog(t *testing.T) {
+// The log fails after a daemon has appended a record and before any reader has read it. The
+// appending daemon must distribute the record itself.
+func TestAppendedRecordIsPushedWithoutLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 100, 4, nil)
 		f.run()
-		f.quiet = true
+		f.noProbes = true
 		f.cutLogs(nil)
-		offset := f.append(change("a", 0))
+		offset := f.append(contractChange("a", 0))
 		records, err := f.log.Read(t.Context(), offset, 1, 0)
 		must.NoError(t, err)
 		f.nodes[5].Appended(offset, records[0].Data)
@@ -156,31 +154,31 @@
 	})
 }
 
-// A daemon that hears of nobody reads the log itself after the time set, and
-// then no more often than that.
-func TestIsolatedReadsLog(t *testing.T) {
+// A daemon without contact to others must read the log itself after OwnReadAfter, and then no more
+// often than that.
+func TestIsolatedDaemonReadsLog(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 10, 1, func(o *Options) { o.Mode, o.OwnReadAfter = ModeGossip, 30*time.Second })
 		f.run()
-		offset := f.append(change("a", 0))
+		offset := f.append(contractChange("a", 0))
 		time.Sleep(50 * time.Second)
-		must.Zero(t, f.lacking(offset))
-		// Two readers: a poll and a check each 10 s; eight others: at most once
-		// in 15 s.
+		must.Zero(t, f.countBehind(offset))
+		// Two readers poll and check the end every 10 s; eight other daemons read at most once per
+		// 15 s.
 		must.LessEq(t, 2*2*6+8*4, f.svc.Counters().Reads)
 	})
 }
 
-// The log has dropped what a daemon lacks. A peer gives the state; without
-// peers the platform's checkpoint does.
-func TestPassedByRetention(t *testing.T) {
+// The log no longer retains the records that a daemon lacks. The daemon must obtain the state from
+// another daemon, or without one from the platform's checkpoint.
+func TestLogNoLongerRetainsNextRecord(t *testing.T) {
 	for _, alone := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 2, 1, nil)
 			st := fold.Empty()
 			for i := range uint64(5) {
-				f.append(change(string('a'+rune(i)), i))
-				st = f.folded(st, i+1)
+				f.append(contractChange(string('a'+rune(i)), i))
+				st = f.applyLogged(st, i+1)
 			}
 			f.log.Cut(4)
 			late, peer := f.nodes[0], f.nodes[1]
@@ -194,16 +192,16 @@
 	}
 }
 
-// The log loses its end, with an outage or without, grows past the version in
-// force with other records, and is read on. The daemon must stay and say why:
-// by offsets alone it would mix the two logs.
-func TestLogWentBack(t *testing.T) {
+// The log loses its end, with or without an outage, and is then written beyond the daemon's offset
+// with other records. The daemon must stay at its version and report the reason; by offsets alone
+// it would apply a mix of the two logs.
+func TestLogRegressed(t *testing.T) {
 	for _, outage := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFleet(t, 1, 1, nil)
 			f.run()
-			f.append(change("a", 0))
-			f.await(f.append(change("b", 1)), time.Second)
+			f.append(contractChange("a", 0))
+			f.await(f.append(contractChange("b", 1)), time.Second)
 			f.svc.SetOutage(outage)
 			time.Sleep(time.Second)
 			must.Eq(t, outage, f.nodes[0].Status().LogError != "")
@@ -211,8 +209,8 @@
 			f.svc.SetOutage(false)
 			time.Sleep(20 * time.Second)
 			must.StrContains(t, f.nodes[0].Status().StuckReason, "log ends before it")
-			f.append(change("c", 1))
-			f.append(change("d", 2))
+			f.append(contractChange("c", 1))
+			f.append(contractChange("d", 2))
 			time.Sleep(20 * time.Second)
 			must.StrContains(t, f.nodes[0].Status().StuckReason, "another record")
 			must.Eq(t, 2, f.nodes[0].State().Offset)
@@ -220,14 +218,14 @@
 	}
 }
 
-// Old programs meet a record of a newer rule in the log and in pushes. They stay
-// before the record, say so, and do not go on asking the log for it.
-func TestUnknownRule(t *testing.T) {
+// Daemons of an old program receive a record of a newer rule version from the log and in pushes.
+// They must stay before the record, report the reason, and not read it from the log over and over.
+func TestUnknownRuleBlocksDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 20, 1, nil)
 		f.run()
-		f.await(f.append(change("a", 0)), time.Second)
-		rec := change("b", 1)
+		f.await(f.append(contractChange("a", 0)), time.Second)
+		rec := contractChange("b", 1)
 		rec.RuleVersion = fold.RuleVersion + 1
 		f.append(rec)
 		for _, n := range f.nodes {
@@ -245,16 +243,16 @@
 	})
 }
 
-// A reader starts from a recovered state and reads what others have long had.
-// It must not send the fleet the records again.
-func TestStartedReaderSendsNoOldRecords(t *testing.T) {
+// A reader that starts from a recovered state reads records that the other daemons already have. It
+// must not push those records again.
+func TestStartedReaderPushesNoOldRecords(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 20, 1, nil)
 		f.setViews()
 		late := f.readers("zone-0")[0]
 		late.dead.Store(true)
 		f.run()
-		offset := f.append(change("a", 0))
+		offset := f.append(contractChange("a", 0))
 		f.await(offset, time.Second)
 		time.Sleep(time.Second)
 		before := f.traffic.pushes.Load()
@@ -268,24 +266,23 @@
 	})
 }
 
-// A daemon that drains leaves soon and gives up reading; one that is dead does
-// not count.
-func TestPlanRanksTheLiveThatStay(t *testing.T) {
+// A draining daemon must not be a reader, and a dead one must not be in the tree.
+func TestTopologySkipsDrainingAndDeadDaemons(t *testing.T) {
 	f := newFleet(t, 4, 1, nil)
 	f.setViews()
 	readers := f.readers("zone-0")
 	readers[0].member.Draining = true
 	f.setViews()
-	must.Eq(t, notRanked, readers[0].plan.Load().rank)
-	must.Eq(t, 0, readers[1].plan.Load().rank)
+	must.Eq(t, notRanked, readers[0].topology.Load().rank)
+	must.Eq(t, 0, readers[1].topology.Load().rank)
 	readers[1].member.Liveness = membership.Dead
 	f.setViews()
-	must.Len(t, 2, readers[0].plan.Load().tree)
+	must.Len(t, 2, readers[0].topology.Load().tree)
 }
 
-// Hosts have links of 5 Mbit/s, but for a few. A reader with such a link would be busy
-// with documents while callers wait; those with more read, in all views alike.
-func TestPlanPrefersWideLinks(t *testing.T) {
+// A reader on a slow link would use its bandwidth for documents while callers wait. Hosts with more
+// bandwidth must be the readers, in all views alike.
+func TestTopologyPrefersFastLinks(t *testing.T) {
 	f := newFleet(t, 12, 1, nil)
 	for i, n := range f.nodes {
 		n.member.LinkMbps = 5
@@ -295,11 +292,11 @@
 	}
 	f.setViews()
 	for i, n := range f.nodes {
-		must.Eq(t, i == 4 || i == 7, n.plan.Load().rank != notRanked)
+		must.Eq(t, i == 4 || i == 7, n.topology.Load().rank != notRanked)
 	}
 }
 
-// cutLogs takes the log from all nodes but one.
+// cutLogs removes access to the log from all nodes but one.
 func (f *fleet) cutLogs(except *node) {
 	for _, n := range f.nodes {
 		if n != except {
@@ -309,8 +306,8 @@
 	synctest.Wait()
 }
 
-// folded applies one record of the log to a state.
-func (f *fleet) folded(st *fold.State, offset uint64) *fold.State {
+// applyLogged applies one record of the log to a state.
+func (f *fleet) applyLogged(st *fold.State, offset uint64) *fold.State {
 	records, err := f.log.Read(context.Background(), offset, 1, 0)
 	must.NoError(f.t, err)
 	st, _, err = fold.Apply(st, offset, records[0].Data)
@@ -318,69 +315,68 @@
 	return st
 }
 
-// A record that changes nothing moves the offset like any other, so that a daemon
-// seems to have the newest version. That it was rejected, and why, is told once, and
-// it is counted.
-func TestRejectedRecordIsTold(t *testing.T) {
+// A rejected record advances the offset like any other, so a daemon appears to have the newest
+// version. The rejection and its reasons must be logged and counted once.
+func TestRejectedRecordIsLogged(t *testing.T) {
 	var lines bytes.Buffer
-	meter := &rejections{}
+	meter := &rejectionMeter{}
 	o := DefaultOptions()
 	o.Logger, o.Meter = slog.New(slog.NewTextHandler(&lines, nil)), meter
 	s := New(o)
 	s.InstallState(fold.Empty())
 	b := batch{records: sequencedFrom(1, []byte("no record"), nil)}
-	_, err := s.fold(b, "log")
+	_, err := s.applyBatch(b, "log")
 	must.NoError(t, err)
 	must.Eq(t, 2, s.State().Offset)
-	must.Eq(t, 1, meter.n, must.Sprint("an empty record is no configuration and is passed over quietly"))
+	must.Eq(t, 1, meter.n, must.Sprint("an empty record is not configuration and is not reported"))
 	must.StrContains(t, lines.String(), `msg="spread: record rejected" offset=1 bytes=9 reasons="[the record cannot be read]"`)
 }
 
-// rejections counts the records rejected.
-type rejections struct {
+// rejectionMeter counts rejected records.
+type rejectionMeter struct {
 	NoMeter
 	n int
 }
 
-func (r *rejections) Rejected() { r.n++ }
+func (r *rejectionMeter) Rejected() { r.n++ }
 
-// Reads at the log that fail are told when they begin to and when they cease to, not
-// for each read.
-func TestFailingReadsAreToldOnce(t *testing.T) {
+// Failing reads must be logged when they begin to fail and when they succeed again, not for each
+// read.
+func TestFailingReadsAreLoggedOnce(t *testing.T) {
 	var lines bytes.Buffer
 	o := DefaultOptions()
 	o.Logger = slog.New(slog.NewTextHandler(&lines, nil))
 	s := New(o)
-	for _, err := range []error{nil, errLogWentBack, errLogWentBack, nil, nil} {
-		s.noteLogError(err)
+	for _, err := range []error{nil, errLogRegressed, errLogRegressed, nil, nil} {
+		s.updateLogError(err)
 	}
 	must.Eq(t, 1, strings.Count(lines.String(), "spread: log not read"))
 	must.Eq(t, 1, strings.Count(lines.String(), "spread: log is read again"))
 }
 
-// A version with much that is new comes out while 21 hosts have links of 5 Mbit/s. The
-// copies that a daemon pushes share its link, so that none is acknowledged within a bound
-// that knows nothing of their size: all are given up, pushed again and pulled, over the
-// same links, and callers meet old and new answers in turns for seconds.
+// A version with many changes is published while 21 hosts have links of 5 Mbit/s. The copies that a
+// daemon pushes share its link. With a push timeout that ignores their size, all pushes time out
+// and the records are pushed and pulled again over the same links; for seconds callers receive
+// answers of both the old and the new version.
 func TestLargeChangeOnSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 21, 1, nil)
 		f.linkMbps = 5
-		first := document(t, 1, 100)
+		first := documentRecord(t, 1, 100)
 		f.publish(first)
 		for _, n := range f.nodes {
-			n.InstallState(startedWith(t, 1, first))
+			n.InstallState(recoveredState(t, 1, first))
 		}
 		f.run()
-		f.publish(randomDocument(t, 2, 3800))
+		f.publish(randomDocumentRecord(t, 2, 3800))
 		took := f.await(2, 20*time.Second)
-		t.Logf("in force everywhere after %v, %d bytes, %d pulls", took, f.traffic.bytes.Load(), f.traffic.pulls.Load())
+		t.Logf("applied by all nodes after %v, %d bytes, %d pulls", took, f.traffic.bytes.Load(), f.traffic.pulls.Load())
 		must.Less(t, 2500*time.Millisecond, took)
 	})
 }
 
-// randomDocument returns the record of a document whose names cannot be packed.
-func randomDocument(t *testing.T, version uint64, routes int) []byte {
+// randomDocumentRecord returns the record of a document with names that do not compress.
+func randomDocumentRecord(t *testing.T, version uint64, routes int) []byte {
 	t.Helper()
 	rnd := rand.New(rand.NewPCG(1, version))
 	d := &configpb.Document{Version: version, Services: []*configpb.DocumentService{{Name: "s"}}}
@@ -395,13 +391,13 @@
 	return data
 }
 
-// A record takes the log's client longer to receive than the usual wait for one, over a
-// narrow link. A reader that ends the read then begins anew, and never has it.
-func TestRecordThatTakesLongToArrive(t *testing.T) {
+// A record takes longer to transfer over a slow link than the usual wait for one. A reader that
+// aborts the read starts over and never receives the record.
+func TestSlowRecordTransferIsNotAborted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		data := document(t, 1, 10)
+		data := documentRecord(t, 1, 10)
 		o := DefaultOptions()
-		o.Log = slowLog{data: data, takes: o.ReadWait + time.Minute}
+		o.Log = slowLog{data: data, delay: o.ReadWait + time.Minute}
 		o.LogReportsRestores = true
 		s := New(o)
 		s.InstallState(fold.Empty())
@@ -411,35 +407,34 @@
 	})
 }
 
-// slowLog is a log whose one record takes a time to arrive.
+// slowLog is a log whose only record takes some time to transfer.
 type slowLog struct {
 	eventlog.Log
 	data  []byte
-	takes time.Duration
+	delay time.Duration
 }
 
 func (l slowLog) Read(ctx context.Context, from eventlog.Offset, _ int, _ time.Duration) ([]eventlog.Record, error) {
 	select {
-	case <-time.After(l.takes):
+	case <-time.After(l.delay):
 		return []eventlog.Record{{Offset: from, Data: l.data}}, nil
 	case <-ctx.Done():
 		return nil, eventlog.Unavailable(ctx.Err())
 	}
 }
 
-// The store goes silent for 3 s just as all readers ask it for the next record: it takes
-// their questions and never answers them. A version comes out once it is back. Callers get
-// the version before from all daemons until the questions are given up, which must not
-// take much longer than the outage.
-func TestSilentLogDoesNotHoldReadersForLong(t *testing.T) {
+// The log's store stops responding for 3 s just as all readers wait for the next record, and a
+// version is published when it is back. Readers must not wait for the unanswered reads much longer
+// than the outage, since all daemons serve the previous version meanwhile.
+func TestUnresponsiveLogDelaysReadersBriefly(t *testing.T) {
 	const (
 		outage = 3 * time.Second
-		// clientSlack is after how long beyond its wait a log's client ends a read.
+		// clientSlack is how long after its wait the log's client aborts a read.
 		clientSlack = 2 * time.Second
 	)
 	synctest.Test(t, func(t *testing.T) {
 		o := DefaultOptions()
-		o.Log = &silentLog{back: time.Now().Add(outage), slack: clientSlack, data: document(t, 1, 10)}
+		o.Log = &unresponsiveLog{availableAt: time.Now().Add(outage), slack: clientSlack, data: documentRecord(t, 1, 10)}
 		o.LogReportsRestores, o.Mode = true, ModeDirect
 		s := New(o)
 		s.InstallState(fold.Empty())
@@ -447,22 +442,22 @@
 		done := make(chan error, 1)
 		go func() { done <- s.Run(ctx) }()
 		time.Sleep(outage + clientSlack)
-		must.Eq(t, 1, s.State().Offset, must.Sprint("the reader still waits for an answer that never comes"))
+		must.Eq(t, 1, s.State().Offset, must.Sprint("the reader still waits for an unanswered read"))
 		stop()
 		must.NoError(t, <-done)
 	})
 }
 
-// silentLog answers no read that begins before it is back.
-type silentLog struct {
+// unresponsiveLog does not answer reads that begin before availableAt.
+type unresponsiveLog struct {
 	eventlog.Log
-	back  time.Time
+	availableAt  time.Time
 	slack time.Duration
 	data  []byte
 }
 
-func (l *silentLog) Read(ctx context.Context, from eventlog.Offset, _ int, wait time.Duration) ([]eventlog.Record, error) {
-	silent := time.Now().Before(l.back)
+func (l *unresponsiveLog) Read(ctx context.Context, from eventlog.Offset, _ int, wait time.Duration) ([]eventlog.Record, error) {
+	silent := time.Now().Before(l.availableAt)
 	if !silent && from == 1 {
 		return []eventlog.Record{{Offset: 1, Data: l.data}}, nil
 	}
--- a/spread/start_test.go
+++ b/spread/start_test.go
@@ -15,101 +15,99 @@
 )
 
 const (
-	// startRoutes is a document of 251 kB, near the largest record that the log in memory takes.
+	// startRoutes is the number of routes of a document of 251 kB, near the largest record that
+	// memlog accepts.
 	startRoutes = 4000
-	// deltaBytes bounds the change of one route, in bytes: two packets.
-	deltaBytes = 2 << 10
+	// maxDeltaBytes limits the message of a change to one route, in bytes: two packets.
+	maxDeltaBytes = 2 << 10
 )
 
-// All daemons of a fleet have just started, after a loss of power or a rollout. They
-// recovered the document in force as a state and saw no record of it. The next version
-// changes one route, and callers' requests wait behind it on links of 5 Mbit/s: no
-// daemon had a record to pack it with, and the push held 55,335 bytes.
-func TestFirstChangeAfterStartTravelsAsChange(t *testing.T) {
-	st := startedWith(t, 7, document(t, 1, startRoutes))
-	ahead, _ := lone(t)
-	behind, _ := lone(t)
+// All daemons of a fleet have just started and recovered the document as a state, without its
+// record. The next version changes one route. If no daemon has a dictionary for it, the push takes
+// 55,335 bytes, and callers' requests wait behind it on links of 5 Mbit/s.
+func TestFirstChangeAfterStartIsSentAsDelta(t *testing.T) {
+	st := recoveredState(t, 7, documentRecord(t, 1, startRoutes))
+	ahead, _ := newCounted(t)
+	behind, _ := newCounted(t)
 	ahead.InstallState(st)
 	behind.InstallState(st)
-	must.NoError(t, ahead.foldNext(document(t, 2, startRoutes)))
-	m := firstPush(t, ahead, st)
-	must.Less(t, deltaBytes, proto.Size(m))
+	must.NoError(t, ahead.applyNext(documentRecord(t, 2, startRoutes)))
+	m := pushAfter(t, ahead, st)
+	must.Less(t, maxDeltaBytes, proto.Size(m))
 	answer := ahead.servePull(&peerpb.Pull{Offset: st.Offset, Chain: st.Chain[:], TakesPacked: true, HoldsRecord: true})
-	must.Less(t, deltaBytes, proto.Size(answer))
+	must.Less(t, maxDeltaBytes, proto.Size(answer))
 	must.NoError(t, behind.servePush(m, func(*peerpb.PushAck) error { return nil }))
 	must.Eq(t, ahead.State().Chain, behind.State().Chain)
 }
 
-// One daemon still holds the record of the document in force and packs the next version
-// with it; its neighbor has just started. Callers there are served by the old version
-// until a pull has brought the new one whole: the push could not be unpacked (record
-// before a packed one is not at hand).
-func TestStartedDaemonUnpacksAChange(t *testing.T) {
-	first := document(t, 1, startRoutes)
-	ahead, _ := lone(t)
+// One daemon holds the record of the current document and packs the next version with it as
+// dictionary; its neighbor has just started from the state. If the neighbor cannot unpack the push,
+// it serves the old version until it has pulled the whole new one.
+func TestStartedDaemonUnpacksDelta(t *testing.T) {
+	first := documentRecord(t, 1, startRoutes)
+	ahead, _ := newCounted(t)
 	ahead.InstallState(fold.Empty())
-	must.NoError(t, ahead.foldNext(first))
+	must.NoError(t, ahead.applyNext(first))
 	st := ahead.State()
-	must.NoError(t, ahead.foldNext(document(t, 2, startRoutes)))
-	behind, _ := lone(t)
-	behind.InstallState(startedWith(t, 1, first))
-	m := firstPush(t, ahead, st)
+	must.NoError(t, ahead.applyNext(documentRecord(t, 2, startRoutes)))
+	behind, _ := newCounted(t)
+	behind.InstallState(recoveredState(t, 1, first))
+	m := pushAfter(t, ahead, st)
 	must.False(t, m.GetPacked()[0].GetAlone())
 	must.NoError(t, behind.servePush(m, func(*peerpb.PushAck) error { return nil }))
 	must.Eq(t, ahead.State().Chain, behind.State().Chain)
 }
 
-// Power returns to 21 hosts with links of 5 Mbit/s; then an operator changes one of
-// 4,000 routes. Callers meet old and new answers in turns until all daemons have the
-// change. It traveled whole: each reader's six pushes shared its link, every push ran
-// into its timeout, and the other 19 daemons pulled. The last had the change after 4.1
-// to 5.1 s, and 5.5 MB had been pushed and pulled.
+// 21 hosts with links of 5 Mbit/s have just started when one of 4,000 routes changes. Sent whole,
+// every push timed out, since each reader's six pushes shared its link, and the other 19 daemons
+// pulled: the last daemon received the change after 4.1 to 5.1 s, and 5.5 MB were pushed and
+// pulled. Until then callers receive answers of both versions.
 func TestFirstChangeAfterStartOnSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 21, 1, nil)
 		f.linkMbps = 5
-		first := document(t, 1, startRoutes)
+		first := documentRecord(t, 1, startRoutes)
 		f.publish(first)
-		st := startedWith(t, 1, first)
+		st := recoveredState(t, 1, first)
 		for _, n := range f.nodes {
 			n.InstallState(st)
 		}
 		f.run()
-		f.publish(document(t, 2, startRoutes))
+		f.publish(documentRecord(t, 2, startRoutes))
 		took := f.await(2, 10*time.Second)
-		t.Logf("in force everywhere after %v, %d bytes, %d pulls", took, f.traffic.bytes.Load(), f.traffic.pulls.Load())
+		t.Logf("applied by all nodes after %v, %d bytes, %d pulls", took, f.traffic.bytes.Load(), f.traffic.pulls.Load())
 		must.Less(t, 2*time.Second, took)
 		must.Zero(t, f.traffic.pulls.Load())
 	})
 }
 
-// What a state holds is not always its last record: that may have changed nothing, or
-// the state may have no document. Then a guess would not unpack at the others; the
-// first record travels alone, and nobody is told that one is held.
-func TestStateWithoutItsRecordSendsAlone(t *testing.T) {
-	rejected, _, err := fold.Apply(startedWith(t, 7, document(t, 5, 100)), 8, document(t, 1, 100))
+// The last record of a state cannot always be derived from it: that record may have been rejected,
+// or the state may have no document. The next record must then be packed without a dictionary,
+// because other daemons could not unpack it, and the daemon must not claim to hold the record.
+func TestUnknownLastRecordIsNotUsedAsDictionary(t *testing.T) {
+	rejected, _, err := fold.Apply(recoveredState(t, 7, documentRecord(t, 5, 100)), 8, documentRecord(t, 1, 100))
 	must.NoError(t, err)
-	_, bundles := logOf(t, 1)
+	_, bundles := recordsAndStates(t, 1)
 	for name, st := range map[string]*fold.State{"record rejected": rejected, "no document": bundles[1]} {
-		ahead, _ := lone(t)
-		behind, _ := lone(t)
+		ahead, _ := newCounted(t)
+		behind, _ := newCounted(t)
 		ahead.InstallState(st)
 		behind.InstallState(st)
 		_, held := behind.history.recordAt(st.Offset)
 		must.False(t, held, must.Sprint(name))
-		must.NoError(t, ahead.foldNext(document(t, 9, 100)), must.Sprint(name))
-		m := firstPush(t, ahead, st)
+		must.NoError(t, ahead.applyNext(documentRecord(t, 9, 100)), must.Sprint(name))
+		m := pushAfter(t, ahead, st)
 		must.True(t, m.GetPacked()[0].GetAlone(), must.Sprint(name))
 		must.NoError(t, behind.servePush(m, func(*peerpb.PushAck) error { return nil }))
 		must.Eq(t, ahead.State().Chain, behind.State().Chain, must.Sprint(name))
 	}
 }
 
-// A daemon that is a record behind the state with which another started gets the whole
-// state: the document there is no record that was read.
-func TestStateIsNotServedAsARecord(t *testing.T) {
-	ahead, _ := lone(t)
-	ahead.InstallState(startedWith(t, 7, document(t, 1, 100)))
+// A daemon is one record behind the state with which another daemon started. It must receive the
+// whole state, because the record derived from the document is not one that was read from the log.
+func TestRecoveredStateIsNotServedAsRecord(t *testing.T) {
+	ahead, _ := newCounted(t)
+	ahead.InstallState(recoveredState(t, 7, documentRecord(t, 1, 100)))
 	answer := ahead.servePull(&peerpb.Pull{Offset: 6, TakesPacked: true, HoldsRecord: true})
 	must.SliceEmpty(t, answer.GetPacked())
 	must.SliceEmpty(t, answer.GetRecords())
@@ -118,8 +116,8 @@
 	must.Eq(t, 7, st.GetOffset())
 }
 
-// startedWith returns the state of a daemon that recovered the document of a record.
-func startedWith(t *testing.T, offset uint64, data []byte) *fold.State {
+// recoveredState returns the state of a daemon that recovered the document of a record.
+func recoveredState(t *testing.T, offset uint64, data []byte) *fold.State {
 	t.Helper()
 	st, err := fold.FromDocument(offset, data)
 	must.NoError(t, err)
@@ -128,45 +126,45 @@
 	return st
 }
 
-// firstPush returns the push of what follows a state.
-func firstPush(t *testing.T, s *Spreader, st *fold.State) *peerpb.Push {
+// pushAfter returns the push of the records that follow a state.
+func pushAfter(t *testing.T, s *Spreader, st *fold.State) *peerpb.Push {
 	t.Helper()
 	b, ok := s.history.after(st.Offset, maxBatchBytes)
 	must.True(t, ok)
 	m := &peerpb.Push{Base: b.base, BaseChain: b.chain[:], Root: "host-1"}
-	m.Records, m.Packed = s.wireForm(b, false)
+	m.Records, m.Packed = s.encodeBatch(b, false)
 	must.Len(t, 1, m.GetPacked())
 	return m
 }
 
-// linkTurn is how much of a message goes out before those of other sessions have their
-// turn, in bytes.
-const linkTurn = 4 << 10
+// linkChunk is how much of a message is sent before the messages of other sessions have their turn,
+// in bytes.
+const linkChunk = 4 << 10
 
-// link is what a node sends over; its messages share it.
+// link is the outgoing link of a node, shared by its messages.
 type link struct {
 	mu   sync.Mutex
-	free time.Time
+	freeAt time.Time
 }
 
-// send takes the time of a message on a link of some Mbit/s, 0 for no bound. It ends
-// early where its sender gives up.
+// send waits for the transfer time of a message on a link of some Mbit/s, 0 for unlimited. It
+// returns early if ctx is done.
 func (l *link) send(ctx context.Context, m proto.Message, mbps int) {
 	if mbps == 0 {
 		return
 	}
-	for left := proto.Size(m); left > 0 && ctx.Err() == nil; left -= linkTurn {
-		time.Sleep(l.take(time.Duration(min(left, linkTurn)*8/mbps) * time.Microsecond))
+	for left := proto.Size(m); left > 0 && ctx.Err() == nil; left -= linkChunk {
+		time.Sleep(l.reserve(time.Duration(min(left, linkChunk)*8/mbps) * time.Microsecond))
 	}
 }
 
-// take occupies the link once it is free and returns how long until that is over.
-func (l *link) take(d time.Duration) time.Duration {
+// reserve occupies the link for d once it is free and returns the time until the end of that.
+func (l *link) reserve(d time.Duration) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); l.free.Before(now) {
-		l.free = now
+	if now := time.Now(); l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(d)
-	return time.Until(l.free)
+	l.freeAt = l.freeAt.Add(d)
+	return time.Until(l.freeAt)
 }
