--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -56,7 +56,7 @@
 	member *membership.Member
 	stop   context.CancelFunc
 	// logDone is canceled when the node loses access to the log.
-	logDone  context.Context
+	logDone context.Context
 	cutLog  context.CancelFunc
 	link    link
 	dead    atomic.Bool
--- a/spread/history.go
+++ b/spread/history.go
@@ -13,7 +13,7 @@
 // Bounds of the batches that wait for the records before them. A batch larger than
 // maxPendingBatchBytes is dropped and pulled again when the records before it have arrived.
 const (
-	maxPendingBatches      = 64
+	maxPendingBatches    = 64
 	maxPendingBatchBytes = 64 << 10
 )
 
@@ -69,10 +69,10 @@
 	// its size in bytes.
 	onRejected func(v fold.Verdict, bytes int)
 
-	mu    sync.Mutex
-	state *fold.State
-	ring  ring
-	pending  []batch
+	mu      sync.Mutex
+	state   *fold.State
+	ring    ring
+	pending []batch
 	// unknownRuleOffset is the offset of a record whose rule version this program does not support,
 	// 0 if there is none.
 	unknownRuleOffset uint64
--- a/spread/pack.go
+++ b/spread/pack.go
@@ -19,11 +19,11 @@
 	minPackBytes = 4 << 10
 	// minDefaultLevelBytes is the size of a record, in bytes, above which it is packed at zstd's
 	// default level if it has a dictionary. The larger the record, the fewer matches the fastest
-	// level finds in the dictionary: a change of one route takes 886 bytes among 8,000 routes (505
-	// kB), 2,345 bytes among 10,000 (632 kB) and 159,999 bytes, or 0.26 s of a link of 5 Mbit/s,
-	// among 16,384 (1 MB). The default level takes 90, 104 and 208 bytes, for up to 3.5 ms and 6 MB
-	// of allocations more, once for all daemons. Without a dictionary it takes up to twice the time
-	// and saves no bytes.
+	// level finds in the dictionary: a change of one route takes 886 bytes among 8,000 routes
+	// (505 kB), 2,345 bytes among 10,000 (632 kB) and 159,999 bytes, or 0.26 s of a link of
+	// 5 Mbit/s, among 16,384 (1 MB). The default level takes 90, 104 and 208 bytes, for up to
+	// 3.5 ms and 6 MB of allocations more, once for all daemons. Without a dictionary it takes up
+	// to twice the time and saves no bytes.
 	minDefaultLevelBytes = 512 << 10
 	// maxUnpackedBytes limits the unpacked size of one frame, in bytes. It equals the limit of a
 	// message between daemons, so that everything that may be sent plain may be sent packed: a
--- a/spread/pack_test.go
+++ b/spread/pack_test.go
@@ -18,8 +18,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// documentRecord returns the record of a version of a documentRecord with many routes, of which each version
-// changes one.
+// documentRecord returns the record of version v of a document with many routes, of which each
+// version changes one.
 func documentRecord(t testing.TB, v uint64, routes int) []byte {
 	t.Helper()
 	names := rand.New(rand.NewPCG(7, 7))
@@ -40,10 +40,10 @@
 	return data
 }
 
-// Versions of a large document are published in quick succession. Sent whole over links of 5
-// Mbit/s, they would leave no bandwidth for callers' requests for seconds. Only the first version
+// Versions of a large document are published in quick succession. Sent whole over links of
+// 5 Mbit/s, they would leave no bandwidth for callers' requests for seconds. Only the first version
 // may be sent whole, packed; each later one must cost a daemon less than a fiftieth of the
-// document's size. Unpacked, the first version took 0.9 of its size per daemon.
+// document's size. Unpacked, the first version takes 0.9 of its size per daemon.
 func TestLargeDocumentsAreSentAsDeltas(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 40, 4, nil)
@@ -64,7 +64,8 @@
 }
 
 // A daemon misses a push and then receives the next one, which is packed with the missed record as
-// dictionary. It must not apply anything wrong, and must pull both records.
+// dictionary. It must relay that push, must not apply a wrongly unpacked record, and must pull both
+// records.
 func TestPackedPushAfterMissedPush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 2, 1, func(o *Options) { o.OwnReadAfter = time.Hour })
@@ -91,7 +92,7 @@
 // A packed push arrives corrupted. It must be refused without a relay, and the state must stay as
 // it was.
 func TestCorruptedPackedPushIsRefused(t *testing.T) {
-	s, relayed := newCounted(t)
+	s, relayed := newCountingSpreader(t)
 	s.InstallState(fold.Empty())
 	before := s.State()
 	frame, err := packFrame(nil, documentRecord(t, 1, 100))
@@ -108,7 +109,7 @@
 // A daemon of an older program does not set takes_packed in its pull and must receive plain
 // records. It treats a packed push as a digest.
 func TestOlderProgramsReceivePlainRecords(t *testing.T) {
-	s, _ := newCounted(t)
+	s, _ := newCountingSpreader(t)
 	s.InstallState(fold.Empty())
 	must.NoError(t, s.applyNext(documentRecord(t, 1, 100)))
 	must.Len(t, 1, s.servePull(&peerpb.Pull{}).GetRecords())
@@ -125,7 +126,7 @@
 // with 5.3 MB of allocations for 4,000 routes and 16 concurrent answers, that host would run short
 // of memory. The answers must share one packed form until the version changes.
 func TestPackedStateIsCached(t *testing.T) {
-	s, _ := newCounted(t)
+	s, _ := newCountingSpreader(t)
 	s.InstallState(recoveredState(t, 7, documentRecord(t, 1, 100)))
 	ask := func() []byte {
 		return s.servePull(&peerpb.Pull{WholeState: true, TakesPacked: true}).GetPackedState()
--- a/spread/pull.go
+++ b/spread/pull.go
@@ -102,7 +102,7 @@
 	maxSilence time.Duration
 	// nextFallbackRead is the earliest time of the next fallback read.
 	nextFallbackRead time.Time
-	failures int
+	failures         int
 }
 
 func (s *Spreader) newPullScheduler() *pullScheduler {
@@ -170,8 +170,8 @@
 	w.pullAt = time.Now().Add(s.backoff(w.failures))
 }
 
-// fallbackRead reads the log as a fallback until it has no more records. Readers skip this because they
-// fallbackRead the log continuously.
+// fallbackRead reads the log until it has no more records. Readers skip this because they read the
+// log continuously.
 func (w *pullScheduler) fallbackRead() {
 	s := w.s
 	w.maxSilence = s.jitterAround(s.opts.OwnReadAfter)
--- a/spread/push.go
+++ b/spread/push.go
@@ -129,7 +129,7 @@
 // isDigest reports whether a push holds an offset but no records.
 func isDigest(m *peerpb.Push) bool { return len(m.GetRecords()) == 0 && len(m.GetPacked()) == 0 }
 
-// startTreePush starts a push along this daemon's tree. It blocks while maxRootPushes are in
+// startTreePush starts a push along this daemon's tree. It blocks while maxRootPushes pushes are in
 // progress.
 func (s *Spreader) startTreePush(m *peerpb.Push, tree []netip.AddrPort) {
 	select {
@@ -164,7 +164,7 @@
 		return sendNothing
 	case s.coveredOffset >= end, s.maxPeerOffset >= end:
 		// Most daemons have the records already: a reader that catches up after its start must not
-		// send the fleet records that it already had.
+		// send records that the fleet already has.
 		return sendDigest
 	}
 	return sendRecords
@@ -241,7 +241,7 @@
 	return err
 }
 
-// handoffLoop hands the offsets that this daemon read from the log off to other availability zones.
+// handoffLoop announces the offsets that this daemon read from the log to other availability zones.
 func (s *Spreader) handoffLoop() error {
 	done := uint64(0)
 	for s.handoffWake.Wait(s.ctx) {
--- a/spread/push_test.go
+++ b/spread/push_test.go
@@ -20,7 +20,7 @@
 // A push that does not continue the applied records, as after a log was written again, must be
 // refused, reported and not relayed. Its sender pushes to the daemons below.
 func TestDivergedPushIsRefused(t *testing.T) {
-	n, relayed := newCounted(t)
+	n, relayed := newCountingSpreader(t)
 	n.InstallState(fold.Empty())
 	must.False(t, push(t, n, 0, fold.Chain{}, "a").GetDiverged())
 	must.Eq(t, 1, relayed.Load())
@@ -40,7 +40,7 @@
 // A daemon of an old program receives a record that it cannot apply. It must relay the push, as the
 // daemons below may run a newer program.
 func TestPushOfUnknownRuleIsRelayed(t *testing.T) {
-	n, relayed := newCounted(t)
+	n, relayed := newCountingSpreader(t)
 	n.InstallState(fold.Empty())
 	rec := contractChange("a", 0)
 	rec.RuleVersion = fold.RuleVersion + 1
@@ -52,7 +52,7 @@
 // Two pushes arrive in the wrong order. The later one must wait for the earlier one without a pull.
 func TestReorderedPushes(t *testing.T) {
 	_, states := recordsAndStates(t, 2)
-	n, _ := newCounted(t)
+	n, _ := newCountingSpreader(t)
 	n.InstallState(fold.Empty())
 	must.Eq(t, 0, push(t, n, 1, states[1].Chain, "1").GetOffset())
 	must.Eq(t, 2, push(t, n, 0, fold.Chain{}, "0").GetOffset())
@@ -60,7 +60,7 @@
 
 // Pulls beyond the limit of concurrent answers must be answered as busy.
 func TestConcurrentPullsAreLimited(t *testing.T) {
-	n, _ := newCounted(t)
+	n, _ := newCountingSpreader(t)
 	n.InstallState(fold.Empty())
 	push(t, n, 0, fold.Chain{}, "a")
 	for range maxServedPulls {
@@ -78,7 +78,7 @@
 // A sender repeats a push after a timeout. Relaying it again would double the traffic at each level
 // of the tree.
 func TestRepeatedPushIsRelayedOnce(t *testing.T) {
-	n, relayed := newCounted(t)
+	n, relayed := newCountingSpreader(t)
 	n.InstallState(fold.Empty())
 	for range 3 {
 		push(t, n, 0, fold.Chain{}, "a")
@@ -100,7 +100,7 @@
 		{"no connection", peer.ErrUnreachable, nil, 2},
 		{"refused", nil, &peerpb.PushAck{Diverged: true}, 2},
 	} {
-		n, relayed := newCounted(t)
+		n, relayed := newCountingSpreader(t)
 		n.opts.Peers = peersFunc(func(m *peerpb.Push) (*peerpb.PushAck, error) {
 			relayed.Add(1)
 			if len(m.GetTargets()) > 0 {
@@ -116,7 +116,7 @@
 // A digest reaches a zone that is behind. Each daemon must pull from the daemon above it in the
 // tree, and not all from the root.
 func TestRelayedDigestNamesRelayAsSource(t *testing.T) {
-	n, _ := newCounted(t)
+	n, _ := newCountingSpreader(t)
 	_, states := recordsAndStates(t, 1)
 	n.InstallState(states[1])
 	var source []byte
@@ -141,8 +141,8 @@
 	return nil, errors.New("no peer")
 }
 
-// newCounted returns a Spreader and the number of pushes that it has sent.
-func newCounted(t *testing.T) (*Spreader, *atomic.Int64) {
+// newCountingSpreader returns a Spreader and the number of pushes that it has sent.
+func newCountingSpreader(t *testing.T) (*Spreader, *atomic.Int64) {
 	relayed := new(atomic.Int64)
 	opts := DefaultOptions()
 	opts.Host = "host-0"
--- a/spread/restore.go
+++ b/spread/restore.go
@@ -21,10 +21,10 @@
 	reconcileTimeout = 15 * time.Second
 )
 
-// continueFromRestored continues from the newest state of a log that was restored from an older copy. It
-// loads that state even if another daemon has already continued, because the operator may have
-// written a newer document since. The state is announced to the other daemons, as it may hold a
-// version that they lack.
+// continueFromRestored continues from the newest state of a log that was restored from an older
+// copy. It loads that state even if another daemon has already continued, because the operator may
+// have written a newer document since. The state is announced to the other daemons, as it may hold
+// a version that they lack.
 func (s *Spreader) continueFromRestored(ctx context.Context, cause *eventlog.RestoredError) error {
 	if s.opts.LoadCheckpoint == nil {
 		s.updateLogError(cause)
--- a/spread/restore_test.go
+++ b/spread/restore_test.go
@@ -53,12 +53,12 @@
 	eventlog.Log
 	t *testing.T
 
-	mu      sync.Mutex
-	epoch   uint32
-	records [][]byte
-	changed chan struct{}
-	unavailable    bool
-	// calls counts calls and loads of the newest state.
+	mu          sync.Mutex
+	epoch       uint32
+	records     [][]byte
+	changed     chan struct{}
+	unavailable bool
+	// calls is the number of reads and of loads of the newest state.
 	calls int
 }
 
--- a/spread/ring.go
+++ b/spread/ring.go
@@ -24,9 +24,9 @@
 	chain fold.Chain
 	// baseRecord is the record at base if it is known from the state installed there, else nil. It
 	// is not an entry: it only serves as the dictionary for the first entry.
-	baseRecord  []byte
-	entries []ringEntry
-	bytes   int
+	baseRecord []byte
+	entries    []ringEntry
+	bytes      int
 }
 
 type ringEntry struct {
@@ -83,7 +83,7 @@
 	return fold.Chain{}, false
 }
 
-// entry returns the entry entry an offset, or nil if the ring does not hold it.
+// entry returns the ring entry for an offset, or nil if the ring does not hold it.
 func (r *ring) entry(offset uint64) *ringEntry {
 	if offset <= r.base || offset > r.base+uint64(len(r.entries)) {
 		return nil
--- a/spread/sessions_test.go
+++ b/spread/sessions_test.go
@@ -63,8 +63,8 @@
 // Records and whole states must be transferred between daemons over real sessions.
 func TestPullOverSessions(t *testing.T) {
 	for _, wholeState := range []bool{false, true} {
-		ahead, _ := newCounted(t)
-		late, _ := newCounted(t)
+		ahead, _ := newCountingSpreader(t)
+		late, _ := newCountingSpreader(t)
 		_, states := recordsAndStates(t, 3)
 		ahead.InstallState(states[1])
 		push(t, ahead, 1, states[1].Chain, "1")
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -55,12 +55,12 @@
 // Spreader distributes configuration records on behalf of one daemon. All methods are safe for
 // concurrent use.
 type Spreader struct {
-	opts    Options
-	t       tomb.Tomb
-	ctx     context.Context
-	history history
-	packedStates  packedStateCache
-	topology    atomic.Pointer[topology]
+	opts         Options
+	t            tomb.Tomb
+	ctx          context.Context
+	history      history
+	packedStates packedStateCache
+	topology     atomic.Pointer[topology]
 
 	mu     sync.Mutex
 	status Status
@@ -83,8 +83,8 @@
 	assignedOffset uint64
 	// pullCandidates are daemons reported to be ahead, the most recent report last.
 	pullCandidates []pullCandidate
-	lastContact  time.Time
-	relayed    recentPushes
+	lastContact    time.Time
+	relayed        recentPushes
 
 	readWake, pushWake, handoffWake, pullWake, reconcileWake loop.Wake
 
@@ -100,17 +100,17 @@
 // still relays pushes.
 func New(opts Options) *Spreader {
 	s := &Spreader{
-		opts:        opts,
+		opts:          opts,
 		lastContact:   time.Now(),
-		relayed:     newRecentPushes(),
-		readWake:    loop.NewWake(),
-		pushWake:    loop.NewWake(),
-		handoffWake: loop.NewWake(),
-		pullWake:    loop.NewWake(),
-		reconcileWake:   loop.NewWake(),
-		pullSem:    make(chan struct{}, 1),
-		serveSem:     make(chan struct{}, maxServedPulls),
-		pushSem:     make(chan struct{}, maxRootPushes),
+		relayed:       newRecentPushes(),
+		readWake:      loop.NewWake(),
+		pushWake:      loop.NewWake(),
+		handoffWake:   loop.NewWake(),
+		pullWake:      loop.NewWake(),
+		reconcileWake: loop.NewWake(),
+		pullSem:       make(chan struct{}, 1),
+		serveSem:      make(chan struct{}, maxServedPulls),
+		pushSem:       make(chan struct{}, maxRootPushes),
 	}
 	s.ctx = s.t.Context(context.Background())
 	s.history.onState = opts.OnState
@@ -192,7 +192,7 @@
 	s.mu.Unlock()
 }
 
-// readsLog reports whether this daemon readsLog the log continuously.
+// readsLog reports whether this daemon is reading the log continuously.
 func (s *Spreader) readsLog() bool {
 	if s.opts.Mode == ModeDirect {
 		return true
@@ -201,7 +201,7 @@
 	return p != nil && p.rank != notRanked
 }
 
-// pushesRecords reports whether this daemon pushesRecords new records along a tree.
+// pushesRecords reports whether this daemon, as a root, sends new records along a tree.
 func (s *Spreader) pushesRecords() bool { return s.opts.Mode == ModeTree }
 
 // raiseKnownOffset raises Status.KnownOffset to offset if that is higher.
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -451,9 +451,9 @@
 // unresponsiveLog does not answer reads that begin before availableAt.
 type unresponsiveLog struct {
 	eventlog.Log
-	availableAt  time.Time
-	slack time.Duration
-	data  []byte
+	availableAt time.Time
+	slack       time.Duration
+	data        []byte
 }
 
 func (l *unresponsiveLog) Read(ctx context.Context, from eventlog.Offset, _ int, wait time.Duration) ([]eventlog.Record, error) {
--- a/spread/start_test.go
+++ b/spread/start_test.go
@@ -27,8 +27,8 @@
 // 55,335 bytes, and callers' requests wait behind it on links of 5 Mbit/s.
 func TestFirstChangeAfterStartIsSentAsDelta(t *testing.T) {
 	st := recoveredState(t, 7, documentRecord(t, 1, startRoutes))
-	ahead, _ := newCounted(t)
-	behind, _ := newCounted(t)
+	ahead, _ := newCountingSpreader(t)
+	behind, _ := newCountingSpreader(t)
 	ahead.InstallState(st)
 	behind.InstallState(st)
 	must.NoError(t, ahead.applyNext(documentRecord(t, 2, startRoutes)))
@@ -45,12 +45,12 @@
 // it serves the old version until it has pulled the whole new one.
 func TestStartedDaemonUnpacksDelta(t *testing.T) {
 	first := documentRecord(t, 1, startRoutes)
-	ahead, _ := newCounted(t)
+	ahead, _ := newCountingSpreader(t)
 	ahead.InstallState(fold.Empty())
 	must.NoError(t, ahead.applyNext(first))
 	st := ahead.State()
 	must.NoError(t, ahead.applyNext(documentRecord(t, 2, startRoutes)))
-	behind, _ := newCounted(t)
+	behind, _ := newCountingSpreader(t)
 	behind.InstallState(recoveredState(t, 1, first))
 	m := pushAfter(t, ahead, st)
 	must.False(t, m.GetPacked()[0].GetAlone())
@@ -58,10 +58,10 @@
 	must.Eq(t, ahead.State().Chain, behind.State().Chain)
 }
 
-// 21 hosts with links of 5 Mbit/s have just started when one of 4,000 routes changes. Sent whole,
-// every push timed out, since each reader's six pushes shared its link, and the other 19 daemons
-// pulled: the last daemon received the change after 4.1 to 5.1 s, and 5.5 MB were pushed and
-// pulled. Until then callers receive answers of both versions.
+// 21 hosts with links of 5 Mbit/s have just started when one of 4,000 routes changes. If the change
+// is sent whole, every push times out, since each reader's six pushes share its link, and the other
+// 19 daemons pull: the last daemon receives the change after 4.1 to 5.1 s, and 5.5 MB are pushed
+// and pulled. Until then callers receive answers of both versions.
 func TestFirstChangeAfterStartOnSlowLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 21, 1, nil)
@@ -89,8 +89,8 @@
 	must.NoError(t, err)
 	_, bundles := recordsAndStates(t, 1)
 	for name, st := range map[string]*fold.State{"record rejected": rejected, "no document": bundles[1]} {
-		ahead, _ := newCounted(t)
-		behind, _ := newCounted(t)
+		ahead, _ := newCountingSpreader(t)
+		behind, _ := newCountingSpreader(t)
 		ahead.InstallState(st)
 		behind.InstallState(st)
 		_, held := behind.history.recordAt(st.Offset)
@@ -106,7 +106,7 @@
 // A daemon is one record behind the state with which another daemon started. It must receive the
 // whole state, because the record derived from the document is not one that was read from the log.
 func TestRecoveredStateIsNotServedAsRecord(t *testing.T) {
-	ahead, _ := newCounted(t)
+	ahead, _ := newCountingSpreader(t)
 	ahead.InstallState(recoveredState(t, 7, documentRecord(t, 1, 100)))
 	answer := ahead.servePull(&peerpb.Pull{Offset: 6, TakesPacked: true, HoldsRecord: true})
 	must.SliceEmpty(t, answer.GetPacked())
@@ -143,7 +143,7 @@
 
 // link is the outgoing link of a node, shared by its messages.
 type link struct {
-	mu   sync.Mutex
+	mu     sync.Mutex
 	freeAt time.Time
 }
 
--- a/spread/topology.go
+++ b/spread/topology.go
@@ -45,8 +45,8 @@
 }
 
 // rankAsReader returns the sort keys of a member as a reader. Hosts with more bandwidth come first
-// because a reader receives whole documents from the log: 200 kB occupy a link of 5 Mbit/s for 0.3
-// s, and one of 100 Mbit/s for 16 ms.
+// because a reader receives whole documents from the log: 200 kB occupy a link of 5 Mbit/s for
+// 0.3 s, and one of 100 Mbit/s for 16 ms.
 func rankAsReader(m *membership.Member) rankedMember {
 	r := rankedMember{link: m.LinkMbps, hash: membership.Rendezvous(m.Host, readerSeed), member: m}
 	if r.link == 0 {
@@ -86,10 +86,10 @@
 	return p
 }
 
-// topMembers holds the topMembers few members by rank, in order.
+// topMembers lists the highest-ranked members, in order of rank.
 type topMembers []rankedMember
 
-// insert returns f insert r inserted at its position, truncated to n members.
+// insert adds r at its position and returns the list, truncated to n members.
 func (t topMembers) insert(r rankedMember, n int) topMembers {
 	i, _ := slices.BinarySearchFunc(t, r, compareRanked)
 	if i == n {
