--- a/spread/fleet_test.go
+++ b/spread/fleet_test.go
@@ -56,11 +56,11 @@
 	member *membership.Member
 	stop   context.CancelFunc
 	// logDone is canceled when the node loses access to the log.
-	logDone context.Context
-	cutLog  context.CancelFunc
-	link    link
-	dead    atomic.Bool
-	inForce atomic.Uint64
+	logDone       context.Context
+	disconnectLog context.CancelFunc
+	link          link
+	dead          atomic.Bool
+	inForce       atomic.Uint64
 }
 
 func newFleet(t testing.TB, size, zones int, adjust func(*Options)) *fleet {
@@ -73,7 +73,7 @@
 			Host: fmt.Sprintf("host-%d", i), AvailabilityZone: fmt.Sprintf("zone-%d", i%zones), Liveness: membership.Alive,
 			PeerAddr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7000),
 		}}
-		n.logDone, n.cutLog = context.WithCancel(context.Background())
+		n.logDone, n.disconnectLog = context.WithCancel(context.Background())
 		opts := DefaultOptions()
 		opts.Host, opts.AvailabilityZone, opts.Log, opts.Peers = n.member.Host, n.member.AvailabilityZone, n, n
 		opts.OnState = func(st *fold.State) {
@@ -180,8 +180,8 @@
 func (f *fleet) readers(zone string) []*node {
 	list := make([]*node, 2)
 	for _, n := range f.nodes {
-		if p := n.topology.Load(); n.member.AvailabilityZone == zone && p.rank != notRanked {
-			list[p.rank] = n
+		if topo := n.topology.Load(); n.member.AvailabilityZone == zone && topo.rank != notRanked {
+			list[topo.rank] = n
 		}
 	}
 	return list
--- a/spread/history.go
+++ b/spread/history.go
@@ -168,6 +168,8 @@
 	return n + more, err
 }
 
+// applyContiguous applies the new records of a batch that begins at or before the current offset.
+// Otherwise the error is errGap.
 func (h *history) applyContiguous(b batch) (int, error) {
 	if h.state == nil || b.base > h.state.Offset {
 		return 0, errGap
@@ -215,6 +217,7 @@
 	return nil
 }
 
+// applyRecord applies the record that follows the current offset.
 func (h *history) applyRecord(r *configpb.SequencedRecord) error {
 	st, verdict, err := fold.Apply(h.state, r.GetOffset(), r.GetData())
 	if err != nil {
--- a/spread/pull.go
+++ b/spread/pull.go
@@ -78,15 +78,15 @@
 // pullLoop pulls while this daemon is behind, and reads the log as a fallback if no other daemon is
 // in contact or pulls fail.
 func (s *Spreader) pullLoop() error {
-	w := s.newPullScheduler()
+	scheduler := s.newPullScheduler()
 	for s.ctx.Err() == nil {
-		w.schedulePull()
-		timer := time.NewTimer(time.Until(w.next()))
+		scheduler.schedulePull()
+		timer := time.NewTimer(time.Until(scheduler.next()))
 		select {
 		case <-s.ctx.Done():
 		case <-s.pullWake:
 		case <-timer.C:
-			w.runDue()
+			scheduler.runDue()
 		}
 		timer.Stop()
 	}
@@ -110,72 +110,72 @@
 }
 
 // schedulePull sets the time of the next pull, or clears it if the daemon is not behind.
-func (w *pullScheduler) schedulePull() {
+func (p *pullScheduler) schedulePull() {
 	switch {
-	case !w.s.behind():
-		w.pullAt, w.failures = time.Time{}, 0
-	case w.pullAt.IsZero():
-		w.pullAt = time.Now().Add(w.s.jitter(w.s.opts.PullDelay))
+	case !p.s.behind():
+		p.pullAt, p.failures = time.Time{}, 0
+	case p.pullAt.IsZero():
+		p.pullAt = time.Now().Add(p.s.jitter(p.s.opts.PullDelay))
 	}
 }
 
 // next returns when the next pull or fallback read is due.
-func (w *pullScheduler) next() time.Time {
-	read := w.fallbackReadAt()
-	if !w.pullAt.IsZero() && w.pullAt.Before(read) {
-		return w.pullAt
+func (p *pullScheduler) next() time.Time {
+	read := p.fallbackReadAt()
+	if !p.pullAt.IsZero() && p.pullAt.Before(read) {
+		return p.pullAt
 	}
 	return read
 }
 
 // fallbackReadAt returns when a fallback read is due unless another daemon makes contact before.
-func (w *pullScheduler) fallbackReadAt() time.Time {
-	w.s.mu.Lock()
-	at := w.s.lastContact.Add(w.maxSilence)
-	w.s.mu.Unlock()
-	if w.nextFallbackRead.After(at) {
-		return w.nextFallbackRead
+func (p *pullScheduler) fallbackReadAt() time.Time {
+	p.s.mu.Lock()
+	at := p.s.lastContact.Add(p.maxSilence)
+	p.s.mu.Unlock()
+	if p.nextFallbackRead.After(at) {
+		return p.nextFallbackRead
 	}
 	return at
 }
 
 // runDue pulls or reads, whichever is due.
-func (w *pullScheduler) runDue() {
+func (p *pullScheduler) runDue() {
 	now := time.Now()
 	switch {
-	case !w.pullAt.IsZero() && !now.Before(w.pullAt):
-		w.pull()
-	case !now.Before(w.fallbackReadAt()):
-		w.fallbackRead()
+	case !p.pullAt.IsZero() && !now.Before(p.pullAt):
+		p.pull()
+	case !now.Before(p.fallbackReadAt()):
+		p.fallbackRead()
 	}
 }
 
 // pull pulls from a daemon that is ahead. After pullsBeforeRead failures it also reads the log.
-func (w *pullScheduler) pull() {
-	s := w.s
+func (p *pullScheduler) pull() {
+	s := p.s
 	before := s.history.offset()
 	c, ok := s.takePullCandidate()
 	if ok {
 		s.pullUntil(c.addr, c.offset)
 	}
-	if s.history.offset() == before && w.failures >= pullsBeforeRead && !time.Now().Before(w.nextFallbackRead) {
-		w.fallbackRead()
+	if s.history.offset() == before && p.failures >= pullsBeforeRead && !time.Now().Before(p.nextFallbackRead) {
+		p.fallbackRead()
 	}
 	if s.history.offset() > before {
-		w.failures = 0
-		w.pullAt = time.Time{}
+		p.failures = 0
+		p.pullAt = time.Time{}
 		return
 	}
-	w.failures++
-	w.pullAt = time.Now().Add(s.backoff(w.failures))
+	p.failures++
+	p.pullAt = time.Now().Add(s.backoff(p.failures))
 }
 
 // fallbackRead reads the log until it has no more records. Readers skip this because they read the
 // log continuously.
-func (w *pullScheduler) fallbackRead() {
-	s := w.s
-	w.maxSilence = s.jitterAround(s.opts.OwnReadAfter)
-	w.nextFallbackRead = time.Now().Add(w.maxSilence)
+func (p *pullScheduler) fallbackRead() {
+	s := p.s
+	p.maxSilence = s.jitterAround(s.opts.OwnReadAfter)
+	p.nextFallbackRead = time.Now().Add(p.maxSilence)
 	if s.readsLog() || s.State() == nil {
 		return
 	}
@@ -211,9 +211,9 @@
 // pullFromZone pulls from random daemons of this daemon's availability zone and reports whether it
 // has reached an offset.
 func (s *Spreader) pullFromZone(offset uint64) bool {
-	p := s.topology.Load()
-	for i := 0; p != nil && i < min(maxZonePulls, len(p.tree)); i++ {
-		s.pullUntil(p.tree[int(s.opts.Rand()*float64(len(p.tree)))], offset)
+	topo := s.topology.Load()
+	for i := 0; topo != nil && i < min(maxZonePulls, len(topo.tree)); i++ {
+		s.pullUntil(topo.tree[int(s.opts.Rand()*float64(len(topo.tree)))], offset)
 	}
 	return s.history.offset() >= offset
 }
@@ -248,7 +248,7 @@
 }
 
 // applyAnswer applies the state or records of an answer to a pull.
-func (s *Spreader) applyAnswer(asked *fold.State, addr netip.AddrPort, answer *peerpb.PullAnswer) error {
+func (s *Spreader) applyAnswer(requested *fold.State, addr netip.AddrPort, answer *peerpb.PullAnswer) error {
 	m, err := StateOf(answer)
 	if err != nil {
 		return err
@@ -268,12 +268,12 @@
 	if err != nil || len(records) == 0 {
 		return err
 	}
-	b, err := newBatch(answer.GetBase(), asked.Chain[:], records)
+	b, err := newBatch(answer.GetBase(), requested.Chain[:], records)
 	if err != nil {
 		return err
 	}
-	if b.base != asked.Offset {
-		return errors.Wrapf(errMalformed, "requested the records after offset %d, received those after offset %d", asked.Offset, b.base)
+	if b.base != requested.Offset {
+		return errors.Wrapf(errMalformed, "requested the records after offset %d, received those after offset %d", requested.Offset, b.base)
 	}
 	_, err = s.applyBatch(b, addr.String())
 	return err
--- a/spread/push.go
+++ b/spread/push.go
@@ -59,8 +59,8 @@
 // rootRank returns this daemon's position among the roots of its availability zone, 0 first; ok is
 // false if it is not a root. A daemon that is not a reader but has to push comes after all readers.
 func (s *Spreader) rootRank() (rank int, ok bool) {
-	if p := s.topology.Load(); p != nil && p.rank != notRanked {
-		return p.rank, true
+	if topo := s.topology.Load(); topo != nil && topo.rank != notRanked {
+		return topo.rank, true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,24 +91,24 @@
 // pushZone pushes the records that follow an offset along this daemon's tree and returns the offset
 // up to which it pushed.
 func (s *Spreader) pushZone(from uint64) uint64 {
-	p := s.topology.Load()
-	if p == nil {
+	topo := s.topology.Load()
+	if topo == nil {
 		return s.history.offset()
 	}
 	b, ok := s.history.after(from, maxBatchBytes)
 	if !ok {
 		// More records arrived at once than the history holds; the receivers pull the whole state.
-		return s.pushDigest(p)
+		return s.pushDigest(topo)
 	}
 	switch s.contentFor(b.end()) {
 	case sendNothing:
 		return b.end()
 	case sendDigest:
-		return s.pushDigest(p)
+		return s.pushDigest(topo)
 	}
-	m := &peerpb.Push{Base: b.base, BaseChain: b.chain[:], Root: s.opts.Host, Source: encodeAddr(p.self)}
+	m := &peerpb.Push{Base: b.base, BaseChain: b.chain[:], Root: s.opts.Host, Source: encodeAddr(topo.self)}
 	m.Records, m.Packed = s.encodeBatch(b, false)
-	s.startTreePush(m, p.tree)
+	s.startTreePush(m, topo.tree)
 	return b.end()
 }
 
@@ -171,16 +171,19 @@
 }
 
 // pushDigest sends the current offset along this daemon's tree and returns it.
-func (s *Spreader) pushDigest(p *topology) uint64 {
-	m := s.newDigest(p)
-	s.startTreePush(m, p.tree)
+func (s *Spreader) pushDigest(topo *topology) uint64 {
+	m := s.newDigest(topo)
+	s.startTreePush(m, topo.tree)
 	return m.GetBase()
 }
 
-func (s *Spreader) newDigest(p *topology) *peerpb.Push {
-	return &peerpb.Push{Base: s.history.offset(), Root: s.opts.Host, Source: encodeAddr(p.self)}
+// newDigest returns a push of the current offset without records.
+func (s *Spreader) newDigest(topo *topology) *peerpb.Push {
+	return &peerpb.Push{Base: s.history.offset(), Root: s.opts.Host, Source: encodeAddr(topo.self)}
 }
 
+// isCovered reports whether another root of this availability zone has pushed the records up to an
+// offset.
 func (s *Spreader) isCovered(offset uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -243,35 +246,35 @@
 
 // handoffLoop announces the offsets that this daemon read from the log to other availability zones.
 func (s *Spreader) handoffLoop() error {
-	done := uint64(0)
+	announced := uint64(0)
 	for s.handoffWake.Wait(s.ctx) {
 		s.mu.Lock()
-		fromLog := s.logOffset
+		logOffset := s.logOffset
 		s.mu.Unlock()
-		if fromLog <= done || !s.pushesRecords() {
+		if logOffset <= announced || !s.pushesRecords() {
 			continue
 		}
 		if !s.sleep(s.opts.BackupDelay) {
 			return nil
 		}
-		done = fromLog
-		p := s.topology.Load()
-		if p == nil || p.rank != 0 && s.isCovered(fromLog) {
+		announced = logOffset
+		topo := s.topology.Load()
+		if topo == nil || topo.rank != 0 && s.isCovered(logOffset) {
 			// The root that covered this zone does the handoff.
 			continue
 		}
-		s.handoff(p)
+		s.handoff(topo)
 	}
 	return nil
 }
 
 // handoff sends the current offset to one daemon of each other availability zone, which then pushes
 // in its zone.
-func (s *Spreader) handoff(p *topology) {
-	m := s.newDigest(p)
+func (s *Spreader) handoff(topo *topology) {
+	m := s.newDigest(topo)
 	m.Handoff = true
 	var wg sync.WaitGroup
-	for _, zone := range p.zones {
+	for _, zone := range topo.zones {
 		wg.Go(func() {
 			for _, addr := range zone[:min(maxHandoffTargets, len(zone))] {
 				if s.pushOne(m, addr, nil) == nil {
--- a/spread/read.go
+++ b/spread/read.go
@@ -200,6 +200,8 @@
 	return nil
 }
 
+// reportLogRegressed sets the stuck reason for a log that no longer holds the record of st, and
+// returns errLogRegressed.
 func (s *Spreader) reportLogRegressed(st *fold.State, reason string) error {
 	s.setLogStuck(fmt.Sprintf("version %d is in force, but %s", st.Offset, reason))
 	return errLogRegressed
@@ -256,6 +258,7 @@
 
 func (s *Spreader) setApplyStuck(reason string) { s.setStuck(&s.applyStuckReason, reason) }
 
+// setStuck sets one of the two reasons behind Status.StuckReason, empty for none, and logs a new one.
 func (s *Spreader) setStuck(field *string, reason string) {
 	s.mu.Lock()
 	changed := *field != reason
--- a/spread/receive.go
+++ b/spread/receive.go
@@ -86,9 +86,9 @@
 		Base: m.GetBase(), BaseChain: m.GetBaseChain(), Records: m.GetRecords(),
 		Root: m.GetRoot(), Depth: m.GetDepth(), Source: m.GetSource(), Packed: m.GetPacked(),
 	}
-	if p := s.topology.Load(); p != nil && s.history.offset() >= end {
+	if topo := s.topology.Load(); topo != nil && s.history.offset() >= end {
 		// The daemons below pull from this daemon instead of all from the root.
-		next.Source = encodeAddr(p.self)
+		next.Source = encodeAddr(topo.self)
 	}
 	s.pushTree(next, targets)
 }
--- a/spread/restore.go
+++ b/spread/restore.go
@@ -67,8 +67,8 @@
 // restore.
 func (s *Spreader) reconcileLoop() error {
 	for s.reconcileWake.Wait(s.ctx) {
-		end := time.Now().Add(reconcileTimeout)
-		for tries := 0; tries < reconcileTries && time.Now().Before(end); {
+		deadline := time.Now().Add(reconcileTimeout)
+		for tries := 0; tries < reconcileTries && time.Now().Before(deadline); {
 			if s.reconcileOnce() {
 				tries++
 			}
@@ -82,12 +82,12 @@
 
 // reconcileOnce asks one random daemon for a newer document and reports whether it answered.
 func (s *Spreader) reconcileOnce() bool {
-	p := s.topology.Load()
-	if p == nil {
+	topo := s.topology.Load()
+	if topo == nil {
 		return false
 	}
-	others := p.tree
-	for _, zone := range p.zones {
+	others := topo.tree
+	for _, zone := range topo.zones {
 		others = append(others[:len(others):len(others)], zone...)
 	}
 	if len(others) == 0 {
--- a/spread/restore_test.go
+++ b/spread/restore_test.go
@@ -238,7 +238,7 @@
 					log.write(version)
 				case 4:
 					n := f.nodes[rnd.IntN(len(f.nodes))]
-					n.cutLog()
+					n.disconnectLog()
 				}
 				time.Sleep(time.Duration(rnd.IntN(4000)) * time.Millisecond)
 				f.probe()
--- a/spread/ring.go
+++ b/spread/ring.go
@@ -29,6 +29,7 @@
 	bytes      int
 }
 
+// ringEntry is one record of the ring.
 type ringEntry struct {
 	record *configpb.SequencedRecord
 	// chain is the chain digest after the record.
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -167,8 +167,8 @@
 
 // SetView updates the membership view from which readers and push trees are derived.
 func (s *Spreader) SetView(v *membership.View) {
-	p := newTopology(v, s.opts.ReadersPerZone)
-	s.topology.Store(p)
+	topo := newTopology(v, s.opts.ReadersPerZone)
+	s.topology.Store(topo)
 	s.updateStatus(func(st *Status) { st.Reader = s.readsLog() })
 	s.readWake.Set()
 	s.pushWake.Set()
@@ -197,8 +197,8 @@
 	if s.opts.Mode == ModeDirect {
 		return true
 	}
-	p := s.topology.Load()
-	return p != nil && p.rank != notRanked
+	topo := s.topology.Load()
+	return topo != nil && topo.rank != notRanked
 }
 
 // pushesRecords reports whether this daemon, as a root, sends new records along a tree.
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 300, 4, nil)
 		f.run()
-		f.cutLogs(f.readers("zone-1")[0])
+		f.disconnectLogs(f.readers("zone-1")[0])
 		offset := f.append(contractChange("a", 0))
 		synctest.Wait()
 		f.svc.SetOutage(true)
@@ -116,7 +116,7 @@
 		f := newFleet(t, 300, 4, nil)
 		f.run()
 		reader := f.readers("zone-1")[0]
-		f.cutLogs(reader)
+		f.disconnectLogs(reader)
 		offset := f.append(contractChange("a", 0))
 		time.Sleep(2 * time.Millisecond)
 		reader.kill()
@@ -145,7 +145,7 @@
 		f := newFleet(t, 100, 4, nil)
 		f.run()
 		f.noProbes = true
-		f.cutLogs(nil)
+		f.disconnectLogs(nil)
 		offset := f.append(contractChange("a", 0))
 		records, err := f.log.Read(t.Context(), offset, 1, 0)
 		must.NoError(t, err)
@@ -296,11 +296,11 @@
 	}
 }
 
-// cutLogs removes access to the log from all nodes but one.
-func (f *fleet) cutLogs(except *node) {
+// disconnectLogs removes access to the log from all nodes but one.
+func (f *fleet) disconnectLogs(except *node) {
 	for _, n := range f.nodes {
 		if n != except {
-			n.cutLog()
+			n.disconnectLog()
 		}
 	}
 	synctest.Wait()
--- a/spread/topology.go
+++ b/spread/topology.go
@@ -57,7 +57,7 @@
 
 // newTopology ranks the usable members of a view.
 func newTopology(v *membership.View, readers int) *topology {
-	p := &topology{self: v.Self.PeerAddr, rank: notRanked}
+	topo := &topology{self: v.Self.PeerAddr, rank: notRanked}
 	keep := max(readers, maxHandoffTargets)
 	zones := make(map[string]topMembers)
 	var tree []rankedMember
@@ -75,15 +75,15 @@
 		}
 	}
 	slices.SortFunc(tree, compareRanked)
-	p.tree = addrsOf(tree)
+	topo.tree = addrsOf(tree)
 	for zone, members := range zones {
 		if zone == v.Self.AvailabilityZone {
-			p.rank = rankOf(members, v.Self.Host, readers)
+			topo.rank = rankOf(members, v.Self.Host, readers)
 			continue
 		}
-		p.zones = append(p.zones, addrsOf(members))
+		topo.zones = append(topo.zones, addrsOf(members))
 	}
-	return p
+	return topo
 }
 
 // topMembers lists the highest-ranked members, in order of rank.
@@ -118,6 +118,7 @@
 	return addrs
 }
 
+// compareRanked orders members by descending bandwidth, then by hash, then by host.
 func compareRanked(a, b rankedMember) int {
 	return cmp.Or(cmp.Compare(b.link, a.link), cmp.Compare(b.hash, a.hash), cmp.Compare(a.member.Host, b.member.Host))
 }
