--- a/spread/read.go
+++ b/spread/read.go
@@ -258,7 +258,8 @@
 
 func (s *Spreader) setApplyStuck(reason string) { s.setStuck(&s.applyStuckReason, reason) }
 
-// setStuck sets one of the two reasons behind Status.StuckReason, empty for none, and logs a new one.
+// setStuck sets one of the two reasons behind Status.StuckReason, empty for none, and logs a new
+// one.
 func (s *Spreader) setStuck(field *string, reason string) {
 	s.mu.Lock()
 	changed := *field != reason
