--- a/backend/backend.go
+++ b/backend/backend.go
@@ -12,10 +12,10 @@
 // beside it, the service it offers and, where it announces one, its own life. What
 // was seen of a server says nothing of its successor on the host.
 type ID struct {
-	Host    string
-	Boot    uint64
-	Service string
-	Life    uint32
+	Host     string
+	Boot     uint64
+	Service  string
+	Instance uint32
 }
 
 // Server is one backend server, reached by way of the daemon on its host.
@@ -31,9 +31,9 @@
 	// Suspect servers' daemons have not answered of late; they are picked only
 	// when no other is left.
 	Suspect bool
-	// Since is when this process first heard of the server, by its monotonic
+	// FirstSeen is when this process first heard of the server, by its monotonic
 	// clock, less the age announced then.
-	Since time.Time
+	FirstSeen time.Time
 }
 
 // Set is an immutable collection of backend servers by service.
@@ -57,9 +57,9 @@
 	return s
 }
 
-// Of returns the servers of a service, draining ones included. The caller must
+// ForService returns the servers of a service, draining ones included. The caller must
 // not change the slice.
-func (s *Set) Of(service string) []*Server {
+func (s *Set) ForService(service string) []*Server {
 	if s == nil {
 		return nil
 	}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -20,16 +20,16 @@
 	opts.AvailabilityZone = "boston"
 	picker := balance.New(opts)
 
-	first, _ := picker.Pick(servers.Of("sign-feed"), nil)
+	first, _ := picker.Pick(servers.ForService("sign-feed"), nil)
 	fmt.Println(first.Server().Host)
 	first.Done(balance.Result{Kind: errkind.Unreachable, Latency: time.Millisecond})
 
 	tried := func(id backend.ID) bool { return id == first.Server().ID }
-	second, _ := picker.Pick(servers.Of("sign-feed"), tried)
+	second, _ := picker.Pick(servers.ForService("sign-feed"), tried)
 	fmt.Println(second.Server().Host)
 	second.Done(balance.Result{Status: 200, Latency: 4 * time.Millisecond})
 
-	_, err := picker.Pick(servers.Of("site-ops"), nil)
+	_, err := picker.Pick(servers.ForService("site-ops"), nil)
 	fmt.Println(errkind.Of(err))
 	// Output:
 	// near
--- a/balance/member.go
+++ b/balance/member.go
@@ -40,7 +40,7 @@
 	m := &member{
 		server:    s,
 		evidence:  e,
-		born:      instant(s.Since.Sub(p.epoch)),
+		born:      instant(s.FirstSeen.Sub(p.epoch)),
 		slowStart: instant(p.opts.SlowStart),
 	}
 	switch {
--- a/balance/model_test.go
+++ b/balance/model_test.go
@@ -166,7 +166,7 @@
 	for i := range targets {
 		s := &backend.Server{
 			ID:               backend.ID{Host: fmt.Sprint(i), Service: "s"},
-			AvailabilityZone: zoneName(i), Slots: slots, Since: r.start.Add(-time.Hour),
+			AvailabilityZone: zoneName(i), Slots: slots, FirstSeen: r.start.Add(-time.Hour),
 		}
 		x := &target{gate: gate.New(gate.DefaultOptions()), slowness: steady, gone: time.Hour}
 		r.servers, r.targets[s.ID], all = append(r.servers, s), x, append(all, x)
--- a/balance/need_test.go
+++ b/balance/need_test.go
@@ -20,8 +20,8 @@
 func twoServers() []*backend.Server {
 	old := time.Unix(0, 0)
 	return []*backend.Server{
-		{ID: backend.ID{Host: "near", Service: "s"}, AvailabilityZone: "a", Region: "r", Slots: 9, Since: old},
-		{ID: backend.ID{Host: "far", Service: "s"}, AvailabilityZone: "b", Region: "r", Slots: 9, Since: old},
+		{ID: backend.ID{Host: "near", Service: "s"}, AvailabilityZone: "a", Region: "r", Slots: 9, FirstSeen: old},
+		{ID: backend.ID{Host: "far", Service: "s"}, AvailabilityZone: "b", Region: "r", Slots: 9, FirstSeen: old},
 	}
 }
 
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -187,7 +187,7 @@
 	keep := make(map[backend.ID]bool, known.Len())
 	pools := make(map[string]*pool)
 	for service, pl := range *p.pools.Load() {
-		servers := known.Of(service)
+		servers := known.ForService(service)
 		for _, s := range servers {
 			keep[s.ID] = true
 		}
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -29,7 +29,7 @@
 	b.Picker = New(opts)
 	for i := range n {
 		b.servers = append(b.servers, &backend.Server{
-			ID: backend.ID{Host: fmt.Sprint(i), Service: "s"}, Slots: 10, Since: b.clock.Add(-time.Hour),
+			ID: backend.ID{Host: fmt.Sprint(i), Service: "s"}, Slots: 10, FirstSeen: b.clock.Add(-time.Hour),
 		})
 	}
 	return b
@@ -220,7 +220,7 @@
 func TestSlowStart(t *testing.T) {
 	b := newBench(4)
 	b.run(500, good)
-	b.servers[0].Since = b.clock
+	b.servers[0].FirstSeen = b.clock
 	b.Forget(nil)
 	must.Less(t, 0.12, b.run(1000, good))
 	b.run(10_000, good)
--- a/balance/policy_test.go
+++ b/balance/policy_test.go
@@ -34,7 +34,7 @@
 		ts[0].slowness, ts[0].liar = slowBy(5), true
 	}},
 	{name: "one cold", worst: 1.25, load: 0.6, length: 2 * time.Second, change: func(ts []*target) { ts[0].slowness = coldFrom(time.Second) },
-		viewAt: time.Second, view: func(servers []*backend.Server) { servers[0].Since = time.Now() }},
+		viewAt: time.Second, view: func(servers []*backend.Server) { servers[0].FirstSeen = time.Now() }},
 	{name: "one failing", worst: 1.25, load: 0.6, length: time.Second, change: func(ts []*target) { ts[0].failing = 0.2 }},
 	// Three of ten hosts are gone; 1.5 s later membership suspects them.
 	{name: "zone gone", worst: 2, load: 0.5, length: 3 * time.Second,
--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -50,10 +50,10 @@
 	// ID names the server, empty for one that has no id. A server that starts again may
 	// have the ID that it had.
 	ID string
-	// Born tells the lives of an ID apart: the start in Unix milliseconds by the server's
+	// StartUnixMs tells the lives of an ID apart: the start in Unix milliseconds by the server's
 	// clock, 0 while it is not known.
-	Born    int64
-	Service string
+	StartUnixMs int64
+	Service     string
 	// Version of the server's program, empty where it does not tell it.
 	Version string
 	// WarmAt is when the server will no longer be slow after its start.
@@ -121,7 +121,7 @@
 	LogError string
 	// LogErrorSince is when reads began to fail.
 	LogErrorSince time.Time
-	// Stuck tells why the daemon must stay at its version (unknown rule, a log
+	// StuckReason tells why the daemon must stay at its version (unknown rule, a log
 	// that went back), empty if it need not.
-	Stuck string
+	StuckReason string
 }
--- a/internal/blackboard/restores.go
+++ b/internal/blackboard/restores.go
@@ -6,20 +6,20 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Restores tells of the log's returns from an older copy, as the daemon's state shows them.
+// RestoreWatcher tells of the log's returns from an older copy, as the daemon's state shows them.
 // What daemons keep beside the log may have gone back as well. It serves one goroutine.
-type Restores struct {
+type RestoreWatcher struct {
 	board *Board
 	epoch uint32
 	// known is set once a state has told the epoch.
 	known bool
 }
 
-// NewRestores returns a Restores that has seen no state yet.
-func NewRestores(b *Board) *Restores { return &Restores{board: b} }
+// NewRestoreWatcher returns a Restores that has seen no state yet.
+func NewRestoreWatcher(b *Board) *RestoreWatcher { return &RestoreWatcher{board: b} }
 
 // Wait returns behind the next restore, or false where ctx is done before.
-func (r *Restores) Wait(ctx context.Context) bool {
+func (r *RestoreWatcher) Wait(ctx context.Context) bool {
 	for {
 		state, changed := r.board.State.Watch()
 		if state != nil && r.reach(eventlog.Epoch(state.Offset)) {
@@ -34,7 +34,7 @@
 }
 
 // reach takes in an epoch, and reports whether it follows another one.
-func (r *Restores) reach(epoch uint32) bool {
+func (r *RestoreWatcher) reach(epoch uint32) bool {
 	follows := r.known && epoch > r.epoch
 	r.epoch, r.known = epoch, true
 	return follows
--- a/internal/controller/announce/announce.go
+++ b/internal/controller/announce/announce.go
@@ -52,14 +52,14 @@
 	// Address is where the backend server may be beside loopback, empty for
 	// nowhere else.
 	Address string
-	// Expires is how long an announcement of a server with an id holds.
-	Expires time.Duration
+	// ServerTTL is how long an announcement of a server with an id holds.
+	ServerTTL time.Duration
 
 	// Service of the backend server by the settings, empty where only its announcement
 	// tells.
 	Service string
-	// RefusedLines bounds the log lines about announcements that are refused.
-	RefusedLines telemetry.LineLimit
+	// RejectionLogLimit bounds the log lines about announcements that are refused.
+	RejectionLogLimit telemetry.LineLimit
 
 	// lives that have ended are guarded by the updates of the Local cell.
 	lives lives
--- a/internal/controller/announce/discover.go
+++ b/internal/controller/announce/discover.go
@@ -33,19 +33,19 @@
 	Controller *Controller
 	// Service is the server's.
 	Service string
-	// ServerID is the header field in which the server names itself.
-	ServerID string
+	// ServerIDHeader is the header field in which the server names itself.
+	ServerIDHeader string
 	// HealthPath returns where the server answers 200 while it is healthy and does
 	// not leave; ok is false while that is not known.
 	HealthPath func() (path string, ok bool)
-	// Changed returns a channel that is closed when HealthPath may tell more.
-	Changed func() <-chan struct{}
+	// HealthPathChanged returns a channel that is closed when HealthPath may tell more.
+	HealthPathChanged func() <-chan struct{}
 }
 
 // Run asks until the server has answered or announced itself, and waits for ctx then.
 func (d *Discoverer) Run(ctx context.Context) error {
 	for tries := 0; tries < discoverTries && ctx.Err() == nil && d.Controller.Board.Local.Load() == nil; {
-		changed := d.Changed()
+		changed := d.HealthPathChanged()
 		path, ok := d.HealthPath()
 		if !ok {
 			select {
@@ -83,7 +83,7 @@
 	}
 	defer resp.Body.Close()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBytes))
-	id := resp.Header.Get(d.ServerID)
+	id := resp.Header.Get(d.ServerIDHeader)
 	if resp.StatusCode != http.StatusOK || id == "" {
 		return "", errors.Newf("status %d, id %q", resp.StatusCode, id)
 	}
@@ -101,7 +101,7 @@
 		c.Logger.Info("announce: backend server discovered", "id", id, "service", d.Service)
 		return &blackboard.LocalBackend{
 			ID: id, Service: d.Service, URL: "http://" + c.Address, Slots: assumedSlots,
-			FirstSeen: now, Expires: now.Add(c.Expires),
+			FirstSeen: now, Expires: now.Add(c.ServerTTL),
 		}
 	})
 }
--- a/internal/controller/announce/discover_test.go
+++ b/internal/controller/announce/discover_test.go
@@ -31,14 +31,14 @@
 			defer s.Close()
 			c := &Controller{
 				Board: &blackboard.Board{}, Logger: slog.New(slog.DiscardHandler), Now: time.Now,
-				Address: strings.TrimPrefix(s.URL, "http://"), Expires: time.Minute,
+				Address: strings.TrimPrefix(s.URL, "http://"), ServerTTL: time.Minute,
 			}
 			known := make(chan struct{})
 			path := ""
 			d := &Discoverer{
-				Controller: c, Service: "signs", ServerID: "Id",
-				HealthPath: func() (string, bool) { return path, path != "" },
-				Changed:    func() <-chan struct{} { path = "/health"; return known },
+				Controller: c, Service: "signs", ServerIDHeader: "Id",
+				HealthPath:        func() (string, bool) { return path, path != "" },
+				HealthPathChanged: func() <-chan struct{} { path = "/health"; return known },
 			}
 			close(known)
 			_, found := c.Board.Local.Watch()
--- a/internal/controller/announce/servers.go
+++ b/internal/controller/announce/servers.go
@@ -52,9 +52,9 @@
 	WarmUpMs float64 `json:"warm_up_ms"`
 	// Sequence rises with each announcement of one life of the server.
 	Sequence *uint64 `json:"sequence"`
-	// Born is the start of this life in Unix milliseconds, 0 where the server does not
+	// StartUnixMs is the start of this life in Unix milliseconds, 0 where the server does not
 	// tell it. A server may start again under the id that it had.
-	Born int64 `json:"born"`
+	StartUnixMs int64 `json:"born"`
 }
 
 // withdrawal is the body of a DELETE on ServersPath/ID; it may be empty.
@@ -85,7 +85,7 @@
 
 // refuse answers an announcement that names no server to use. What is known stays.
 func (c *Controller) refuse(w http.ResponseWriter, id string, err error) {
-	if c.RefusedLines.Allow() {
+	if c.RejectionLogLimit.Allow() {
 		c.Logger.Warn("announce: announcement refused", "id", id[:min(len(id), maxID)], "error", err)
 	}
 	answer.Write(w, err)
@@ -97,23 +97,23 @@
 // successor at the same address or under the same id.
 func (c *Controller) registered(old *blackboard.LocalBackend, id string, a ServerAnnouncement) *blackboard.LocalBackend {
 	sequence := *a.Sequence
-	same := sameLife(old, id, a.Born)
-	if c.lives.has(life{id, a.Born}) || isEarlierLife(old, id, a.Born) || same && sequence <= old.Sequence {
-		c.Logger.Info("announce: late announcement passed over", "id", id, "born", a.Born, "sequence", sequence, "state", a.State)
+	same := sameLife(old, id, a.StartUnixMs)
+	if c.lives.has(life{id, a.StartUnixMs}) || isEarlierLife(old, id, a.StartUnixMs) || same && sequence <= old.Sequence {
+		c.Logger.Info("announce: late announcement passed over", "id", id, "born", a.StartUnixMs, "sequence", sequence, "state", a.State)
 		return old
 	}
 	now := c.Now()
 	n := &blackboard.LocalBackend{
-		ID: id, Born: a.Born, Service: a.Service, URL: "http://" + a.Address, Slots: a.Slots, Sequence: sequence,
-		Draining: a.State == stateDraining, FirstSeen: now, Expires: now.Add(c.Expires),
+		ID: id, StartUnixMs: a.StartUnixMs, Service: a.Service, URL: "http://" + a.Address, Slots: a.Slots, Sequence: sequence,
+		Draining: a.State == stateDraining, FirstSeen: now, Expires: now.Add(c.ServerTTL),
 		Version: a.Version, WarmAt: now.Add(time.Duration(a.WarmUpMs * float64(time.Millisecond))),
 	}
 	if same {
 		n.FirstSeen = old.FirstSeen
-		n.Born = max(old.Born, a.Born)
+		n.StartUnixMs = max(old.StartUnixMs, a.StartUnixMs)
 	} else {
 		c.replace(old)
-		c.Logger.Info("announce: backend server announced itself", "id", id, "born", a.Born, "service", a.Service,
+		c.Logger.Info("announce: backend server announced itself", "id", id, "born", a.StartUnixMs, "service", a.Service,
 			"slots", a.Slots, "sequence", sequence, "state", a.State)
 	}
 	if n.Draining && (!same || !old.Draining) {
@@ -125,17 +125,17 @@
 // sameLife reports whether an announcement is of the life that is known. One of the two
 // may lack its start: a server found by a question has not told it yet.
 func sameLife(old *blackboard.LocalBackend, id string, born int64) bool {
-	return old != nil && old.ID == id && (old.Born == born || old.Born == 0 || born == 0)
+	return old != nil && old.ID == id && (old.StartUnixMs == born || old.StartUnixMs == 0 || born == 0)
 }
 
 func isEarlierLife(old *blackboard.LocalBackend, id string, born int64) bool {
-	return old != nil && old.ID == id && born != 0 && born < old.Born
+	return old != nil && old.ID == id && born != 0 && born < old.StartUnixMs
 }
 
 // replace notes that another life has taken the place of a known one.
 func (c *Controller) replace(old *blackboard.LocalBackend) {
 	if old != nil {
-		c.lives.end(life{old.ID, old.Born}, c.Now())
+		c.lives.end(life{old.ID, old.StartUnixMs}, c.Now())
 	}
 }
 
@@ -172,15 +172,15 @@
 		c.lives.end(l, c.Now())
 		return old
 	}
-	l.born = max(l.born, old.Born)
+	l.born = max(l.born, old.StartUnixMs)
 	c.lives.end(l, c.Now())
 	c.Logger.Info("announce: backend server left", "id", l.id, "born", l.born, "service", old.Service)
 	return &blackboard.LocalBackend{}
 }
 
-// Misplaced notes that another server than the one announced answers at its address.
+// HandleServerMismatch notes that another server than the one announced answers at its address.
 // Nothing is sent there until that one has announced itself.
-func (c *Controller) Misplaced(id string) {
+func (c *Controller) HandleServerMismatch(id string) {
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
 		if old == nil || old.ID != id {
 			return old
@@ -210,7 +210,7 @@
 	case a.WarmUpMs < 0 || a.WarmUpMs > float64(time.Hour/time.Millisecond):
 		return errkind.Newf(errkind.BadRequest, "warm_up_ms is out of range: %g", a.WarmUpMs)
 	}
-	if err := checkBorn(a.Born); err != nil {
+	if err := checkBorn(a.StartUnixMs); err != nil {
 		return err
 	}
 	return c.checkAddress(a.Address)
--- a/internal/controller/announce/servers_test.go
+++ b/internal/controller/announce/servers_test.go
@@ -113,7 +113,7 @@
 	first := f.known().FirstSeen
 	f.now = f.now.Add(1)
 	f.sendServer(http.MethodPut, "i-1", firstLife)
-	must.Eq(t, 1000, f.known().Born)
+	must.Eq(t, 1000, f.known().StartUnixMs)
 	must.Eq(t, first, f.known().FirstSeen)
 }
 
--- a/internal/controller/apply/apply.go
+++ b/internal/controller/apply/apply.go
@@ -16,8 +16,8 @@
 type Controller struct {
 	Board  *blackboard.Board
 	Logger *slog.Logger
-	// InForce is told of each new version and when it came into force.
-	InForce func(offset uint64, at time.Time)
+	// OnInForce is told of each new version and when it came into force.
+	OnInForce func(offset uint64, at time.Time)
 }
 
 // Run reconciles until ctx is done.
@@ -55,6 +55,6 @@
 	if prev == nil || next.Offset > prev.Offset || next.Document() != prev.Document() {
 		c.Logger.Info("apply: version in force", "offset", next.Offset,
 			"document", next.Document().VersionOrZero(), "withheld_routes", len(next.Withheld))
-		c.InForce(next.Offset, time.Now())
+		c.OnInForce(next.Offset, time.Now())
 	}
 }
--- a/internal/controller/backends/backends.go
+++ b/internal/controller/backends/backends.go
@@ -42,14 +42,14 @@
 	for _, m := range view.Live() {
 		for _, a := range m.Announcements {
 			servers = append(servers, &backend.Server{
-				ID:               backend.ID{Host: m.Host, Boot: m.Boot, Service: a.Service, Life: a.Instance},
+				ID:               backend.ID{Host: m.Host, Boot: m.Boot, Service: a.Service, Instance: a.Instance},
 				AvailabilityZone: m.AvailabilityZone,
 				Region:           m.Region,
 				PeerAddr:         m.PeerAddr,
 				Slots:            a.Slots,
 				Draining:         a.Draining || m.Draining,
 				Suspect:          m.Liveness == membership.Suspect,
-				Since:            m.Since.Add(-a.Age),
+				FirstSeen:        m.Since.Add(-a.Age),
 			})
 		}
 	}
--- a/internal/controller/checkpoints/checkpoints.go
+++ b/internal/controller/checkpoints/checkpoints.go
@@ -15,17 +15,17 @@
 // emptyWait is how long to wait while there is nothing to write.
 const emptyWait = 10 * time.Second
 
-// Keeper decides whether a checkpoint is due and writes it; checkpoint.Keeper
+// Checkpointer decides whether a checkpoint is due and writes it; checkpoint.Checkpointer
 // is one.
-type Keeper interface {
+type Checkpointer interface {
 	Step(ctx context.Context, st *fold.State, live []string) (next time.Duration, err error)
 }
 
 // Controller drives a Keeper from the blackboard. It writes no cell.
 type Controller struct {
-	Board  *blackboard.Board
-	Keeper Keeper
-	Logger *slog.Logger
+	Board        *blackboard.Board
+	Checkpointer Checkpointer
+	Logger       *slog.Logger
 }
 
 // Run takes steps until ctx is done.
@@ -46,7 +46,7 @@
 	if st == nil || st.Offset == 0 || view == nil {
 		return emptyWait
 	}
-	next, err := c.Keeper.Step(ctx, st, hosts(view))
+	next, err := c.Checkpointer.Step(ctx, st, hosts(view))
 	if err != nil {
 		c.Logger.Info("checkpoints: step failed", "error", err)
 	}
--- a/internal/controller/contacts/contacts.go
+++ b/internal/controller/contacts/contacts.go
@@ -30,9 +30,9 @@
 	RefreshInterval = 10 * time.Minute
 	// checkInterval is how often it is looked whether an append is due.
 	checkInterval = 30 * time.Second
-	// Tail is how many of the latest records are looked at for contacts where the
+	// TailRecords is how many of the latest records are looked at for contacts where the
 	// directory is a stream of a log.
-	Tail = 64
+	TailRecords = 64
 	// maxNear and maxAway bound the contacts taken from the directory: of the own
 	// availability zone, and of each other one. A start asks three neighbours, some of which
 	// may have gone, and nobody elsewhere if they know the other zones.
@@ -61,11 +61,11 @@
 	Host             string
 	AvailabilityZone string
 	PeerAddr         netip.AddrPort
-	// Keeps is whether the directory keeps one entry for each host for good. A daemon then
+	// DirectoryPersists is whether the directory keeps one entry for each host for good. A daemon then
 	// puts its address as it starts, if that is not there and few others are, and when it
 	// has become a reader: some that are alive are always found. Without it only readers
 	// put theirs, again and again, which suits a directory that forgets.
-	Keeps bool
+	DirectoryPersists bool
 	// OnEntries is told of all entries of the directory when a start has read it: others'
 	// are among them, and one read has to do for all. It may be nil.
 	OnEntries func(values [][]byte)
@@ -83,20 +83,20 @@
 	// present is whether the directory has this daemon's entry, crowded whether it has
 	// enough others of the availability zone.
 	present, crowded atomic.Bool
-	restores         *blackboard.Restores
+	restores         *blackboard.RestoreWatcher
 }
 
 // New returns a controller that has appended nothing yet.
 func New(opts Options) *Controller {
-	return &Controller{opts: opts, listed: make(chan struct{}), restores: blackboard.NewRestores(opts.Board)}
+	return &Controller{opts: opts, listed: make(chan struct{}), restores: blackboard.NewRestoreWatcher(opts.Board)}
 }
 
 // Run appends when it is due, until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
-	if c.opts.Keeps {
+	if c.opts.DirectoryPersists {
 		return c.keepEntry(ctx)
 	}
-	for loop.SleepAround(ctx, checkInterval) {
+	for loop.SleepJittered(ctx, checkInterval) {
 		c.reconcile(ctx)
 	}
 	return nil
@@ -132,7 +132,7 @@
 		c.putUntilDone(ctx)
 	}
 	for c.restores.Wait(ctx) {
-		loop.SleepAround(ctx, restoreSpread)
+		loop.SleepJittered(ctx, restoreSpread)
 		c.putUntilDone(ctx)
 	}
 	return nil
@@ -210,7 +210,7 @@
 			return
 		}
 		c.opts.Logger.Info("contacts: own address not appended", "error", err)
-		loop.SleepAround(ctx, retryAfter)
+		loop.SleepJittered(ctx, retryAfter)
 	}
 }
 
@@ -234,7 +234,7 @@
 	if c.opts.OnEntries != nil {
 		c.opts.OnEntries(values)
 	}
-	if c.opts.Keeps {
+	if c.opts.DirectoryPersists {
 		// Entries of hosts that are gone for good are among them, in the order of
 		// their names: whoever takes the first few would never reach the others.
 		rand.Shuffle(len(values), func(i, j int) { values[i], values[j] = values[j], values[i] })
--- a/internal/controller/contacts/keep_test.go
+++ b/internal/controller/contacts/keep_test.go
@@ -92,7 +92,7 @@
 	}
 	board.Members.Store(view)
 	c := New(Options{
-		Board: board, Directory: d, Host: "new", AvailabilityZone: "a", Keeps: true,
+		Board: board, Directory: d, Host: "new", AvailabilityZone: "a", DirectoryPersists: true,
 		PeerAddr: netip.MustParseAddrPort("10.0.1.1:1"), Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	})
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/controller/distribute/distribute.go
+++ b/internal/controller/distribute/distribute.go
@@ -27,7 +27,7 @@
 		KnownOffset:   st.KnownOffset,
 		LogError:      st.LogError,
 		LogErrorSince: st.LogErrorSince,
-		Stuck:         st.StuckReason,
+		StuckReason:   st.StuckReason,
 	})
 }
 
--- a/internal/controller/drain/drain.go
+++ b/internal/controller/drain/drain.go
@@ -13,8 +13,8 @@
 
 const pollInterval = 20 * time.Millisecond
 
-// InFlight counts work that must end before the daemon may stop.
-type InFlight interface {
+// InFlightCounter counts work that must end before the daemon may stop.
+type InFlightCounter interface {
 	InFlight() int
 }
 
@@ -22,16 +22,16 @@
 type Controller struct {
 	Board  *blackboard.Board
 	Logger *slog.Logger
-	// Quiet is how long a draining daemon goes on taking calls, until its callers have
+	// GracePeriod is how long a draining daemon goes on taking calls, until its callers have
 	// gone elsewhere and all others know that it drains.
-	Quiet time.Duration
-	// Notice is the last part of Quiet, from when on the others are told to send no more
+	GracePeriod time.Duration
+	// PeerNotice is the last part of Quiet, from when on the others are told to send no more
 	// calls to the backend server. Told at the start, they would leave it idle while its
 	// callers go: of three servers one was so for 3 s of each restart.
-	Notice time.Duration
-	Work   []InFlight
-	// Refuse makes the gate turn away new calls; it comes after Quiet.
-	Refuse func()
+	PeerNotice time.Duration
+	Counters   []InFlightCounter
+	// RejectNewCalls makes the gate turn away new calls; it comes after Quiet.
+	RejectNewCalls func()
 }
 
 // Run tells the others of a drain and lets the gate refuse new calls once they know,
@@ -48,11 +48,11 @@
 			return nil
 		}
 	}
-	if loop.Sleep(ctx, c.Quiet-c.Notice) {
+	if loop.Sleep(ctx, c.GracePeriod-c.PeerNotice) {
 		c.enter(blackboard.Leaving, "")
 	}
-	if loop.Sleep(ctx, c.Notice) {
-		c.Refuse()
+	if loop.Sleep(ctx, c.PeerNotice) {
+		c.RejectNewCalls()
 	}
 	return nil
 }
@@ -84,8 +84,8 @@
 	return l != nil && l.Phase >= blackboard.Draining
 }
 
-// WaitQuiet blocks until the others know of the drain, or ctx is done.
-func (c *Controller) WaitQuiet(ctx context.Context) { loop.Sleep(ctx, c.Quiet) }
+// WaitGracePeriod blocks until the others know of the drain, or ctx is done.
+func (c *Controller) WaitGracePeriod(ctx context.Context) { loop.Sleep(ctx, c.GracePeriod) }
 
 // Wait blocks until no request is in flight or ctx is done. It returns how many
 // still were. New requests must not come any more, or it may wait in vain.
@@ -104,7 +104,7 @@
 
 func (c *Controller) inFlight() int {
 	n := 0
-	for _, w := range c.Work {
+	for _, w := range c.Counters {
 		n += w.InFlight()
 	}
 	return n
--- a/internal/controller/drain/drain_test.go
+++ b/internal/controller/drain/drain_test.go
@@ -22,8 +22,8 @@
 		var refused atomic.Pointer[time.Time]
 		c := &Controller{
 			Board: board, Logger: slog.New(slog.DiscardHandler),
-			Quiet: 2 * time.Second, Notice: 600 * time.Millisecond,
-			Refuse: func() {
+			GracePeriod: 2 * time.Second, PeerNotice: 600 * time.Millisecond,
+			RejectNewCalls: func() {
 				now := time.Now()
 				refused.Store(&now)
 			},
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -100,7 +100,7 @@
 func announcedBy(local *blackboard.LocalBackend, phase *blackboard.Lifecycle, withheld *bool) announced {
 	var a announced
 	if local != nil {
-		a.service, a.slots, a.draining, a.life = local.Service, local.Slots, local.Draining, LifeOf(local)
+		a.service, a.slots, a.draining, a.life = local.Service, local.Slots, local.Draining, InstanceDigest(local)
 		a.version = VersionDigest(local.Version)
 		// Who passes it over is spared a refusal.
 		a.draining = a.draining || withheld != nil && *withheld
@@ -120,10 +120,10 @@
 	return digest(version)
 }
 
-// LifeOf returns a digest of the life that a server with an id is in, 0 for one without.
+// InstanceDigest returns a digest of the life that a server with an id is in, 0 for one without.
 // The moment at which this daemon first saw it stands for its start, which the server may
 // tell later or never.
-func LifeOf(local *blackboard.LocalBackend) uint32 {
+func InstanceDigest(local *blackboard.LocalBackend) uint32 {
 	if local.ID == "" {
 		return 0
 	}
--- a/internal/controller/quarantines/quarantines.go
+++ b/internal/controller/quarantines/quarantines.go
@@ -36,7 +36,7 @@
 // Options holds what a Controller works with.
 type Options struct {
 	Board      *blackboard.Board
-	Ledger     *quarantine.Tracker
+	Tracker    *quarantine.Tracker
 	Membership *membership.Membership
 	// Directory keeps verdicts through a loss of power everywhere.
 	Directory eventlog.Directory
@@ -54,14 +54,14 @@
 	// them.
 	stored map[quarantine.Identity]time.Time
 	// restored wakes it where the directory may have lost some.
-	restored loop.Wake
+	restored loop.Trigger
 }
 
 // New returns a controller.
 func New(opts Options) *Controller {
 	return &Controller{
 		opts: opts, told: make(map[string]*membership.Member), stored: make(map[quarantine.Identity]time.Time),
-		restored: loop.NewWake(),
+		restored: loop.NewTrigger(),
 	}
 }
 
@@ -74,10 +74,10 @@
 func (c *Controller) exchange(ctx context.Context) error {
 	for {
 		view, viewChanged := c.opts.Board.Members.Watch()
-		ledgerChanged := c.opts.Ledger.Watch()
+		ledgerChanged := c.opts.Tracker.Watch()
 		if view != nil {
 			c.observe(view)
-			c.opts.Membership.SetNotes(c.opts.Ledger.Notes(c.carried(view)))
+			c.opts.Membership.SetNotes(c.opts.Tracker.Notes(c.carried(view)))
 		}
 		select {
 		case <-viewChanged:
@@ -102,14 +102,14 @@
 		news = append(news, quarantine.PeerNotes{Host: m.Host, Boot: m.Boot, Notes: m.Notes})
 	}
 	if len(news) > 0 {
-		c.opts.Ledger.Observe(news)
+		c.opts.Tracker.Observe(news)
 	}
 }
 
 // carried returns the verdicts that this daemon carries for others.
 func (c *Controller) carried(view *membership.View) []quarantine.Verdict {
 	var list []quarantine.Verdict
-	for _, v := range c.opts.Ledger.Verdicts() {
+	for _, v := range c.opts.Tracker.Verdicts() {
 		if c.carries(view, v.Identity) {
 			list = append(list, v)
 		}
@@ -140,9 +140,9 @@
 func (c *Controller) store(ctx context.Context) error {
 	for {
 		view, viewChanged := c.opts.Board.Members.Watch()
-		ledgerChanged := c.opts.Ledger.Watch()
+		ledgerChanged := c.opts.Tracker.Watch()
 		if view != nil && !c.storeChanges(ctx, c.carried(view)) {
-			if !loop.SleepAround(ctx, putPause) {
+			if !loop.SleepJittered(ctx, putPause) {
 				return nil
 			}
 			continue
@@ -160,7 +160,7 @@
 
 // watchRestores has the verdicts stored again that the directory may have lost.
 func (c *Controller) watchRestores(ctx context.Context) error {
-	for restores := blackboard.NewRestores(c.opts.Board); restores.Wait(ctx); {
+	for restores := blackboard.NewRestoreWatcher(c.opts.Board); restores.Wait(ctx); {
 		c.restored.Set()
 	}
 	return nil
@@ -181,7 +181,7 @@
 		c.stored[v.Identity] = v.Until
 	}
 	for id := range c.stored {
-		if c.opts.Ledger.QuarantinedFor(id) > 0 {
+		if c.opts.Tracker.QuarantinedFor(id) > 0 {
 			continue
 		}
 		if !c.put(ctx, id, nil) {
@@ -206,16 +206,16 @@
 // expire has the ledger forget what no longer counts.
 func (c *Controller) expire(ctx context.Context) error {
 	for loop.Sleep(ctx, expireInterval) {
-		c.opts.Ledger.Expire()
+		c.opts.Tracker.Expire()
 	}
 	return nil
 }
 
-// TakeEntries takes in the verdicts among the entries of the directory.
-func (c *Controller) TakeEntries(values [][]byte) {
+// AddEntries takes in the verdicts among the entries of the directory.
+func (c *Controller) AddEntries(values [][]byte) {
 	for _, value := range values {
 		if v, ok := quarantine.DecodeEntry(value); ok {
-			c.opts.Ledger.Add(v)
+			c.opts.Tracker.Add(v)
 		}
 	}
 }
--- a/internal/controller/rollouts/decide.go
+++ b/internal/controller/rollouts/decide.go
@@ -83,8 +83,8 @@
 			return err
 		}
 	}
-	if c.opts.Teller != nil {
-		if err := c.opts.Teller.Tell(ctx, t.Order, t.Outcome); err != nil {
+	if c.opts.StatusReporter != nil {
+		if err := c.opts.StatusReporter.ReportStatus(ctx, t.Order, t.Outcome); err != nil {
 			return err
 		}
 	}
@@ -100,7 +100,7 @@
 // as it has come back from an older copy: the operator would see an older outcome, and a
 // fleet that lost power would begin the rollout anew.
 func (c *Controller) watchRestores(ctx context.Context) error {
-	for restores := blackboard.NewRestores(c.opts.Board); restores.Wait(ctx); {
+	for restores := blackboard.NewRestoreWatcher(c.opts.Board); restores.Wait(ctx); {
 		c.restored.Store(true)
 		c.asked.Set()
 	}
@@ -135,7 +135,7 @@
 	if err != nil {
 		return err
 	}
-	c.TakeEntries(values)
+	c.AddEntries(values)
 	c.mu.Lock()
 	c.recall(o, c.opts.Now())
 	outcome := c.ended[o.Offset].outcome
@@ -144,8 +144,8 @@
 	return nil
 }
 
-// TakeEntries takes in the outcomes among the entries of the directory.
-func (c *Controller) TakeEntries(values [][]byte) {
+// AddEntries takes in the outcomes among the entries of the directory.
+func (c *Controller) AddEntries(values [][]byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, value := range values {
--- a/internal/controller/rollouts/rollouts.go
+++ b/internal/controller/rollouts/rollouts.go
@@ -50,9 +50,9 @@
 	Report(ctx context.Context, to *membership.Member, r *rolloutpb.Report) (*rolloutpb.Permit, error)
 }
 
-// Teller tells the operator how a rollout stands.
-type Teller interface {
-	Tell(ctx context.Context, o rollout.Order, outcome rollout.Outcome) error
+// StatusReporter tells the operator how a rollout stands.
+type StatusReporter interface {
+	ReportStatus(ctx context.Context, o rollout.Order, outcome rollout.Outcome) error
 }
 
 // Options holds what a Controller works with.
@@ -63,12 +63,12 @@
 	Peers   Peers
 	// Directory keeps outcomes through a loss of power everywhere.
 	Directory eventlog.Directory
-	// Teller may be nil, where nobody is to be told.
-	Teller Teller
-	Host   string
-	Boot   uint64
-	Logger *slog.Logger
-	Now    func() time.Time
+	// StatusReporter may be nil, where nobody is to be told.
+	StatusReporter StatusReporter
+	Host           string
+	Boot           uint64
+	Logger         *slog.Logger
+	Now            func() time.Time
 }
 
 // Controller owns the Withheld cell.
@@ -93,7 +93,7 @@
 	restored atomic.Bool
 	// tracked and asked wake what has nothing to do without a tracker, or without reports of
 	// others.
-	tracked, asked loop.Wake
+	tracked, asked loop.Trigger
 	// unproven is the server whose version an earlier order was not finished for.
 	unproven rollout.ServerID
 }
@@ -113,7 +113,7 @@
 func New(opts Options) *Controller {
 	return &Controller{
 		opts: opts, ended: make(map[uint64]endedAt), entries: make(map[string]rollout.RecordedOutcome),
-		recorded: make(map[string]rollout.Task), tracked: loop.NewWake(), asked: loop.NewWake(),
+		recorded: make(map[string]rollout.Task), tracked: loop.NewTrigger(), asked: loop.NewTrigger(),
 	}
 }
 
@@ -205,7 +205,7 @@
 }
 
 func (c *Controller) serverID(local *blackboard.LocalBackend) rollout.ServerID {
-	return rollout.ServerID{Host: c.opts.Host, Boot: c.opts.Boot, Instance: members.LifeOf(local)}
+	return rollout.ServerID{Host: c.opts.Host, Boot: c.opts.Boot, Instance: members.InstanceDigest(local)}
 }
 
 // trackerFor returns the tracker for a role, the present one where it is that.
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -33,7 +33,7 @@
 		LinkMbps: d.settings.LinkMbps, Runs: runs, Callees: callees, HostShare: d.hostShare,
 		Local: &d.board.Local, NewGate: d.newGate,
 		MergeRoutes: d.without(settings.WithoutRoutes), AnyWait: d.without(settings.WithoutObjective),
-		Attempts: p.attempts, Dialect: d.dialect(), Misplaced: p.announce.Misplaced,
+		Attempts: p.attempts, Dialect: d.dialect(), Misplaced: p.announce.HandleServerMismatch,
 		Quarantine: p.quarantine, Rollout: p.rolloutGate, Tracer: d.tracer, Metrics: metrics, Logger: d.logger,
 	})
 	balancing := balance.DefaultOptions()
@@ -66,9 +66,9 @@
 		KilobyteCost: d.kilobyteCost, Quarantine: p.quarantine,
 	})
 	p.lifecycle = &drain.Controller{
-		Board: d.board, Logger: d.logger, Quiet: quiet, Notice: d.notice(),
-		Work:   []drain.InFlight{p.inbound, p.outbound},
-		Refuse: p.inbound.Refuse,
+		Board: d.board, Logger: d.logger, GracePeriod: quiet, PeerNotice: d.notice(),
+		Counters:       []drain.InFlightCounter{p.inbound, p.outbound},
+		RejectNewCalls: p.inbound.Refuse,
 	}
 	return nil
 }
@@ -109,9 +109,9 @@
 		return idle(ctx)
 	}
 	a := &announce.Discoverer{
-		Controller: d.announce, Service: d.settings.Backend.Service, ServerID: d.dialect().ServerID,
+		Controller: d.announce, Service: d.settings.Backend.Service, ServerIDHeader: d.dialect().ServerID,
 		HealthPath: d.healthPath,
-		Changed: func() <-chan struct{} {
+		HealthPathChanged: func() <-chan struct{} {
 			_, changed := d.board.Snapshot.Watch()
 			return changed
 		},
@@ -173,7 +173,7 @@
 		return 1
 	}
 	set := d.board.Backends.Load()
-	return float64(len(set.Of(service))) / float64(max(set.Len(), 1))
+	return float64(len(set.ForService(service))) / float64(max(set.Len(), 1))
 }
 
 // budgetShare is the part of the fleet's retries that the daemons hand out. A retry
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -116,12 +116,12 @@
 	f.t.Helper()
 	f.eventually("all servers are known", func() bool {
 		for _, d := range f.daemons {
-			set := d.board.Backends.Load().Of("signs")
+			set := d.board.Backends.Load().ForService("signs")
 			if len(set) != len(servers) {
 				return false
 			}
 			for _, b := range set {
-				if b.Life != f.ownLife(b.Host, servers) {
+				if b.Instance != f.ownLife(b.Host, servers) {
 					return false
 				}
 			}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -184,7 +184,7 @@
 	defer done()
 	d.lifecycle.Drain(reason)
 	d.callers.Drain()
-	d.lifecycle.WaitQuiet(until)
+	d.lifecycle.WaitGracePeriod(until)
 	d.ln.callersDoor.Shut()
 	d.lingerOn()
 	if d.callers.Shutdown(until) != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -118,7 +118,7 @@
 	must.NoError(f.t, err)
 	d, err := newDaemon(ctx, &s, ln, f.dial)
 	must.NoError(f.t, err)
-	d.lifecycle.Quiet = testQuiet
+	d.lifecycle.GracePeriod = testQuiet
 	td := &testDaemon{Daemon: d, ctx: ctx, stop: stop, done: make(chan error, 1)}
 	f.daemons = append(f.daemons, td)
 	return td
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -229,11 +229,11 @@
 	p.membership.OnOffset(p.spreader.ObserveOffset)
 	p.buildStreams(d)
 	p.members = &members.Controller{Board: d.board, Membership: p.membership, Now: time.Now}
-	p.apply = &apply.Controller{Board: d.board, Logger: d.logger, InForce: telemetry.NewInForce(d.registry)}
+	p.apply = &apply.Controller{Board: d.board, Logger: d.logger, OnInForce: telemetry.NewInForce(d.registry)}
 	p.announce = &announce.Controller{
 		Board: d.board, Logger: d.logger, Now: time.Now,
-		Address: d.settings.Backend.Address, Expires: time.Duration(d.settings.Backend.Expires),
-		Service: d.settings.Backend.Service, RefusedLines: telemetry.NewLineLimit(refusedAnnouncementLines),
+		Address: d.settings.Backend.Address, ServerTTL: time.Duration(d.settings.Backend.Expires),
+		Service: d.settings.Backend.Service, RejectionLogLimit: telemetry.NewLineLimit(refusedAnnouncementLines),
 	}
 }
 
@@ -249,11 +249,11 @@
 	keeping.Logger = d.logger
 	p.checkpoints = &checkpoints.Controller{
 		Board: d.board, Logger: d.logger,
-		Keeper: checkpoint.NewKeeper(d.settings.Host, p.log.Stream(eventlog.StreamConfig),
+		Checkpointer: checkpoint.NewKeeper(d.settings.Host, p.log.Stream(eventlog.StreamConfig),
 			p.stream(eventlog.StreamCheckpoints), keeping),
 	}
 	p.checkpointLoop = p.checkpoints.Run
-	directory := eventlog.Directory(eventlog.Tail{Log: p.stream(eventlog.StreamContacts), Records: contacts.Tail})
+	directory := eventlog.Directory(eventlog.Tail{Log: p.stream(eventlog.StreamContacts), Records: contacts.TailRecords})
 	if p.adapter != nil {
 		directory = p.adapter.Contacts
 		// The store itself keeps the newest document.
@@ -262,7 +262,7 @@
 	p.buildQuarantine(d, directory)
 	p.buildRollouts(d, directory)
 	p.contacts = contacts.New(contacts.Options{
-		Board: d.board, Directory: directory, Keeps: p.adapter != nil, Host: d.settings.Host,
+		Board: d.board, Directory: directory, DirectoryPersists: p.adapter != nil, Host: d.settings.Host,
 		AvailabilityZone: d.settings.AvailabilityZone, PeerAddr: d.peerAddr(),
 		OnEntries: p.takeEntries, Logger: d.logger, Now: time.Now,
 	})
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -78,7 +78,7 @@
 			// Others may have come into the log since.
 			known = nil
 		}
-		loop.SleepAround(ctx, wait)
+		loop.SleepJittered(ctx, wait)
 		if joins > 1 {
 			wait = min(2*wait, maxRejoinAfter)
 		}
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -50,7 +50,7 @@
 	}
 	f.eventually("the servers are known", func() bool {
 		b := f.daemons[0].board.Backends.Load()
-		return b != nil && len(b.Of("signs")) == 3
+		return b != nil && len(b.ForService("signs")) == 3
 	})
 	f.store.PutRollout("signs", "v2", 8)
 	for i := range 3 {
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -145,7 +145,7 @@
 	f.t.Helper()
 	f.eventually("the server is known", func() bool {
 		b := d.board.Backends.Load()
-		return b != nil && len(b.Of("signs")) == 1
+		return b != nil && len(b.ForService("signs")) == 1
 	})
 }
 
--- a/internal/daemon/verdicts.go
+++ b/internal/daemon/verdicts.go
@@ -18,7 +18,7 @@
 	o.Logger = d.logger
 	p.quarantine = quarantine.New(o)
 	p.quarantines = quarantines.New(quarantines.Options{
-		Board: d.board, Ledger: p.quarantine, Membership: p.membership, Directory: directory,
+		Board: d.board, Tracker: p.quarantine, Membership: p.membership, Directory: directory,
 		Host: d.settings.Host, Logger: d.logger, Now: time.Now,
 	})
 }
@@ -33,13 +33,13 @@
 		Directory: directory, Host: d.settings.Host, Boot: d.boot, Logger: d.logger, Now: time.Now,
 	}
 	if p.adapter != nil {
-		c.Teller = p.adapter.Rollouts
+		c.StatusReporter = p.adapter.Rollouts
 	}
 	p.rollouts = rollouts.New(c)
 }
 
 // takeEntries passes the directory's entries on to the parts whose they are.
 func (p *parts) takeEntries(values [][]byte) {
-	p.quarantines.TakeEntries(values)
-	p.rollouts.TakeEntries(values)
+	p.quarantines.AddEntries(values)
+	p.rollouts.AddEntries(values)
 }
--- a/internal/daemon/view_bench_test.go
+++ b/internal/daemon/view_bench_test.go
@@ -50,7 +50,7 @@
 					set := backends.Derive(v)
 					picker.Forget(set)
 					for _, service := range []string{"service-0", "service-1"} {
-						if l, err := picker.Pick(set.Of(service), nil); err == nil {
+						if l, err := picker.Pick(set.ForService(service), nil); err == nil {
 							_ = l
 						}
 					}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -227,7 +227,7 @@
 		step()
 		must.Eq(t, 2000, self.Status().GetInForceAgeMs())
 
-		board.Source.Store(&blackboard.Source{KnownOffset: 5, Stuck: "unknown rule"})
+		board.Source.Store(&blackboard.Source{KnownOffset: 5, StuckReason: "unknown rule"})
 		step()
 		a := self.Status()
 		must.Eq(t, 1000, a.GetBehindMs())
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -139,8 +139,8 @@
 	}
 	a.KnownOffset = max(a.KnownOffset, src.KnownOffset)
 	a.Reader = src.Reader
-	if src.Stuck != "" {
-		a.StuckReason = src.Stuck
+	if src.StuckReason != "" {
+		a.StuckReason = src.StuckReason
 	}
 	if src.LogError != "" {
 		a.LogError = src.LogError
--- a/internal/loop/sleep.go
+++ b/internal/loop/sleep.go
@@ -18,6 +18,6 @@
 	}
 }
 
-// SleepAround is Sleep for half of d to one and a half of it. The jitter keeps
+// SleepJittered is Sleep for half of d to one and a half of it. The jitter keeps
 // processes that started together from acting together.
-func SleepAround(ctx context.Context, d time.Duration) bool { return Sleep(ctx, d/2+rand.N(d)) }
+func SleepJittered(ctx context.Context, d time.Duration) bool { return Sleep(ctx, d/2+rand.N(d)) }
--- a/internal/loop/wake.go
+++ b/internal/loop/wake.go
@@ -2,15 +2,15 @@
 
 import "context"
 
-// Wake makes one loop look at the state again. Set while nobody waits, it is kept; set
+// Trigger makes one loop look at the state again. Set while nobody waits, it is kept; set
 // several times, it is set once.
-type Wake chan struct{}
+type Trigger chan struct{}
 
-// NewWake returns a Wake that is not set.
-func NewWake() Wake { return make(Wake, 1) }
+// NewTrigger returns a Wake that is not set.
+func NewTrigger() Trigger { return make(Trigger, 1) }
 
 // Set wakes the loop.
-func (w Wake) Set() {
+func (w Trigger) Set() {
 	select {
 	case w <- struct{}{}:
 	default:
@@ -18,7 +18,7 @@
 }
 
 // Wait waits until it is set, and reports false where ctx is done before.
-func (w Wake) Wait(ctx context.Context) bool {
+func (w Trigger) Wait(ctx context.Context) bool {
 	select {
 	case <-w:
 		return true
--- a/internal/proxy/inbound/site.go
+++ b/internal/proxy/inbound/site.go
@@ -26,7 +26,7 @@
 	if s.id != local.ID || s.url != local.URL {
 		return false
 	}
-	return s.born.Load() == local.Born || s.born.CompareAndSwap(0, local.Born)
+	return s.born.Load() == local.StartUnixMs || s.born.CompareAndSwap(0, local.StartUnixMs)
 }
 
 // sites holds the backend server beside the daemon. Another server, or another life of
@@ -64,11 +64,11 @@
 		id: local.ID, url: local.URL, gate: cur.gate,
 		client: backendconn.New(backendconn.Options{Address: u.Host, RequestID: s.opts.Dialect.RequestID}),
 	}
-	next.born.Store(local.Born)
+	next.born.Store(local.StartUnixMs)
 	if cur.client != nil {
 		cur.client.Close()
 	}
-	if cur.id != local.ID || cur.born.Load() != local.Born {
+	if cur.id != local.ID || cur.born.Load() != local.StartUnixMs {
 		cur.gate.Evict()
 		next.gate = s.newGate(local.Slots)
 	}
--- a/internal/telemetry/board.go
+++ b/internal/telemetry/board.go
@@ -125,7 +125,7 @@
 	}
 	out.gauge(c.floor, float64(floor.Offset))
 	out.gauge(c.floorKnown, flag(floor.Known))
-	out.gauge(c.stuck, flag(src.Stuck != "" || floor.Reason != "" && !floor.Known))
+	out.gauge(c.stuck, flag(src.StuckReason != "" || floor.Reason != "" && !floor.Known))
 	out.gauge(c.reader, flag(src.Reader))
 	failing := time.Duration(0)
 	if src.LogError != "" {
@@ -180,7 +180,7 @@
 	servers := c.board.Backends.Load()
 	for _, e := range snap.State.Entries(fold.KindService) {
 		count := make(map[string]int)
-		for _, s := range servers.Of(e.Key.Name) {
+		for _, s := range servers.ForService(e.Key.Name) {
 			count[stateOf(s)]++
 		}
 		for _, state := range []string{backendAvailable, backendSuspect, backendDraining} {
--- a/internal/telemetry/board_test.go
+++ b/internal/telemetry/board_test.go
@@ -110,7 +110,7 @@
 		floor  blackboard.Floor
 		want   float64
 	}{
-		{blackboard.Source{Stuck: "record 3 follows rule 9"}, blackboard.Floor{Known: true}, 1},
+		{blackboard.Source{StuckReason: "record 3 follows rule 9"}, blackboard.Floor{Known: true}, 1},
 		{blackboard.Source{}, blackboard.Floor{Reason: "the log is down"}, 1},
 		{blackboard.Source{}, blackboard.Floor{Reason: "the log is down", Known: true}, 0},
 	} {
--- a/once/claims.go
+++ b/once/claims.go
@@ -94,7 +94,7 @@
 // Callers that cannot wait on the platform should use issued keys.
 type Claims struct {
 	opts ClaimsOptions
-	wake loop.Wake
+	wake loop.Trigger
 
 	mu    sync.Mutex
 	index *claimIndex
@@ -139,7 +139,7 @@
 	if least := opts.Keys.Lifetime() + opts.StartMargin; opts.Lifetime < least {
 		return nil, errors.Newf("claims must last for %s at least, not %s", least, opts.Lifetime)
 	}
-	return &Claims{opts: opts, wake: loop.NewWake(), pending: make(map[claimDigest]*pendingClaim)}, nil
+	return &Claims{opts: opts, wake: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
 }
 
 // Run follows the log and makes claims until ctx is done, and returns nil
--- a/snapshot/property_test.go
+++ b/snapshot/property_test.go
@@ -81,7 +81,7 @@
 	for _, w := range next.Withheld {
 		r := wanted[w.Name]
 		must.Eq(t, WithheldRoute{r.Name, r.Revision, r.Service}, w)
-		must.SliceEmpty(t, known.Of(w.Service))
+		must.SliceEmpty(t, known.ForService(w.Service))
 		waiting[w.Name], waiting[r.PathPrefix] = true, true
 		must.SliceNotContains(t, next.Routes(), r, must.Sprint("a route in force is called withheld"))
 		if old, ok := prev.routeAt(r.PathPrefix); ok {
@@ -93,7 +93,7 @@
 		old, had := prev.routeAt(r.PathPrefix)
 		had = had && old == r
 		must.True(t, had || wanted[r.Name] == r, must.Sprint("a route that is not wanted got into force"))
-		must.True(t, had || len(known.Of(r.Service)) > 0, must.Sprint("a route got into force without a backend server"))
+		must.True(t, had || len(known.ForService(r.Service)) > 0, must.Sprint("a route got into force without a backend server"))
 		must.True(t, wanted[r.Name] == r || waiting[r.Name] || waiting[r.PathPrefix], must.Sprint("a route stayed for nothing"))
 	}
 	for name, r := range wanted {
--- a/snapshot/routes.go
+++ b/snapshot/routes.go
@@ -75,7 +75,7 @@
 // admit lets a route in if it is in force already or can be served.
 func (b *routeBuilder) admit(r Route, backends *backend.Set) {
 	old, had := b.prev.routeAt(r.PathPrefix)
-	if had && old == r || takesCalls(backends.Of(r.Service)) {
+	if had && old == r || takesCalls(backends.ForService(r.Service)) {
 		b.byPrefix[r.PathPrefix] = r
 		return
 	}
--- a/snapshot/snapshot.go
+++ b/snapshot/snapshot.go
@@ -132,4 +132,4 @@
 func (s *Snapshot) Document() *Document { return s.document }
 
 // Backends returns the backend servers known of a service.
-func (s *Snapshot) Backends(service string) []*backend.Server { return s.backends.Of(service) }
+func (s *Snapshot) Backends(service string) []*backend.Server { return s.backends.ForService(service) }
--- a/spread/spread.go
+++ b/spread/spread.go
@@ -86,7 +86,7 @@
 	lastContact    time.Time
 	relayed        recentPushes
 
-	readWake, pushWake, handoffWake, pullWake, reconcileWake loop.Wake
+	readWake, pushWake, handoffWake, pullWake, reconcileWake loop.Trigger
 
 	// pullSem admits one pull at a time. It keeps a daemon that receives many digests from pulling
 	// the same records from every sender.
@@ -103,11 +103,11 @@
 		opts:          opts,
 		lastContact:   time.Now(),
 		relayed:       newRecentPushes(),
-		readWake:      loop.NewWake(),
-		pushWake:      loop.NewWake(),
-		handoffWake:   loop.NewWake(),
-		pullWake:      loop.NewWake(),
-		reconcileWake: loop.NewWake(),
+		readWake:      loop.NewTrigger(),
+		pushWake:      loop.NewTrigger(),
+		handoffWake:   loop.NewTrigger(),
+		pullWake:      loop.NewTrigger(),
+		reconcileWake: loop.NewTrigger(),
 		pullSem:       make(chan struct{}, 1),
 		serveSem:      make(chan struct{}, maxServedPulls),
 		pushSem:       make(chan struct{}, maxRootPushes),
