--- a/balance/lease.go
+++ b/balance/lease.go
@@ -39,8 +39,8 @@
 // Server returns the server picked.
 func (l *Lease) Server() *backend.Server { return l.member.server }
 
-// HasRoom reports whether the server's gate has told of late that a call has not to wait.
-func (l *Lease) HasRoom() bool {
+// HasFreeSlot reports whether the server's gate has told of late that a call has not to wait.
+func (l *Lease) HasFreeSlot() bool {
 	e, now := l.member.evidence, l.picker.now()
 	return e.othersAt.load() != 0 && now-e.othersAt.load() < roomMemory && e.wait.load() == 0
 }
--- a/balance/need_test.go
+++ b/balance/need_test.go
@@ -12,7 +12,7 @@
 
 func needPicker(now *time.Time) *Picker {
 	o := DefaultOptions()
-	o.AvailabilityZone, o.Region, o.KeepSlow = "a", "r", true
+	o.AvailabilityZone, o.Region, o.DisableSlowEjection = "a", "r", true
 	o.Now = func() time.Time { return *now }
 	return New(o)
 }
@@ -28,7 +28,7 @@
 // finish makes a call at a server end with a latency and a wait told by its gate.
 func finish(t *testing.T, p *Picker, servers []*backend.Server, host string, latency, wait time.Duration) {
 	t.Helper()
-	l, err := p.PickFor(servers, Need{Exclude: func(id backend.ID) bool { return id.Host != host }})
+	l, err := p.PickWithOptions(servers, PickOptions{Exclude: func(id backend.ID) bool { return id.Host != host }})
 	must.NoError(t, err)
 	l.Done(Result{Status: 200, Latency: latency, Load: &Load{Slots: 9, Wait: wait}})
 }
@@ -45,7 +45,7 @@
 			finish(t, p, servers, "far", 100*time.Millisecond, 0)
 			now = now.Add(100 * time.Millisecond)
 		}
-		l, err := p.PickFor(servers, Need{Objective: objective, RemoteCost: 50 * time.Millisecond})
+		l, err := p.PickWithOptions(servers, PickOptions{Objective: objective, RemoteCost: 50 * time.Millisecond})
 		must.NoError(t, err)
 		must.Eq(t, want, l.Server().Host, must.Sprint(objective))
 	}
@@ -58,14 +58,14 @@
 	now := time.Unix(1000, 0)
 	p, servers := needPicker(&now), twoServers()
 	finish(t, p, servers, "near", time.Millisecond, 300*time.Millisecond)
-	l, err := p.PickFor(servers, Need{MaxWait: 100 * time.Millisecond})
+	l, err := p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.NoError(t, err)
 	must.Eq(t, "far", l.Server().Host)
 	finish(t, p, servers, "far", time.Millisecond, 200*time.Millisecond)
-	_, err = p.PickFor(servers, Need{MaxWait: 100 * time.Millisecond})
+	_, err = p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.Eq(t, errkind.Overloaded, errkind.Of(err))
 	must.Eq(t, 200*time.Millisecond, errkind.RetryAfterOf(err))
 	now = now.Add(time.Duration(waitMemory))
-	_, err = p.PickFor(servers, Need{MaxWait: 100 * time.Millisecond})
+	_, err = p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.NoError(t, err)
 }
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -29,11 +29,11 @@
 	// picked only if it is expected to save more than that.
 	ZoneCost   time.Duration
 	RegionCost time.Duration
-	// KeepSlow is whether a server whose calls are slow beside those of its peers
+	// DisableSlowEjection is whether a server whose calls are slow beside those of its peers
 	// goes on getting calls, by its cost alone. It suits services whose calls
 	// differ widely in length and whose servers differ in speed: there a few long
 	// calls at a slower server look like one that hangs.
-	KeepSlow bool
+	DisableSlowEjection bool
 	// SlowStart is how long the share of calls of a new server grows.
 	SlowStart time.Duration
 	// Now reads a monotonic clock.
@@ -89,11 +89,11 @@
 // backend.Set, or at least stay as it is. Servers for which exclude returns
 // true are left out; exclude may be nil. The error's kind is NoBackend.
 func (p *Picker) Pick(servers []*backend.Server, exclude func(backend.ID) bool) (*Lease, error) {
-	return p.PickFor(servers, Need{Exclude: exclude})
+	return p.PickWithOptions(servers, PickOptions{Exclude: exclude})
 }
 
-// Need is what matters for one call.
-type Need struct {
+// PickOptions is what matters for one call.
+type PickOptions struct {
 	// Exclude returns true for servers that are left out; it may be nil.
 	Exclude func(backend.ID) bool
 	// RemoteCost is the time that it is worth to stay in the availability zone,
@@ -113,11 +113,11 @@
 const waitMemory = instant(30 * time.Millisecond)
 
 // skips reports whether a server is left out for the call.
-func (n Need) skips(m *member, now instant) bool {
+func (n PickOptions) skips(m *member, now instant) bool {
 	return n.Exclude != nil && n.Exclude(m.server.ID) || n.busy(m, now)
 }
 
-func (n Need) busy(m *member, now instant) bool {
+func (n PickOptions) busy(m *member, now instant) bool {
 	e := m.evidence
 	return n.MaxWait > 0 && now-e.othersAt.load() < waitMemory && time.Duration(e.wait.load()) > n.MaxWait
 }
@@ -128,7 +128,7 @@
 // weigh turns an expected time into a cost, in seconds. By the third power a time of
 // half the objective costs an eighth of it: being quicker still is worth no bytes
 // between zones, while a time near the objective risks to miss it.
-func (n Need) weigh(seconds float64) float64 {
+func (n PickOptions) weigh(seconds float64) float64 {
 	objective := n.Objective.Seconds()
 	if objective == 0 {
 		return seconds
@@ -137,8 +137,8 @@
 	return objective * x * x * x
 }
 
-// PickFor is Pick for a call with needs of its own.
-func (p *Picker) PickFor(servers []*backend.Server, need Need) (*Lease, error) {
+// PickWithOptions is Pick for a call with needs of its own.
+func (p *Picker) PickWithOptions(servers []*backend.Server, need PickOptions) (*Lease, error) {
 	exclude := need.Exclude
 	if len(servers) == 0 {
 		return nil, errNoBackend
@@ -180,8 +180,8 @@
 	return pools[service]
 }
 
-// Forget drops what is kept of servers that are no longer known.
-func (p *Picker) Forget(known *backend.Set) {
+// Prune drops what is kept of servers that are no longer known.
+func (p *Picker) Prune(known *backend.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	keep := make(map[backend.ID]bool, known.Len())
@@ -202,7 +202,7 @@
 // choose compares two servers inside the availability zone and two outside, drawn
 // at random, and takes the one with the lowest cost. Comparing all would send the
 // calls of all daemons to the same server between two reports of its load.
-func (p *Picker) choose(plan *plan, need Need, now instant) *member {
+func (p *Picker) choose(plan *plan, need PickOptions, now instant) *member {
 	remote := need.RemoteCost.Seconds()
 	for _, t := range plan.tiers {
 		var best *member
@@ -232,7 +232,7 @@
 
 // nothingFor returns why no server takes the call: the shortest queue that is known
 // is too long, or there is none.
-func (pl *plan) nothingFor(need Need, now instant) error {
+func (pl *plan) nothingFor(need PickOptions, now instant) error {
 	shortest := time.Duration(0)
 	for _, t := range pl.tiers {
 		for _, group := range t {
@@ -252,7 +252,7 @@
 
 // draw returns a member of the group other than first at random, nil if none is
 // left that is not excluded. A cold one is passed over unless all are.
-func (p *Picker) draw(group []*member, first *member, need Need, now instant) *member {
+func (p *Picker) draw(group []*member, first *member, need PickOptions, now instant) *member {
 	n := len(group)
 	if n == 0 {
 		return nil
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -221,7 +221,7 @@
 	b := newBench(4)
 	b.run(500, good)
 	b.servers[0].FirstSeen = b.clock
-	b.Forget(nil)
+	b.Prune(nil)
 	must.Less(t, 0.12, b.run(1000, good))
 	b.run(10_000, good)
 	must.Greater(t, 0.2, b.run(1000, good))
@@ -279,9 +279,9 @@
 func TestForgetBoundsMemory(t *testing.T) {
 	b := newBench(3)
 	b.run(10, good)
-	b.Forget(backend.NewSet(b.servers[:1]))
+	b.Prune(backend.NewSet(b.servers[:1]))
 	must.MapLen(t, 1, b.evidence)
-	b.Forget(nil)
+	b.Prune(nil)
 	must.MapEmpty(t, b.evidence)
 	must.MapEmpty(t, *b.pools.Load())
 }
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -37,7 +37,7 @@
 
 // newPool builds the pool of a set's servers. The caller holds mu.
 func (p *Picker) newPool(servers []*backend.Server) *pool {
-	pl := &pool{keepSlow: p.opts.KeepSlow, servers: servers, members: make([]*member, 0, len(servers))}
+	pl := &pool{keepSlow: p.opts.DisableSlowEjection, servers: servers, members: make([]*member, 0, len(servers))}
 	for _, s := range servers {
 		e, ok := p.evidence[s.ID]
 		if !ok {
--- a/gate/admit.go
+++ b/gate/admit.go
@@ -157,7 +157,7 @@
 // same queue as one that comes back soon, but gets its answer late: of 8,657 lookups 4,495
 // were answered in time so, 4,167 without the bound.
 func (t *Ticket) retryAfter(wait time.Duration) time.Duration {
-	if t.inTime > 0 && !t.gate.opts.LateReturns {
+	if t.inTime > 0 && !t.gate.opts.RetryAfterIgnoresObjective {
 		wait = min(wait, t.inTime/2)
 	}
 	return min(max(wait, minRetryAfter), maxRetryAfter)
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -18,13 +18,13 @@
 type Options struct {
 	// Slots is how many calls the backend server runs at once.
 	Slots int
-	// TrustSlots is whether a backend server that sheds calls while it has no more
+	// FixedSlots is whether a backend server that sheds calls while it has no more
 	// than its slots keeps all of them. It suits servers that shed part of their
 	// calls whatever their load: fewer slots would shed no less of them.
-	TrustSlots bool
-	// LateReturns has refused callers come back when the queue will have been served,
+	FixedSlots bool
+	// RetryAfterIgnoresObjective has refused callers come back when the queue will have been served,
 	// also where they can then no longer be answered within their objective.
-	LateReturns bool
+	RetryAfterIgnoresObjective bool
 	// MaxQueue is how many calls may wait. It bounds memory; the time that
 	// calls have left bounds the wait.
 	MaxQueue int
@@ -79,7 +79,7 @@
 	g := &Gate{
 		opts:  opts,
 		idle:  make(chan struct{}),
-		limit: newLimit(opts.Slots, opts.TrustSlots),
+		limit: newLimit(opts.Slots, opts.FixedSlots),
 		queue: newFairQueue(opts.ServiceTime),
 	}
 	g.publish()
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -311,7 +311,7 @@
 func TestTrustedSlotsStayUnderSheds(t *testing.T) {
 	for _, trusted := range []bool{false, true} {
 		opts := gate.DefaultOptions()
-		opts.Slots, opts.TrustSlots = 9, trusted
+		opts.Slots, opts.FixedSlots = 9, trusted
 		g := gate.New(opts)
 		for range 20 {
 			ticket, err := g.Enter(t.Context(), "a", time.Hour)
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -58,7 +58,7 @@
 func TestRingOfCallsDoesNotLockUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(2, 100)
-		g.KeepForNested()
+		g.ReserveNestedSlot()
 		var answered atomic.Int64
 		for range 8 {
 			go func() {
--- a/gate/reserve.go
+++ b/gate/reserve.go
@@ -32,11 +32,11 @@
 	keep, nested int
 }
 
-// KeepForNested keeps a slot for nested calls from now on. Where services call each other in
+// ReserveNestedSlot keeps a slot for nested calls from now on. Where services call each other in
 // a ring, all slots may else be held by calls that wait, at the end of the ring, for one of
 // those very slots: nothing moves until their time is up. One is enough, since the calls
 // that have it end by themselves, one after the other.
-func (g *Gate) KeepForNested() {
+func (g *Gate) ReserveNestedSlot() {
 	// Each nested call asks for it; one takes the lock.
 	if g.keepsForNested.Swap(true) {
 		return
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -40,9 +40,9 @@
 	balancing.AvailabilityZone, balancing.Region = d.settings.AvailabilityZone, d.settings.Region
 	balancing.ZoneCost = time.Duration(d.settings.Requests.ZoneCost)
 	balancing.SlowStart = time.Duration(d.settings.Requests.SlowStart)
-	balancing.KeepSlow = d.settings.Requests.SlowServers == settings.SlowKeep
+	balancing.DisableSlowEjection = d.settings.Requests.SlowServers == settings.SlowKeep
 	p.picker = balance.New(balancing)
-	p.backends = &backends.Controller{Board: d.board, OnChange: func(s *backend.Set) { p.picker.Forget(s) }}
+	p.backends = &backends.Controller{Board: d.board, OnChange: func(s *backend.Set) { p.picker.Prune(s) }}
 	quotas := quota.DefaultOptions()
 	quotas.Host = d.settings.Host
 	quotas.Peers = quotaPeers{p.control}
@@ -133,8 +133,8 @@
 // many calls they run at once and queue some more: a shed is no lack of slots.
 func (d *Daemon) newGate() *gate.Gate {
 	o := gate.DefaultOptions()
-	o.TrustSlots = d.onStore()
-	o.LateReturns = d.without(settings.WithoutTimelyReturns)
+	o.FixedSlots = d.onStore()
+	o.RetryAfterIgnoresObjective = d.without(settings.WithoutTimelyReturns)
 	return gate.New(o)
 }
 
--- a/internal/daemon/view_bench_test.go
+++ b/internal/daemon/view_bench_test.go
@@ -48,7 +48,7 @@
 			part := map[string]func(*membership.View){
 				"backends": func(v *membership.View) {
 					set := backends.Derive(v)
-					picker.Forget(set)
+					picker.Prune(set)
 					for _, service := range []string{"service-0", "service-1"} {
 						if l, err := picker.Pick(set.ForService(service), nil); err == nil {
 							_ = l
--- a/internal/proxy/inbound/call.go
+++ b/internal/proxy/inbound/call.go
@@ -61,7 +61,7 @@
 	}
 	defer release()
 	if c.nested() && c.h.opts.Callees.HasCallees() {
-		c.site.gate.KeepForNested()
+		c.site.gate.ReserveNestedSlot()
 	}
 	ticket, err := c.site.gate.Admit(c.ctx, c.gateCall())
 	if err != nil {
--- a/internal/proxy/outbound/again.go
+++ b/internal/proxy/outbound/again.go
@@ -25,13 +25,13 @@
 const contractCalls = ""
 
 // retryNeeds returns what sending the call again costs, and where.
-func (c *call) retryNeeds() []retry.Need {
+func (c *call) retryNeeds() []retry.ServiceCost {
 	if c.route == nil {
-		return []retry.Need{{Service: contractCalls, Calls: 1}}
+		return []retry.ServiceCost{{Service: contractCalls, Calls: 1}}
 	}
-	var needs []retry.Need
+	var needs []retry.ServiceCost
 	for _, callee := range c.h.opts.Calls.CallsPerRequest(c.service) {
-		needs = append(needs, retry.Need(callee))
+		needs = append(needs, retry.ServiceCost(callee))
 	}
 	return needs
 }
@@ -49,7 +49,7 @@
 		return false
 	}
 	d := retry.Allowed(errkind.Of(err), c.retryCall(a))
-	again := d.Retry && (d.Free || c.h.opts.Budgets.Withdraw(c.retryNeeds()...))
+	again := d.Retry && (d.BudgetExempt || c.h.opts.Budgets.Withdraw(c.retryNeeds()...))
 	reason := string(d.Reason)
 	if d.Retry && !again {
 		reason = "budget"
@@ -60,12 +60,12 @@
 
 func (c *call) retryCall(a *attempt) retry.Call {
 	r := retry.Call{
-		Inherited:     int(c.inherited),
-		Attempts:      c.attempts,
-		NonIdempotent: c.terms.NonIdempotent,
-		Remaining:     time.Until(c.deadline),
-		Expected:      leastAttempt,
-		Crashes:       c.crashes,
+		InheritedAttempt: int(c.inherited),
+		Attempts:         c.attempts,
+		NonIdempotent:    c.terms.NonIdempotent,
+		Remaining:        time.Until(c.deadline),
+		Expected:         leastAttempt,
+		Crashes:          c.crashes,
 	}
 	if c.route != nil {
 		r.Attempts, r.MaxAttempts = c.arrivals, c.route.MaxAttempts
--- a/internal/proxy/outbound/choose.go
+++ b/internal/proxy/outbound/choose.go
@@ -14,18 +14,18 @@
 // may.
 func (c *call) pick() (*balance.Lease, error) {
 	servers := c.snap.Backends(c.service)
-	need := balance.Need{Exclude: c.wasTried, RemoteCost: c.remoteCost()}
+	need := balance.PickOptions{Exclude: c.wasTried, RemoteCost: c.remoteCost()}
 	if c.route != nil {
 		need.Objective = c.route.Objective
 	}
 	if !c.h.opts.TryBusy {
 		need.MaxWait = c.maxQueue()
 	}
-	lease, err := c.h.opts.Picker.PickFor(servers, need)
+	lease, err := c.h.opts.Picker.PickWithOptions(servers, need)
 	if err != nil && !c.patient && c.route != nil {
 		c.patient, c.tried = true, nil
 		need.MaxWait = c.maxQueue()
-		lease, err = c.h.opts.Picker.PickFor(servers, need)
+		lease, err = c.h.opts.Picker.PickWithOptions(servers, need)
 	}
 	if err != nil {
 		return nil, err
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -19,8 +19,8 @@
 	services sync.Map
 }
 
-// Need is what sending a request again costs at one service.
-type Need struct {
+// ServiceCost is what sending a request again costs at one service.
+type ServiceCost struct {
 	Service string
 	// Calls is how many calls it is expected to bring there.
 	Calls float64
@@ -46,7 +46,7 @@
 func (b *Budgets) Deposit(service string) { b.of(service).Deposit() }
 
 // Withdraw takes all of the needs, or nothing, and reports which.
-func (b *Budgets) Withdraw(needs ...Need) bool {
+func (b *Budgets) Withdraw(needs ...ServiceCost) bool {
 	for i, n := range needs {
 		if b.of(n.Service).take(int64(n.Calls * milli)) {
 			continue
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -48,7 +48,7 @@
 			bookings++
 			d.Deposit("desk")
 		}
-		if rnd.IntN(2) == 0 && d.Withdraw(Need{"catalogue", 1}, Need{"desk", callsOfDesk}) {
+		if rnd.IntN(2) == 0 && d.Withdraw(ServiceCost{"catalogue", 1}, ServiceCost{"desk", callsOfDesk}) {
 			again["catalogue"]++
 			again["desk"] += callsOfDesk
 		}
@@ -63,18 +63,18 @@
 func TestBudgets_AllOrNothing(t *testing.T) {
 	b := NewBudgets(BudgetOptions{Ratio: 1, Burst: 10})
 	b.Deposit("a")
-	must.False(t, b.Withdraw(Need{"a", 1}, Need{"b", 1}))
+	must.False(t, b.Withdraw(ServiceCost{"a", 1}, ServiceCost{"b", 1}))
 	b.Deposit("b")
-	must.True(t, b.Withdraw(Need{"a", 1}, Need{"b", 1}))
-	must.False(t, b.Withdraw(Need{"a", 1}))
+	must.True(t, b.Withdraw(ServiceCost{"a", 1}, ServiceCost{"b", 1}))
+	must.False(t, b.Withdraw(ServiceCost{"a", 1}))
 }
 
 // A daemon that has just started has earned nothing yet.
 func TestBudgets_StartEmpty(t *testing.T) {
 	b := NewBudgets(BudgetOptions{Ratio: 0.2, Burst: 64})
-	must.False(t, b.Withdraw(Need{"a", 1}))
+	must.False(t, b.Withdraw(ServiceCost{"a", 1}))
 	for range 6 {
 		b.Deposit("a")
 	}
-	must.True(t, b.Withdraw(Need{"a", 1}))
+	must.True(t, b.Withdraw(ServiceCost{"a", 1}))
 }
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -13,10 +13,10 @@
 // run.
 func Example() {
 	budget := retry.NewBudget(retry.BudgetOptions{Ratio: 0.1, Burst: 10})
-	call := retry.Call{Inherited: 1, Attempts: 1, Remaining: time.Second}
+	call := retry.Call{InheritedAttempt: 1, Attempts: 1, Remaining: time.Second}
 
 	lookup := retry.Allowed(errkind.BackendFailed, call)
-	fmt.Println("lookup:", lookup.Retry && (lookup.Free || budget.Withdraw()))
+	fmt.Println("lookup:", lookup.Retry && (lookup.BudgetExempt || budget.Withdraw()))
 
 	call.NonIdempotent = true
 	hold := retry.Allowed(errkind.OutcomeUnknown, call)
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -47,14 +47,14 @@
 	ReasonNone Reason = ""
 	// ReasonAnswered is a backend server's own answer.
 	ReasonAnswered Reason = "answered"
-	// ReasonFinal is an error that another backend server would not mend.
-	ReasonFinal Reason = "final"
+	// ReasonNotRetryable is an error that another backend server would not mend.
+	ReasonNotRetryable Reason = "final"
 	// ReasonMayHaveRun is a non-idempotent call that may have run.
 	ReasonMayHaveRun Reason = "may_have_run"
 	// ReasonRetriedAbove is a call that a layer above is sending again.
 	ReasonRetriedAbove Reason = "retried_above"
-	// ReasonDeadly is a call under which more servers than one have ended.
-	ReasonDeadly Reason = "deadly"
+	// ReasonCrashLimit is a call under which more servers than one have ended.
+	ReasonCrashLimit Reason = "deadly"
 	// ReasonAttempts and ReasonTime mean that there were enough attempts, and
 	// that too little time is left for another.
 	ReasonAttempts Reason = "attempts"
@@ -64,18 +64,18 @@
 // Decision is whether to send a call again.
 type Decision struct {
 	Retry bool
-	// Free retries take nothing from the budget: the attempt before cost no
+	// BudgetExempt retries take nothing from the budget: the attempt before cost no
 	// backend server any work, and there is one for each server that leaves.
-	Free bool
+	BudgetExempt bool
 	// Reason is set where Retry is false.
 	Reason Reason
 }
 
 // Call is what the rule looks at.
 type Call struct {
-	// Inherited is the attempt number that the call arrived with, from 1; above
+	// InheritedAttempt is the attempt number that the call arrived with, from 1; above
 	// 1 a layer above is sending it again.
-	Inherited int
+	InheritedAttempt int
 	// Attempts is how many this daemon has made, the failed one included.
 	Attempts int
 	// MaxAttempts bounds Attempts, 0 for the constant of this name.
@@ -114,19 +114,19 @@
 	case kind == errkind.None:
 		return Decision{Reason: ReasonAnswered}
 	case !elsewhere(kind):
-		return Decision{Reason: ReasonFinal}
+		return Decision{Reason: ReasonNotRetryable}
 	case c.NonIdempotent && kind.Answer().Run != errkind.NotRun:
 		return Decision{Reason: ReasonMayHaveRun}
 	case kind == errkind.BackendEnded && c.Crashes > maxCrashes:
-		return Decision{Reason: ReasonDeadly}
-	case c.Inherited > 1 && !free:
+		return Decision{Reason: ReasonCrashLimit}
+	case c.InheritedAttempt > 1 && !free:
 		return Decision{Reason: ReasonRetriedAbove}
 	case attempts >= limit:
 		return Decision{Reason: ReasonAttempts}
 	case c.Remaining <= c.Expected:
 		return Decision{Reason: ReasonTime}
 	}
-	return Decision{Retry: true, Free: free}
+	return Decision{Retry: true, BudgetExempt: free}
 }
 
 // elsewhere reports whether another backend server may do better. The table of
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -17,14 +17,14 @@
 var tenth = retry.BudgetOptions{Ratio: 0.1, Burst: 10}
 
 func TestAllowed(t *testing.T) {
-	ok := retry.Call{Inherited: 1, Attempts: 1, Remaining: time.Second, Expected: time.Millisecond}
+	ok := retry.Call{InheritedAttempt: 1, Attempts: 1, Remaining: time.Second, Expected: time.Millisecond}
 	with := func(edit func(*retry.Call)) retry.Call {
 		c := ok
 		edit(&c)
 		return c
 	}
 	nonIdempotent := with(func(c *retry.Call) { c.NonIdempotent = true })
-	second := with(func(c *retry.Call) { c.Inherited = 2 })
+	second := with(func(c *retry.Call) { c.InheritedAttempt = 2 })
 	third := with(func(c *retry.Call) { c.Attempts = 3 })
 	late := with(func(c *retry.Call) { c.Remaining = time.Millisecond })
 	yes := retry.Decision{Retry: true}
@@ -37,14 +37,14 @@
 		{errkind.Overloaded, ok, yes},
 		{errkind.Overloaded, nonIdempotent, yes},
 		{errkind.Unreachable, nonIdempotent, yes},
-		{errkind.Draining, nonIdempotent, retry.Decision{Retry: true, Free: true}},
+		{errkind.Draining, nonIdempotent, retry.Decision{Retry: true, BudgetExempt: true}},
 		{errkind.BackendFailed, ok, yes},
 		{errkind.BackendFailed, nonIdempotent, retry.Decision{Reason: retry.ReasonMayHaveRun}},
-		{errkind.OutcomeUnknown, ok, retry.Decision{Reason: retry.ReasonFinal}},
-		{errkind.RateLimited, ok, retry.Decision{Reason: retry.ReasonFinal}},
-		{errkind.Canceled, ok, retry.Decision{Reason: retry.ReasonFinal}},
+		{errkind.OutcomeUnknown, ok, retry.Decision{Reason: retry.ReasonNotRetryable}},
+		{errkind.RateLimited, ok, retry.Decision{Reason: retry.ReasonNotRetryable}},
+		{errkind.Canceled, ok, retry.Decision{Reason: retry.ReasonNotRetryable}},
 		{errkind.Overloaded, second, retry.Decision{Reason: retry.ReasonRetriedAbove}},
-		{errkind.Draining, second, retry.Decision{Retry: true, Free: true}},
+		{errkind.Draining, second, retry.Decision{Retry: true, BudgetExempt: true}},
 		{errkind.Overloaded, third, retry.Decision{Reason: retry.ReasonAttempts}},
 		{errkind.Overloaded, late, retry.Decision{Reason: retry.ReasonTime}},
 	} {
@@ -58,10 +58,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom(errkind.Kinds()).Draw(t, "kind")
 		d := retry.Allowed(kind, retry.Call{
-			Inherited:     rapid.IntRange(0, 5).Draw(t, "inherited"),
-			Attempts:      rapid.IntRange(1, 5).Draw(t, "attempts"),
-			NonIdempotent: true,
-			Remaining:     time.Duration(rapid.Int64().Draw(t, "remaining")),
+			InheritedAttempt: rapid.IntRange(0, 5).Draw(t, "inherited"),
+			Attempts:         rapid.IntRange(1, 5).Draw(t, "attempts"),
+			NonIdempotent:    true,
+			Remaining:        time.Duration(rapid.Int64().Draw(t, "remaining")),
 		})
 		must.False(t, d.Retry && kind.Answer().Run != errkind.NotRun)
 	})
@@ -86,8 +86,8 @@
 type rule func(l *layer, kind errkind.Kind, inherited, attempts int) bool
 
 func ours(l *layer, kind errkind.Kind, inherited, attempts int) bool {
-	d := retry.Allowed(kind, retry.Call{Inherited: inherited, Attempts: attempts, Remaining: time.Second})
-	return d.Retry && (d.Free || l.budget.Withdraw())
+	d := retry.Allowed(kind, retry.Call{InheritedAttempt: inherited, Attempts: attempts, Remaining: time.Second})
+	return d.Retry && (d.BudgetExempt || l.budget.Withdraw())
 }
 
 // naive sends all that failed again, up to three times.
@@ -216,12 +216,12 @@
 // counts as no attempt; under overload it is tried at three gates at most, and at more
 // where backend servers only leave.
 func TestRefusalsAreFreeAndBounded(t *testing.T) {
-	c := retry.Call{Inherited: 1, MaxAttempts: 2, NonIdempotent: true, Remaining: time.Second, Unsent: true}
+	c := retry.Call{InheritedAttempt: 1, MaxAttempts: 2, NonIdempotent: true, Remaining: time.Second, Unsent: true}
 	for refusals, again := range map[int]bool{1: true, 2: true, 3: false} {
 		c.Refusals = refusals
 		d := retry.Allowed(errkind.Overloaded, c)
 		must.Eq(t, again, d.Retry)
-		must.Eq(t, again, d.Free)
+		must.Eq(t, again, d.BudgetExempt)
 	}
 	c.Refusals = 3
 	must.True(t, retry.Allowed(errkind.Draining, c).Retry)
@@ -230,7 +230,7 @@
 	c.Attempts = 1
 	d := retry.Allowed(errkind.Shed, c)
 	must.True(t, d.Retry)
-	must.False(t, d.Free)
+	must.False(t, d.BudgetExempt)
 }
 
 // The fleet has grown, and with it the number of daemons that share the retries: what a
