--- a/examples/embed/main.go
+++ b/examples/embed/main.go
@@ -103,7 +103,7 @@
 }
 
 // holdOnce sends one permit hold twice under one idempotency key.
-func holdOnce(ctx context.Context, out io.Writer, keys *once.Keys) error {
+func holdOnce(ctx context.Context, out io.Writer, keys *once.KeyStore) error {
 	key := keys.Issue(1)[0]
 	fingerprint := once.NewFingerprint("POST", "/holds/space-12", customer).Sum()
 	for range 2 {
@@ -117,7 +117,7 @@
 		}
 		// Here the hold is placed.
 		fmt.Fprintln(out, "the hold runs")
-		execution.Finish(&once.Answer{Status: 201, Body: []byte("space 12 is held")})
+		execution.Finish(&once.Response{Status: 201, Body: []byte("space 12 is held")})
 	}
 	return nil
 }
--- a/examples/embed/node.go
+++ b/examples/embed/node.go
@@ -40,7 +40,7 @@
 	log      eventlog.Log
 	members  *membership.Membership
 	quota    *quota.Manager
-	keys     *once.Keys
+	keys     *once.KeyStore
 	pool     *peer.Pool
 	server   *peer.Server
 
@@ -93,7 +93,7 @@
 		server:   peer.NewServer(peer.DefaultServerOptions()),
 	}
 	boot := rand.Uint64() | 1
-	n.keys = once.NewKeys(once.DefaultKeysOptions(host, boot))
+	n.keys = once.NewKeyStore(once.DefaultKeyStoreOptions(host, boot))
 	quotas := quota.DefaultOptions()
 	quotas.Host, quotas.Peers = host, n
 	n.quota = quota.New(quotas)
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -25,9 +25,9 @@
 // buildCalls makes what a call passes through.
 func (p *parts) buildCalls(d *Daemon) error {
 	metrics := telemetry.NewCalls(d.registry)
-	attempts := once.DefaultAttemptsOptions(d.boot)
+	attempts := once.DefaultAttemptTableOptions(d.boot)
 	attempts.Bounds.MaxRecords, attempts.Bounds.MaxBytes = keptRecords, keptBytes
-	p.attempts = once.NewAttempts(attempts)
+	p.attempts = once.NewAttemptTable(attempts)
 	runs, callees := admission.NewRuns(time.Now()), &admission.CalleeStats{}
 	p.inbound = inbound.NewHandler(inbound.Options{
 		LinkMbps: d.settings.LinkMbps, Runs: runs, Callees: callees, HostShare: d.hostShare,
@@ -76,17 +76,17 @@
 // buildKeys makes the tables of idempotency keys. Keys of callers' own making
 // need the platform's log and are off unless the settings ask for them.
 func (p *parts) buildKeys(d *Daemon) error {
-	o := once.DefaultKeysOptions(d.settings.Host, d.boot)
+	o := once.DefaultKeyStoreOptions(d.settings.Host, d.boot)
 	o.Bounds.MaxRecords, o.Bounds.MaxBytes, o.MaxKeys = keptRecords, keptBytes, keysOut
-	p.keys = once.NewKeys(o)
-	p.ownKeys = once.NoOwnKeys{}
+	p.keys = once.NewKeyStore(o)
+	p.ownKeys = once.IssuedKeysOnly{}
 	p.claimLoop = idle
 	if d.settings.Requests.OwnKeys != settings.On {
 		return nil
 	}
-	claiming := once.DefaultClaimsOptions(p.stream(once.StreamClaims), p.keys)
+	claiming := once.DefaultClaimResolverOptions(p.stream(once.StreamClaims), p.keys)
 	claiming.Logger = d.logger
-	claims, err := once.NewClaims(claiming)
+	claims, err := once.NewClaimResolver(claiming)
 	if err != nil {
 		return err
 	}
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -68,12 +68,12 @@
 	membership *membership.Membership
 	spreader   *spread.Spreader
 	quota      *quota.Manager
-	attempts   *once.Attempts
+	attempts   *once.AttemptTable
 	quarantine *quarantine.Tracker
 	picker     *balance.Picker
 	budgets    *retry.Budgets
-	keys       *once.Keys
-	ownKeys    once.OwnKeys
+	keys       *once.KeyStore
+	ownKeys    once.KeyResolver
 	claimLoop  loop.Func
 
 	inbound     *inbound.Handler
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -41,7 +41,7 @@
 	Local *blackboard.Cell[blackboard.LocalBackend]
 	// NewGate makes the gate of a backend server.
 	NewGate  func() *gate.Gate
-	Attempts *once.Attempts
+	Attempts *once.AttemptTable
 	Dialect  dialect.Dialect
 	// LinkMbps is the bandwidth of the host's link in Mbit/s, 0 where it is not stated.
 	LinkMbps float64
--- a/internal/proxy/inbound/once.go
+++ b/internal/proxy/inbound/once.go
@@ -76,10 +76,10 @@
 	return outcomeOf(resp), nil
 }
 
-func keptAnswer(head *peerpb.AnswerHead, b []byte) *once.Answer {
-	a := &once.Answer{Status: int(head.GetStatus()), Body: b}
+func keptAnswer(head *peerpb.AnswerHead, b []byte) *once.Response {
+	a := &once.Response{Status: int(head.GetStatus()), Body: b}
 	for _, f := range head.GetFields() {
-		a.Fields = append(a.Fields, once.Field{Name: f.GetName(), Value: f.GetValue()})
+		a.Fields = append(a.Fields, once.HeaderField{Name: f.GetName(), Value: f.GetValue()})
 	}
 	return a
 }
@@ -100,16 +100,16 @@
 	return st.Send(askAnswer(h.opts.Attempts.Await(ctx, id, ask.GetBar())))
 }
 
-func askAnswer(r once.AskResult) *peerpb.AskAnswer {
+func askAnswer(r once.QueryResult) *peerpb.AskAnswer {
 	a := &peerpb.AskAnswer{Outcome: outcomes[r.Outcome]}
-	if r.Answer == nil {
+	if r.Response == nil {
 		return a
 	}
-	a.Answer = &peerpb.AnswerHead{Status: uint32(r.Answer.Status), ContentLength: int64(len(r.Answer.Body))}
-	for _, f := range r.Answer.Fields {
+	a.Answer = &peerpb.AnswerHead{Status: uint32(r.Response.Status), ContentLength: int64(len(r.Response.Body))}
+	for _, f := range r.Response.Fields {
 		a.Answer.Fields = append(a.Answer.Fields, &peerpb.Field{Name: f.Name, Value: f.Value})
 	}
-	a.Body = r.Answer.Body
+	a.Body = r.Response.Body
 	return a
 }
 
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -146,7 +146,7 @@
 	return err
 }
 
-func (a *attempt) gate() once.Gate { return once.Gate{Host: a.server.Host, Boot: a.server.Boot} }
+func (a *attempt) gate() once.GateID { return once.GateID{Host: a.server.Host, Boot: a.server.Boot} }
 
 // unreachable is the error of an attempt of which nothing was sent.
 func (a *attempt) unreachable(ctx context.Context, err error) error {
@@ -280,7 +280,7 @@
 	err := gateError(head)
 	switch errkind.Of(err) {
 	case errkind.Barred:
-		a.c.h.lanes.Refused(a.gate(), a.id)
+		a.c.h.lanes.Invalidate(a.gate(), a.id)
 	case errkind.Quarantined:
 		left := errkind.RetryAfterOf(err)
 		a.c.h.opts.Quarantine.Add(quarantine.Verdict{Identity: a.c.identity, Until: time.Now().Add(left), Duration: left})
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -40,8 +40,8 @@
 	Picker   *balance.Picker
 	Quota    *quota.Manager
 	Budgets  *retry.Budgets
-	Keys     *once.Keys
-	OwnKeys  once.OwnKeys
+	Keys     *once.KeyStore
+	OwnKeys  once.KeyResolver
 	Tracer   trace.Tracer
 	Metrics  *telemetry.Calls
 	Logger   *slog.Logger
@@ -87,7 +87,7 @@
 type Handler struct {
 	opts     Options
 	router   *bunrouter.Router
-	lanes    *once.Lanes
+	lanes    *once.IDAllocator
 	sizes    sizes
 	usual    admission.InitialTimeouts
 	lines    telemetry.LineLimit
@@ -99,7 +99,7 @@
 // NewHandler returns the handler for the callers' listener.
 func NewHandler(opts Options) *Handler {
 	h := &Handler{opts: opts, lines: telemetry.NewLineLimit(answeredLines)}
-	h.lanes = once.NewLanes(once.DefaultLanesOptions(h.openLane))
+	h.lanes = once.NewIDAllocator(once.DefaultIDAllocatorOptions(h.openLane))
 	h.router = bunrouter.New(bunrouter.WithNotFoundHandler(h.proxy), bunrouter.WithMethodNotAllowedHandler(h.proxy))
 	h.router.POST(KeysPath, h.issueKeys)
 	return h
--- a/internal/proxy/outbound/issue.go
+++ b/internal/proxy/outbound/issue.go
@@ -51,7 +51,7 @@
 	if len(issued) == 0 {
 		return nil, errkind.New(errkind.Overloaded, "this host has issued as many keys as it may")
 	}
-	out := &IssuedKeys{LifetimeSeconds: int(h.opts.Keys.Lifetime().Seconds())}
+	out := &IssuedKeys{LifetimeSeconds: int(h.opts.Keys.MaxLifetime().Seconds())}
 	for _, k := range issued {
 		out.Keys = append(out.Keys, k.String())
 	}
--- a/internal/proxy/outbound/keyed.go
+++ b/internal/proxy/outbound/keyed.go
@@ -55,7 +55,7 @@
 	if once.IsIssued(header) {
 		return once.ParseKey(header)
 	}
-	return c.h.opts.OwnKeys.Claim(ctx, c.customer, header)
+	return c.h.opts.OwnKeys.Resolve(ctx, c.customer, header)
 }
 
 // holdBody reads the rest of a large body, which must be held to be told from
@@ -81,7 +81,7 @@
 
 // runKeyed runs the call, or returns the kept answer of its first run. It goes
 // on when the caller goes away, so that a repeat finds an outcome.
-func (c *call) runKeyed(ctx context.Context, key once.Key) (*once.Answer, error) {
+func (c *call) runKeyed(ctx context.Context, key once.Key) (*once.Response, error) {
 	fp := once.NewFingerprint(c.head.GetMethod(), c.head.GetTarget(), c.customer)
 	_, _ = fp.Write(c.held)
 	exec, ans, err := c.h.opts.Keys.BeginOrWait(ctx, key, fp.Sum())
@@ -90,13 +90,13 @@
 	}
 	// Ends nothing that has ended; without it, a panic would leave the key in
 	// progress for good.
-	defer exec.Unknown()
+	defer exec.FinishUnknown()
 	ctx, cancel := context.WithDeadlineCause(context.WithoutCancel(ctx), c.deadline, errDeadline)
 	defer cancel()
 	a, err := c.open(ctx)
 	if err != nil {
 		if errkind.RunOf(err) == errkind.NotRun {
-			exec.NotRun()
+			exec.FinishNotRun()
 		}
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 }
 
 // hold reads the whole answer.
-func (s *answered) hold() (*once.Answer, error) {
+func (s *answered) hold() (*once.Response, error) {
 	b, err := io.ReadAll(io.LimitReader(s.body, maxKeyedAnswer+1))
 	if err == nil && len(b) > maxKeyedAnswer {
 		err = errors.Newf("the answer has more than %d bytes", maxKeyedAnswer)
@@ -119,14 +119,14 @@
 		return nil, errkind.Wrap(errkind.OutcomeUnknown, err, "the call ran, its answer cannot be held")
 	}
 	s.close(errkind.None)
-	ans := &once.Answer{Status: int(s.head.GetStatus()), Body: b}
+	ans := &once.Response{Status: int(s.head.GetStatus()), Body: b}
 	for _, f := range s.head.GetFields() {
-		ans.Fields = append(ans.Fields, once.Field{Name: f.GetName(), Value: f.GetValue()})
+		ans.Fields = append(ans.Fields, once.HeaderField{Name: f.GetName(), Value: f.GetValue()})
 	}
 	return ans, nil
 }
 
-func writeKept(w http.ResponseWriter, ans *once.Answer) error {
+func writeKept(w http.ResponseWriter, ans *once.Response) error {
 	body.SetFields(w.Header(), keptHead(ans).GetFields())
 	w.WriteHeader(ans.Status)
 	if _, err := w.Write(ans.Body); err != nil {
@@ -135,7 +135,7 @@
 	return nil
 }
 
-func keptHead(ans *once.Answer) *peerpb.AnswerHead {
+func keptHead(ans *once.Response) *peerpb.AnswerHead {
 	head := &peerpb.AnswerHead{Status: uint32(ans.Status), ContentLength: int64(len(ans.Body))}
 	for _, f := range ans.Fields {
 		head.Fields = append(head.Fields, &peerpb.Field{Name: f.Name, Value: f.Value})
@@ -219,7 +219,7 @@
 	return body.Send(st, bytes.NewReader(ans.Body), int64(len(ans.Body)))
 }
 
-func (h *Handler) runForwarded(ctx context.Context, st *peer.Stream, head *peerpb.CallHead) (*once.Answer, error) {
+func (h *Handler) runForwarded(ctx context.Context, st *peer.Stream, head *peerpb.CallHead) (*once.Response, error) {
 	deadline := time.Now().Add(time.Duration(head.GetRemainingMs()) * time.Millisecond)
 	_ = st.SetReadDeadline(deadline)
 	// What fails before the key is looked up says nothing of earlier requests
--- a/internal/proxy/outbound/lane.go
+++ b/internal/proxy/outbound/lane.go
@@ -10,7 +10,7 @@
 
 // openLane asks a gate for a lane, once for each gate that non-idempotent
 // calls go to.
-func (h *Handler) openLane(ctx context.Context, g once.Gate) (once.Lane, error) {
+func (h *Handler) openLane(ctx context.Context, g once.GateID) (once.Lane, error) {
 	view := h.opts.Board.Members.Load()
 	m := view.Find(g.Host)
 	if m == nil {
--- a/once/answer.go
+++ b/once/answer.go
@@ -2,17 +2,17 @@
 
 import "bytes"
 
-// Field is one HTTP header line of an answer.
-type Field struct {
+// HeaderField is one HTTP header line of an answer.
+type HeaderField struct {
 	Name, Value string
 }
 
-// Answer is a whole answer of a backend server. It is shared by all who are
+// Response is a whole answer of a backend server. It is shared by all who are
 // given it and must not be changed once it is kept.
-type Answer struct {
+type Response struct {
 	// Status is the HTTP status.
 	Status int
-	Fields []Field
+	Fields []HeaderField
 	Body   []byte
 }
 
@@ -23,7 +23,7 @@
 )
 
 // size is the memory of the answer in bytes.
-func (a *Answer) size() int64 {
+func (a *Response) size() int64 {
 	if a == nil {
 		return 0
 	}
@@ -37,7 +37,7 @@
 // Recorder copies an answer while it is streamed elsewhere, up to a bound.
 type Recorder struct {
 	limit  int
-	answer Answer
+	answer Response
 	body   bytes.Buffer
 	over   bool
 }
@@ -46,8 +46,8 @@
 // bytes.
 func NewRecorder(limit int) *Recorder { return &Recorder{limit: limit} }
 
-// Head records what comes before the body.
-func (r *Recorder) Head(status int, fields []Field) {
+// WriteHeader records what comes before the body.
+func (r *Recorder) WriteHeader(status int, fields []HeaderField) {
 	r.answer.Status = status
 	r.answer.Fields = fields
 }
@@ -62,9 +62,9 @@
 	return r.body.Write(p)
 }
 
-// Answer returns the whole answer, nil if it was larger than the limit. It is
+// Response returns the whole answer, nil if it was larger than the limit. It is
 // called once, after the body has ended.
-func (r *Recorder) Answer() *Answer {
+func (r *Recorder) Response() *Response {
 	if r.over {
 		return nil
 	}
--- a/once/attempts.go
+++ b/once/attempts.go
@@ -10,8 +10,8 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// AttemptsOptions holds the bounds of an Attempts.
-type AttemptsOptions struct {
+// AttemptTableOptions holds the bounds of an Attempts.
+type AttemptTableOptions struct {
 	// Boot is the life of this daemon; ids for another are refused.
 	Boot uint64
 	// Bounds hold for all lanes together. KeepFor should exceed the longest
@@ -21,26 +21,26 @@
 	// MaxLanes bounds the lanes kept; the one unused for the longest time goes
 	// first.
 	MaxLanes int
-	// LaneIdle is how long a lane stays open without an attempt. A sender that
+	// LaneIdleTimeout is how long a lane stays open without an attempt. A sender that
 	// was paused for longer finds all that it had under way refused.
-	LaneIdle time.Duration
-	Now      func() time.Time
+	LaneIdleTimeout time.Duration
+	Now             func() time.Time
 }
 
-// DefaultAttemptsOptions suit a gate that a thousand daemons talk to.
-func DefaultAttemptsOptions(boot uint64) AttemptsOptions {
-	return AttemptsOptions{
+// DefaultAttemptTableOptions suit a gate that a thousand daemons talk to.
+func DefaultAttemptTableOptions(boot uint64) AttemptTableOptions {
+	return AttemptTableOptions{
 		Boot: boot,
 		Bounds: Bounds{
-			KeepFor:        2 * time.Minute,
-			MaxRecords:     128 << 10,
-			MaxRunning:     16 << 10,
-			MaxBytes:       64 << 20,
-			MaxAnswerBytes: 256 << 10,
+			KeepFor:          2 * time.Minute,
+			MaxRecords:       128 << 10,
+			MaxRunning:       16 << 10,
+			MaxBytes:         64 << 20,
+			MaxResponseBytes: 256 << 10,
 		},
-		MaxLanes: 16 << 10,
-		LaneIdle: 10 * time.Minute,
-		Now:      time.Now,
+		MaxLanes:        16 << 10,
+		LaneIdleTimeout: 10 * time.Minute,
+		Now:             time.Now,
 	}
 }
 
@@ -59,15 +59,15 @@
 	Unknown
 )
 
-// AskResult is what a gate tells of an attempt.
-type AskResult struct {
+// QueryResult is what a gate tells of an attempt.
+type QueryResult struct {
 	Outcome Outcome
-	// Answer is the whole answer of an attempt that ran, nil where it is not
+	// Response is the whole answer of an attempt that ran, nil where it is not
 	// kept.
-	Answer *Answer
+	Response *Response
 }
 
-// Attempts is the table of a gate: which attempts run, ran, or must never
+// AttemptTable is the table of a gate: which attempts run, ran, or must never
 // start. It is safe for concurrent use; attempts of different lanes seldom
 // share a lock.
 //
@@ -80,8 +80,8 @@
 // and none is told as not run after it started.
 //
 // This rests on a sender sending each attempt once, on one stream.
-type Attempts struct {
-	opts   AttemptsOptions
+type AttemptTable struct {
+	opts   AttemptTableOptions
 	clock  clock
 	lanes  atomic.Uint64
 	shards [attemptShards]attemptShard
@@ -103,9 +103,9 @@
 	used  time.Duration
 }
 
-// NewAttempts returns an empty table.
-func NewAttempts(opts AttemptsOptions) *Attempts {
-	a := &Attempts{opts: opts, clock: newClock(opts.Now)}
+// NewAttemptTable returns an empty table.
+func NewAttemptTable(opts AttemptTableOptions) *AttemptTable {
+	a := &AttemptTable{opts: opts, clock: newClock(opts.Now)}
 	bounds := opts.Bounds.split(attemptShards)
 	for i := range a.shards {
 		s := &a.shards[i]
@@ -121,10 +121,10 @@
 	}
 }
 
-func (a *Attempts) shard(lane uint32) *attemptShard { return &a.shards[lane%attemptShards] }
+func (a *AttemptTable) shard(lane uint32) *attemptShard { return &a.shards[lane%attemptShards] }
 
 // OpenLane opens a lane for a sender. Numbers are never given out twice.
-func (a *Attempts) OpenLane() (Lane, error) {
+func (a *AttemptTable) OpenLane() (Lane, error) {
 	n := a.lanes.Add(1)
 	if n > math.MaxUint32 {
 		return Lane{}, errkind.New(errkind.Overloaded, "no lane numbers are left")
@@ -135,7 +135,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.lanes) >= max(1, a.opts.MaxLanes/attemptShards) {
-		s.closeLanes(now, a.opts.LaneIdle)
+		s.closeLanes(now, a.opts.LaneIdleTimeout)
 	}
 	s.lanes[number] = &lane{used: now}
 	return Lane{Boot: a.opts.Boot, Number: number}, nil
@@ -164,7 +164,7 @@
 // Start lets an attempt start, right before the first byte of it goes to the
 // backend server. The error is errkind.Barred where it must not start, now or
 // later.
-func (a *Attempts) Start(id ID) error {
+func (a *AttemptTable) Start(id ID) error {
 	if id.Boot() != a.opts.Boot {
 		return errkind.New(errkind.Barred, "the attempt was meant for an earlier life of this host")
 	}
@@ -178,7 +178,7 @@
 	}
 	l := s.lanes[id.lane()]
 	switch {
-	case l == nil || now-l.used >= a.opts.LaneIdle:
+	case l == nil || now-l.used >= a.opts.LaneIdleTimeout:
 		delete(s.lanes, id.lane())
 		return errkind.New(errkind.Barred, "the attempt's lane is closed")
 	case id.seq() <= l.floor:
@@ -202,16 +202,16 @@
 // Finish ends an attempt that ran. A nil answer means that the answer was too
 // large to be copied. All of Finish, Fail and Cancel do nothing for an attempt
 // that is not running.
-func (a *Attempts) Finish(id ID, ans *Answer) { a.end(id, ran, ans) }
+func (a *AttemptTable) Finish(id ID, ans *Response) { a.end(id, ran, ans) }
 
 // Fail ends an attempt of which nobody knows whether it ran.
-func (a *Attempts) Fail(id ID) { a.end(id, unsure, nil) }
+func (a *AttemptTable) Fail(id ID) { a.end(id, unsure, nil) }
 
 // Cancel ends an attempt that was let start and proved not to have: nothing of
 // it reached the backend server. It counts as barred from now on.
-func (a *Attempts) Cancel(id ID) { a.end(id, barred, nil) }
+func (a *AttemptTable) Cancel(id ID) { a.end(id, barred, nil) }
 
-func (a *Attempts) end(id ID, st state, ans *Answer) {
+func (a *AttemptTable) end(id ID, st state, ans *Response) {
 	s := a.shard(id.lane())
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -222,16 +222,16 @@
 	s.ledger.end(id.number(), e, st, ans, a.clock.elapsed())
 }
 
-// Ask tells what became of an attempt. With bar, an attempt that has not
+// Query tells what became of an attempt. With bar, an attempt that has not
 // started is barred and told as NotRun; without, it is told as Running.
-func (a *Attempts) Ask(id ID, bar bool) AskResult {
+func (a *AttemptTable) Query(id ID, bar bool) QueryResult {
 	r, _ := a.ask(id, bar)
 	return r
 }
 
 // Await is Ask for a caller that can wait: it tells Running only once ctx is
 // done.
-func (a *Attempts) Await(ctx context.Context, id ID, bar bool) AskResult {
+func (a *AttemptTable) Await(ctx context.Context, id ID, bar bool) QueryResult {
 	r, w := a.ask(id, bar)
 	if w == nil {
 		return r
@@ -245,9 +245,9 @@
 }
 
 // ask returns what to wait for beside the result of an attempt that runs.
-func (a *Attempts) ask(id ID, bar bool) (AskResult, *waiting) {
+func (a *AttemptTable) ask(id ID, bar bool) (QueryResult, *waiting) {
 	if id.Boot() != a.opts.Boot {
-		return AskResult{Outcome: Unknown}, nil
+		return QueryResult{Outcome: Unknown}, nil
 	}
 	s := a.shard(id.lane())
 	s.mu.Lock()
@@ -263,23 +263,23 @@
 	}
 	l := s.lanes[id.lane()]
 	if l == nil || id.seq() <= l.floor {
-		return AskResult{Outcome: Unknown}, nil
+		return QueryResult{Outcome: Unknown}, nil
 	}
 	if !bar {
-		return AskResult{Outcome: Running}, nil
+		return QueryResult{Outcome: Running}, nil
 	}
 	s.ledger.bar(id.number(), now)
-	return AskResult{Outcome: NotRun}, nil
+	return QueryResult{Outcome: NotRun}, nil
 }
 
-func resultOf(s state, ans *Answer) AskResult {
+func resultOf(s state, ans *Response) QueryResult {
 	switch s {
 	case running:
-		return AskResult{Outcome: Running}
+		return QueryResult{Outcome: Running}
 	case ran:
-		return AskResult{Outcome: Ran, Answer: ans}
+		return QueryResult{Outcome: Ran, Response: ans}
 	case barred:
-		return AskResult{Outcome: NotRun}
+		return QueryResult{Outcome: NotRun}
 	}
-	return AskResult{Outcome: Unknown}
+	return QueryResult{Outcome: Unknown}
 }
--- a/once/attempts_test.go
+++ b/once/attempts_test.go
@@ -15,14 +15,14 @@
 
 // tinyAttempts make a gate forget soon: each shard has room for one lane,
 // three records and about one answer.
-func tinyAttempts(boot uint64, now func() time.Time) AttemptsOptions {
-	return AttemptsOptions{
+func tinyAttempts(boot uint64, now func() time.Time) AttemptTableOptions {
+	return AttemptTableOptions{
 		Boot: boot,
 		Bounds: Bounds{
 			KeepFor: 10 * time.Second, MaxRecords: 3 * attemptShards, MaxRunning: 2 * attemptShards,
-			MaxBytes: 100 * attemptShards, MaxAnswerBytes: 100,
+			MaxBytes: 100 * attemptShards, MaxResponseBytes: 100,
 		},
-		MaxLanes: attemptShards, LaneIdle: 30 * time.Second, Now: now,
+		MaxLanes: attemptShards, LaneIdleTimeout: 30 * time.Second, Now: now,
 	}
 }
 
@@ -30,30 +30,30 @@
 type attemptsModel struct {
 	clock  *manualClock
 	boot   uint64
-	gate   *Attempts
-	sender *Lanes
+	gate   *AttemptTable
+	sender *IDAllocator
 
 	minted   []ID
 	inFlight []ID
 	running  []liveAttempt
 	started  map[ID]bool
 	notRun   map[ID]bool
-	answers  map[ID]*Answer
+	answers  map[ID]*Response
 }
 
 // liveAttempt runs in one life of the gate, which may be over.
 type liveAttempt struct {
 	id   ID
-	gate *Attempts
+	gate *AttemptTable
 }
 
 func newAttemptsModel() *attemptsModel {
 	m := &attemptsModel{
-		clock: newManualClock(), started: map[ID]bool{}, notRun: map[ID]bool{}, answers: map[ID]*Answer{},
+		clock: newManualClock(), started: map[ID]bool{}, notRun: map[ID]bool{}, answers: map[ID]*Response{},
 	}
 	m.restart(nil)
-	m.sender = NewLanes(LanesOptions{
-		Open:      func(context.Context, Gate) (Lane, error) { return m.gate.OpenLane() },
+	m.sender = NewIDAllocator(IDAllocatorOptions{
+		OpenLane:  func(context.Context, GateID) (Lane, error) { return m.gate.OpenLane() },
 		IdleAfter: 25 * time.Second,
 		Now:       m.clock.Now,
 	})
@@ -62,13 +62,13 @@
 
 func (m *attemptsModel) restart(*rapid.T) {
 	m.boot++
-	m.gate = NewAttempts(tinyAttempts(m.boot, m.clock.Now))
+	m.gate = NewAttemptTable(tinyAttempts(m.boot, m.clock.Now))
 }
 
 func (m *attemptsModel) send(t *rapid.T) {
 	// The sender's view may lag behind by a life of the gate.
 	boot := rapid.Uint64Range(max(1, m.boot-1), m.boot).Draw(t, "boot")
-	id, err := m.sender.Next(context.Background(), Gate{Host: "a", Boot: boot})
+	id, err := m.sender.Next(context.Background(), GateID{Host: "a", Boot: boot})
 	must.NoError(t, err)
 	m.minted = append(m.minted, id)
 	m.inFlight = append(m.inFlight, id)
@@ -102,7 +102,7 @@
 	case 2:
 		r.gate.Finish(r.id, nil)
 	default:
-		m.answers[r.id] = &Answer{Status: 200, Body: []byte(r.id.String())}
+		m.answers[r.id] = &Response{Status: 200, Body: []byte(r.id.String())}
 		r.gate.Finish(r.id, m.answers[r.id])
 	}
 }
@@ -121,7 +121,7 @@
 		return
 	}
 	id := rapid.SampledFrom(m.minted).Draw(t, "id")
-	r := m.gate.Ask(id, true)
+	r := m.gate.Query(id, true)
 	switch r.Outcome {
 	case NotRun:
 		must.False(t, m.started[id], must.Sprintf("%v was told as not run and had started", id))
@@ -129,8 +129,8 @@
 	case Running, Ran:
 		must.True(t, m.started[id])
 	}
-	if r.Answer != nil {
-		must.Eq(t, m.answers[id], r.Answer)
+	if r.Response != nil {
+		must.Eq(t, m.answers[id], r.Response)
 	}
 }
 
@@ -182,8 +182,8 @@
 }
 
 // gateWithLane returns a gate and the ids of its first lane.
-func gateWithLane(t *testing.T, clock *manualClock) (*Attempts, func(seq uint32) ID) {
-	g := NewAttempts(tinyAttempts(1, clock.Now))
+func gateWithLane(t *testing.T, clock *manualClock) (*AttemptTable, func(seq uint32) ID) {
+	g := NewAttemptTable(tinyAttempts(1, clock.Now))
 	lane, err := g.OpenLane()
 	must.NoError(t, err)
 	return g, func(seq uint32) ID { return newID(lane.Boot, lane.Number, seq) }
@@ -192,18 +192,18 @@
 // What a gate must be able to tell while nothing was forgotten; without it a
 // table that answers "unknown" always would pass as safe.
 func TestAskIsPrecise(t *testing.T) {
-	ans := &Answer{Status: 201, Body: []byte("held")}
+	ans := &Response{Status: 201, Body: []byte("held")}
 	cases := []struct {
 		name string
-		do   func(g *Attempts, id ID)
-		want AskResult
+		do   func(g *AttemptTable, id ID)
+		want QueryResult
 	}{
-		{"never came", func(*Attempts, ID) {}, AskResult{Outcome: NotRun}},
-		{"runs", func(*Attempts, ID) {}, AskResult{Outcome: Running}},
-		{"ran", func(g *Attempts, id ID) { g.Finish(id, ans) }, AskResult{Ran, ans}},
-		{"ran, large answer", func(g *Attempts, id ID) { g.Finish(id, &Answer{Body: make([]byte, 200)}) }, AskResult{Outcome: Ran}},
-		{"failed", func(g *Attempts, id ID) { g.Fail(id) }, AskResult{Outcome: Unknown}},
-		{"canceled", func(g *Attempts, id ID) { g.Cancel(id) }, AskResult{Outcome: NotRun}},
+		{"never came", func(*AttemptTable, ID) {}, QueryResult{Outcome: NotRun}},
+		{"runs", func(*AttemptTable, ID) {}, QueryResult{Outcome: Running}},
+		{"ran", func(g *AttemptTable, id ID) { g.Finish(id, ans) }, QueryResult{Ran, ans}},
+		{"ran, large answer", func(g *AttemptTable, id ID) { g.Finish(id, &Response{Body: make([]byte, 200)}) }, QueryResult{Outcome: Ran}},
+		{"failed", func(g *AttemptTable, id ID) { g.Fail(id) }, QueryResult{Outcome: Unknown}},
+		{"canceled", func(g *AttemptTable, id ID) { g.Cancel(id) }, QueryResult{Outcome: NotRun}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -212,8 +212,8 @@
 				must.NoError(t, g.Start(id(1)))
 			}
 			c.do(g, id(1))
-			must.Eq(t, c.want, g.Ask(id(1), true))
-			must.Eq(t, c.want, g.Ask(id(1), true))
+			must.Eq(t, c.want, g.Query(id(1), true))
+			must.Eq(t, c.want, g.Query(id(1), true))
 			must.Error(t, g.Start(id(1)))
 		})
 	}
@@ -222,7 +222,7 @@
 // An ask without bar promises nothing, so the attempt still starts.
 func TestAskWithoutBar(t *testing.T) {
 	g, id := gateWithLane(t, newManualClock())
-	must.Eq(t, AskResult{Outcome: Running}, g.Ask(id(1), false))
+	must.Eq(t, QueryResult{Outcome: Running}, g.Query(id(1), false))
 	must.NoError(t, g.Start(id(1)))
 }
 
@@ -253,28 +253,28 @@
 // trusted for as long as the gate keeps it.
 func TestLanesAreReplaced(t *testing.T) {
 	clock := newManualClock()
-	g := NewAttempts(tinyAttempts(1, clock.Now))
+	g := NewAttemptTable(tinyAttempts(1, clock.Now))
 	opened := 0
-	lanes := NewLanes(LanesOptions{
-		Open: func(context.Context, Gate) (Lane, error) {
+	lanes := NewIDAllocator(IDAllocatorOptions{
+		OpenLane: func(context.Context, GateID) (Lane, error) {
 			opened++
 			return g.OpenLane()
 		},
 		IdleAfter: 20 * time.Second, Now: clock.Now,
 	})
 	next := func() ID {
-		id, err := lanes.Next(t.Context(), Gate{"a", 1})
+		id, err := lanes.Next(t.Context(), GateID{"a", 1})
 		must.NoError(t, err)
 		return id
 	}
 	first := next()
 	must.NotEq(t, first, next())
 	must.Eq(t, 1, opened)
-	lanes.Refused(Gate{"a", 1}, first)
+	lanes.Invalidate(GateID{"a", 1}, first)
 	second := next()
 	must.Eq(t, 2, opened)
 	// A late word about the first lane must not close the second.
-	lanes.Refused(Gate{"a", 1}, first)
+	lanes.Invalidate(GateID{"a", 1}, first)
 	next()
 	must.Eq(t, 2, opened)
 	clock.advance(20 * time.Second)
@@ -282,29 +282,29 @@
 	must.Eq(t, 3, opened)
 	// Gates that are gone are forgotten when another is first met.
 	clock.advance(20 * time.Second)
-	_, err := lanes.Next(t.Context(), Gate{"b", 1})
+	_, err := lanes.Next(t.Context(), GateID{"b", 1})
 	must.NoError(t, err)
-	_, kept := lanes.gates.Load(Gate{"a", 1})
+	_, kept := lanes.gates.Load(GateID{"a", 1})
 	must.False(t, kept)
 }
 
 // Asks and frames of the same attempts race. Of each attempt either the start
 // or the bar wins, and whoever waits for a running one gets its own answer.
 func TestStartRacesWithAsk(t *testing.T) {
-	opts := DefaultAttemptsOptions(1)
-	g := NewAttempts(opts)
+	opts := DefaultAttemptTableOptions(1)
+	g := NewAttemptTable(opts)
 	lane, err := g.OpenLane()
 	must.NoError(t, err)
 	const attempts = 2000
-	var started, asked [attempts]AskResult
+	var started, asked [attempts]QueryResult
 	var wg sync.WaitGroup
 	for w := range 2 {
 		wg.Go(func() {
 			for i := w; i < attempts; i += 2 {
 				id := newID(1, lane.Number, uint32(i+1))
 				if g.Start(id) == nil {
-					started[i] = AskResult{Ran, &Answer{Body: fmt.Append(nil, i)}}
-					g.Finish(id, started[i].Answer)
+					started[i] = QueryResult{Ran, &Response{Body: fmt.Append(nil, i)}}
+					g.Finish(id, started[i].Response)
 				}
 			}
 		})
@@ -317,7 +317,7 @@
 	wg.Wait()
 	for i := range attempts {
 		if started[i].Outcome == 0 {
-			started[i] = AskResult{Outcome: NotRun}
+			started[i] = QueryResult{Outcome: NotRun}
 		}
 		must.Eq(t, started[i], asked[i])
 	}
--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -20,9 +20,9 @@
 // attempt, a record and an execution for a key, nothing for a repeat.
 func TestAllocations(t *testing.T) {
 	const runs = 2000
-	ans := &Answer{Status: 201, Body: make([]byte, 200)}
-	lanes := NewLanes(DefaultLanesOptions(func(context.Context, Gate) (Lane, error) { return Lane{1, 1}, nil }))
-	g := NewAttempts(DefaultAttemptsOptions(1))
+	ans := &Response{Status: 201, Body: make([]byte, 200)}
+	lanes := NewIDAllocator(DefaultIDAllocatorOptions(func(context.Context, GateID) (Lane, error) { return Lane{1, 1}, nil }))
+	g := NewAttemptTable(DefaultAttemptTableOptions(1))
 	_, _ = g.OpenLane()
 	failed := 0
 	check := func(ok bool) {
@@ -31,13 +31,13 @@
 		}
 	}
 	must.LessEq(t, 1, testing.AllocsPerRun(runs, func() {
-		id, err := lanes.Next(context.Background(), Gate{"a", 1})
+		id, err := lanes.Next(context.Background(), GateID{"a", 1})
 		check(err == nil && g.Start(id) == nil)
 		g.Finish(id, ans)
 	}))
-	opts := DefaultKeysOptions("a", 1)
+	opts := DefaultKeyStoreOptions("a", 1)
 	opts.MaxIssue = 2 * runs
-	k := NewKeys(opts)
+	k := NewKeyStore(opts)
 	keys := k.Issue(opts.MaxIssue)
 	used := keys[0]
 	must.LessEq(t, 2, testing.AllocsPerRun(runs, func() {
@@ -59,8 +59,8 @@
 }
 
 func BenchmarkAttempt(b *testing.B) {
-	g := NewAttempts(DefaultAttemptsOptions(1))
-	ans := &Answer{Status: 201, Body: make([]byte, 200)}
+	g := NewAttemptTable(DefaultAttemptTableOptions(1))
+	ans := &Response{Status: 201, Body: make([]byte, 200)}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		lane, _ := g.OpenLane()
@@ -75,20 +75,20 @@
 }
 
 func BenchmarkNextID(b *testing.B) {
-	l := NewLanes(DefaultLanesOptions(func(context.Context, Gate) (Lane, error) { return Lane{1, 1}, nil }))
+	l := NewIDAllocator(DefaultIDAllocatorOptions(func(context.Context, GateID) (Lane, error) { return Lane{1, 1}, nil }))
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
-			_, _ = l.Next(b.Context(), Gate{"a", 1})
+			_, _ = l.Next(b.Context(), GateID{"a", 1})
 		}
 	})
 }
 
 func BenchmarkKeyFirstRun(b *testing.B) {
-	opts := DefaultKeysOptions("a", 1)
+	opts := DefaultKeyStoreOptions("a", 1)
 	opts.MaxKeys = 1 << 40
-	k := NewKeys(opts)
-	ans := &Answer{Status: 201, Body: make([]byte, 200)}
+	k := NewKeyStore(opts)
+	ans := &Response{Status: 201, Body: make([]byte, 200)}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		var keys []Key
@@ -108,11 +108,11 @@
 }
 
 func BenchmarkKeyReplay(b *testing.B) {
-	k := NewKeys(DefaultKeysOptions("a", 1))
+	k := NewKeyStore(DefaultKeyStoreOptions("a", 1))
 	keys := k.Issue(1000)
 	for _, key := range keys {
 		e, _, _ := k.Begin(key, Fingerprint{1})
-		e.Finish(&Answer{Status: 201})
+		e.Finish(&Response{Status: 201})
 	}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
@@ -123,7 +123,7 @@
 }
 
 func BenchmarkParseKey(b *testing.B) {
-	text := NewKeys(DefaultKeysOptions("host-17.example", 1<<60)).Issue(1)[0].String()
+	text := NewKeyStore(DefaultKeyStoreOptions("host-17.example", 1<<60)).Issue(1)[0].String()
 	b.ReportMetric(float64(len(text)), "chars")
 	b.ReportAllocs()
 	for b.Loop() {
@@ -138,19 +138,19 @@
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
 			svc := memlog.New(memlog.DefaultOptions())
 			svc.SetDelay(5 * time.Millisecond)
-			c, err := NewClaims(DefaultClaimsOptions(svc.Stream(StreamClaims), NewKeys(DefaultKeysOptions("a", 1))))
+			c, err := NewClaimResolver(DefaultClaimResolverOptions(svc.Stream(StreamClaims), NewKeyStore(DefaultKeyStoreOptions("a", 1))))
 			must.NoError(b, err)
 			ctx, cancel := context.WithCancel(b.Context())
 			done := make(chan error, 1)
 			go func() { done <- c.Run(ctx) }()
-			_, err = c.Claim(ctx, "c", "first")
+			_, err = c.Resolve(ctx, "c", "first")
 			must.NoError(b, err)
 			start := svc.Counters()
 			var n atomic.Int64
 			b.SetParallelism(max(1, callers/runtime.GOMAXPROCS(0)))
 			b.RunParallel(func(pb *testing.PB) {
 				for pb.Next() {
-					_, _ = c.Claim(ctx, "c", fmt.Sprint(n.Add(1)))
+					_, _ = c.Resolve(ctx, "c", fmt.Sprint(n.Add(1)))
 				}
 			})
 			end := svc.Counters()
@@ -173,7 +173,7 @@
 
 // BenchmarkMemory reports bytes of live heap for each thing kept.
 func BenchmarkMemory(b *testing.B) {
-	wide := Bounds{KeepFor: time.Hour, MaxRecords: 1 << 30, MaxRunning: 1 << 30, MaxBytes: 1 << 40, MaxAnswerBytes: 1 << 20}
+	wide := Bounds{KeepFor: time.Hour, MaxRecords: 1 << 30, MaxRunning: 1 << 30, MaxBytes: 1 << 40, MaxResponseBytes: 1 << 20}
 	for _, n := range []int{1000, 30_000, 300_000} {
 		report := func(kind string, fill func() any) {
 			b.Run(fmt.Sprintf("%s/n=%d", kind, n), func(b *testing.B) {
@@ -197,10 +197,10 @@
 	}
 }
 
-func filledAttempts(bounds Bounds, n int) *Attempts {
-	opts := DefaultAttemptsOptions(1)
+func filledAttempts(bounds Bounds, n int) *AttemptTable {
+	opts := DefaultAttemptTableOptions(1)
 	opts.Bounds = bounds
-	g := NewAttempts(opts)
+	g := NewAttemptTable(opts)
 	lanes := make([]Lane, 64)
 	for i := range lanes {
 		lanes[i], _ = g.OpenLane()
@@ -213,10 +213,10 @@
 	return g
 }
 
-func filledKeys(bounds Bounds, n int, used bool) *Keys {
-	opts := DefaultKeysOptions("a", 1)
+func filledKeys(bounds Bounds, n int, used bool) *KeyStore {
+	opts := DefaultKeyStoreOptions("a", 1)
 	opts.Bounds, opts.MaxIssue = bounds, n
-	k := NewKeys(opts)
+	k := NewKeyStore(opts)
 	for _, key := range k.Issue(n) {
 		if used {
 			e, _, _ := k.Begin(key, Fingerprint{1})
--- a/once/claimreader.go
+++ b/once/claimreader.go
@@ -50,7 +50,7 @@
 }
 
 // follow reads the log until ctx is done.
-func (c *Claims) follow(ctx context.Context) error {
+func (c *ClaimResolver) follow(ctx context.Context) error {
 	pause := minPause
 	for ctx.Err() == nil {
 		if err := c.readOnce(ctx); err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-func (c *Claims) readFailed(ctx context.Context, err error) {
+func (c *ClaimResolver) readFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
@@ -91,7 +91,7 @@
 }
 
 // readOnce reads what comes next and folds it.
-func (c *Claims) readOnce(ctx context.Context) error {
+func (c *ClaimResolver) readOnce(ctx context.Context) error {
 	next, ok := c.position()
 	if !ok {
 		return c.begin(ctx)
@@ -111,7 +111,7 @@
 	return c.take(recs)
 }
 
-func (c *Claims) position() (eventlog.Offset, bool) {
+func (c *ClaimResolver) position() (eventlog.Offset, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.index == nil {
@@ -121,7 +121,7 @@
 }
 
 // checkEnd looks whether the log has lost records that were read.
-func (c *Claims) checkEnd(ctx context.Context, next eventlog.Offset) error {
+func (c *ClaimResolver) checkEnd(ctx context.Context, next eventlog.Offset) error {
 	b, err := c.opts.Log.Bounds(ctx)
 	if err != nil {
 		return err
@@ -136,7 +136,7 @@
 }
 
 // begin starts a new index at the first record that the log holds.
-func (c *Claims) begin(ctx context.Context) error {
+func (c *ClaimResolver) begin(ctx context.Context) error {
 	b, err := c.opts.Log.Bounds(ctx)
 	if err != nil {
 		return err
@@ -158,7 +158,7 @@
 // forget drops the index since the log has lost records: it ends at an offset
 // below the one to be read next. Nothing is decided for a lifetime, until what
 // was claimed in those records has ended.
-func (c *Claims) forget(end, next eventlog.Offset) {
+func (c *ClaimResolver) forget(end, next eventlog.Offset) {
 	c.opts.Logger.Error("claims: the log has lost records", "end", end, "read", next)
 	c.index = nil
 	c.distrust = true
@@ -167,7 +167,7 @@
 }
 
 // take folds records and resolves the claims that they decide.
-func (c *Claims) take(recs []eventlog.Record) error {
+func (c *ClaimResolver) take(recs []eventlog.Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.index == nil {
@@ -188,7 +188,7 @@
 	return err
 }
 
-func (c *Claims) foldAll(recs []eventlog.Record) error {
+func (c *ClaimResolver) foldAll(recs []eventlog.Record) error {
 	for _, r := range recs {
 		err := c.index.fold(r)
 		switch {
@@ -204,7 +204,7 @@
 }
 
 // settle resolves or refuses the pending claims as far as the index tells.
-func (c *Claims) settle() {
+func (c *ClaimResolver) settle() {
 	now := c.opts.Now()
 	if c.stuck != nil || c.blind(now) {
 		c.refuseAll(c.refusal(now))
@@ -221,13 +221,13 @@
 	c.wake.Set()
 }
 
-func (c *Claims) refuseAll(err error) {
+func (c *ClaimResolver) refuseAll(err error) {
 	for _, p := range c.pending {
 		c.finish(p, Key{}, err)
 	}
 }
 
-func (c *Claims) finish(p *pendingClaim, k Key, err error) {
+func (c *ClaimResolver) finish(p *pendingClaim, k Key, err error) {
 	p.result, p.err = k, err
 	close(p.done)
 	delete(c.pending, p.digest)
--- a/once/claims.go
+++ b/once/claims.go
@@ -23,12 +23,12 @@
 // Issuer gives out the keys that own keys are tied to.
 type Issuer interface {
 	Issue(n int) []Key
-	// Lifetime is how long a key may still be used after its issue, at most.
-	Lifetime() time.Duration
+	// MaxLifetime is how long a key may still be used after its issue, at most.
+	MaxLifetime() time.Duration
 }
 
-// ClaimsOptions holds the bounds of a Claims.
-type ClaimsOptions struct {
+// ClaimResolverOptions holds the bounds of a Claims.
+type ClaimResolverOptions struct {
 	// Log is the stream StreamClaims.
 	Log  eventlog.Log
 	Keys Issuer
@@ -55,33 +55,33 @@
 	ResendAfter time.Duration
 	// ReadWait is how long a read waits for new records.
 	ReadWait time.Duration
-	// MarkInterval is how long claims that have ended may stay in the index of
+	// HorizonInterval is how long claims that have ended may stay in the index of
 	// an idle stream before a record is written to end them.
-	MarkInterval time.Duration
-	Logger       *slog.Logger
-	Now          func() time.Time
+	HorizonInterval time.Duration
+	Logger          *slog.Logger
+	Now             func() time.Time
 }
 
-// DefaultClaimsOptions match DefaultKeysOptions and DefaultAttemptsOptions.
-func DefaultClaimsOptions(log eventlog.Log, keys Issuer) ClaimsOptions {
-	return ClaimsOptions{
-		Log:            log,
-		Keys:           keys,
-		Lifetime:       2 * time.Hour,
-		StartMargin:    15 * time.Minute,
-		MaxClaims:      256 << 10,
-		MaxPending:     4096,
-		AppendInterval: 50 * time.Millisecond,
-		AppendTimeout:  2 * time.Second,
-		ResendAfter:    time.Second,
-		ReadWait:       10 * time.Second,
-		MarkInterval:   15 * time.Minute,
-		Logger:         slog.New(slog.DiscardHandler),
-		Now:            time.Now,
+// DefaultClaimResolverOptions match DefaultKeysOptions and DefaultAttemptsOptions.
+func DefaultClaimResolverOptions(log eventlog.Log, keys Issuer) ClaimResolverOptions {
+	return ClaimResolverOptions{
+		Log:             log,
+		Keys:            keys,
+		Lifetime:        2 * time.Hour,
+		StartMargin:     15 * time.Minute,
+		MaxClaims:       256 << 10,
+		MaxPending:      4096,
+		AppendInterval:  50 * time.Millisecond,
+		AppendTimeout:   2 * time.Second,
+		ResendAfter:     time.Second,
+		ReadWait:        10 * time.Second,
+		HorizonInterval: 15 * time.Minute,
+		Logger:          slog.New(slog.DiscardHandler),
+		Now:             time.Now,
 	}
 }
 
-// Claims is the OwnKeys that ties own keys to issued ones by records in the
+// ClaimResolver is the OwnKeys that ties own keys to issued ones by records in the
 // platform's log: the first claim of an own key in the order of the log holds.
 // A daemon decides only by a record that it has read, after all those before
 // it. It needs no lease, no clock that agrees with another's and no daemon but
@@ -92,8 +92,8 @@
 // call under it once the own key may stand for another.
 //
 // Callers that cannot wait on the platform should use issued keys.
-type Claims struct {
-	opts ClaimsOptions
+type ClaimResolver struct {
+	opts ClaimResolverOptions
 	wake loop.Trigger
 
 	mu    sync.Mutex
@@ -134,17 +134,17 @@
 	err    error
 }
 
-// NewClaims returns a Claims that resolves own keys while Run runs.
-func NewClaims(opts ClaimsOptions) (*Claims, error) {
-	if least := opts.Keys.Lifetime() + opts.StartMargin; opts.Lifetime < least {
+// NewClaimResolver returns a Claims that resolves own keys while Run runs.
+func NewClaimResolver(opts ClaimResolverOptions) (*ClaimResolver, error) {
+	if least := opts.Keys.MaxLifetime() + opts.StartMargin; opts.Lifetime < least {
 		return nil, errors.Newf("claims must last for %s at least, not %s", least, opts.Lifetime)
 	}
-	return &Claims{opts: opts, wake: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
+	return &ClaimResolver{opts: opts, wake: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
 }
 
 // Run follows the log and makes claims until ctx is done, and returns nil
 // then.
-func (c *Claims) Run(ctx context.Context) error {
+func (c *ClaimResolver) Run(ctx context.Context) error {
 	var t tomb.Tomb
 	t.Go(func() error {
 		t.Go(func() error { return c.write(ctx) })
@@ -153,10 +153,10 @@
 	return t.Wait()
 }
 
-// Claim implements OwnKeys. The error's kind is KeyUnresolved where the log
+// Resolve implements OwnKeys. The error's kind is KeyUnresolved where the log
 // does not answer within ctx: an earlier request under the own key may have
 // run, so not even "not run" is certain. The same request may be sent again.
-func (c *Claims) Claim(ctx context.Context, customer, key string) (Key, error) {
+func (c *ClaimResolver) Resolve(ctx context.Context, customer, key string) (Key, error) {
 	key = Unquote(key)
 	if key == "" || len(key) > maxOwnKeyBytes {
 		return Key{}, errkind.Newf(errkind.KeyUnknown, "an idempotency key has 1 to %d characters", maxOwnKeyBytes)
@@ -176,7 +176,7 @@
 
 // enter joins or begins the claim of a digest. One that is decided already is
 // returned as done.
-func (c *Claims) enter(d claimDigest) (*pendingClaim, error) {
+func (c *ClaimResolver) enter(d claimDigest) (*pendingClaim, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Now()
@@ -206,7 +206,7 @@
 
 // leave drops a claim that nobody waits for. One that was sent may still hold;
 // the index tells when it is read.
-func (c *Claims) leave(p *pendingClaim) {
+func (c *ClaimResolver) leave(p *pendingClaim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.waiters--
@@ -224,7 +224,7 @@
 )
 
 // refusal returns why no new claim is taken, nil if one is.
-func (c *Claims) refusal(now time.Time) error {
+func (c *ClaimResolver) refusal(now time.Time) error {
 	switch {
 	case c.stuck != nil:
 		return errkind.Wrap(errkind.KeyUnresolved, c.stuck, "this daemon cannot read the claims of idempotency keys").After(time.Minute)
@@ -243,10 +243,10 @@
 
 // caughtUp reports whether all that was in the log when the index began has
 // been read.
-func (c *Claims) caughtUp() bool { return c.index != nil && c.index.next >= c.loaded }
+func (c *ClaimResolver) caughtUp() bool { return c.index != nil && c.index.next >= c.loaded }
 
 // decides reports whether the index may be answered from.
-func (c *Claims) decides(now time.Time) bool {
+func (c *ClaimResolver) decides(now time.Time) bool {
 	return c.stuck == nil && c.caughtUp() && !c.blind(now)
 }
 
@@ -254,7 +254,7 @@
 // were cut from the log, and neither does a record attest that they had ended
 // nor has this daemon followed the log for long enough to know. Answering all
 // the same would let a key run again that ran before the cut.
-func (c *Claims) blind(now time.Time) bool {
+func (c *ClaimResolver) blind(now time.Time) bool {
 	if now.Sub(c.began) >= c.opts.Lifetime {
 		return false
 	}
--- a/once/claims_test.go
+++ b/once/claims_test.go
@@ -43,19 +43,19 @@
 
 // claimer is one life of a daemon.
 type claimer struct {
-	*Claims
-	keys *Keys
+	*ClaimResolver
+	keys *KeyStore
 	stop func()
 }
 
 // recordingIssuer notes when keys are issued.
 type recordingIssuer struct {
-	*Keys
+	*KeyStore
 	f *claimFleet
 }
 
 func (r recordingIssuer) Issue(n int) []Key {
-	keys := r.Keys.Issue(n)
+	keys := r.KeyStore.Issue(n)
 	r.f.mu.Lock()
 	defer r.f.mu.Unlock()
 	for _, k := range keys {
@@ -66,19 +66,19 @@
 
 func (f *claimFleet) start(host string) *claimer {
 	f.boot++
-	kopts := DefaultKeysOptions(host, f.boot)
+	kopts := DefaultKeyStoreOptions(host, f.boot)
 	kopts.Lifetime /= f.scale
-	keys := NewKeys(kopts)
-	opts := DefaultClaimsOptions(f.log, recordingIssuer{keys, f})
+	keys := NewKeyStore(kopts)
+	opts := DefaultClaimResolverOptions(f.log, recordingIssuer{keys, f})
 	opts.Lifetime /= f.scale
 	opts.StartMargin /= f.scale
-	opts.MarkInterval /= f.scale
-	c, err := NewClaims(opts)
+	opts.HorizonInterval /= f.scale
+	c, err := NewClaimResolver(opts)
 	must.NoError(f.t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- c.Run(ctx) }()
-	return &claimer{Claims: c, keys: keys, stop: func() {
+	return &claimer{ClaimResolver: c, keys: keys, stop: func() {
 		cancel()
 		must.NoError(f.t, <-done)
 	}}
@@ -88,7 +88,7 @@
 func (c *claimer) claim(own string) (Key, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return c.Claim(ctx, "garage-9", own)
+	return c.Resolve(ctx, "garage-9", own)
 }
 
 func (f *claimFleet) run(name string, test func(t *testing.T, f *claimFleet, a, b *claimer)) {
@@ -120,7 +120,7 @@
 			must.Eq(t, got[0], k)
 			must.NotEq(t, Key{}, k)
 		}
-		other, err := a.Claim(t.Context(), "garage-8", "k")
+		other, err := a.Resolve(t.Context(), "garage-8", "k")
 		must.NoError(t, err)
 		must.NotEq(t, got[0], other)
 	})
@@ -138,7 +138,7 @@
 		f.svc.LoseRequests(1)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
-		_, err := a.Claim(ctx, "garage-9", "k")
+		_, err := a.Resolve(ctx, "garage-9", "k")
 		must.NoError(t, err)
 	})
 	f.run("append takes effect after the caller was told", func(t *testing.T, f *claimFleet, a, b *claimer) {
@@ -322,9 +322,9 @@
 		}
 		_, err = a.claim("3")
 		must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
-		opts := DefaultClaimsOptions(f.log, a.keys)
+		opts := DefaultClaimResolverOptions(f.log, a.keys)
 		opts.Lifetime = time.Hour
-		_, err = NewClaims(opts)
+		_, err = NewClaimResolver(opts)
 		must.Error(t, err)
 	})
 }
@@ -395,7 +395,7 @@
 				}
 				for _, other := range found[own] {
 					if !other.ran.IsZero() {
-						must.Less(t, time.Since(other.ran), lifetime-claimers[holder].keys.Lifetime())
+						must.Less(t, time.Since(other.ran), lifetime-claimers[holder].keys.MaxLifetime())
 					}
 				}
 				res.ran = time.Now()
--- a/once/claimwriter.go
+++ b/once/claimwriter.go
@@ -18,7 +18,7 @@
 const maxBatch = 1000
 
 // write appends claims and marks until ctx is done.
-func (c *Claims) write(ctx context.Context) error {
+func (c *ClaimResolver) write(ctx context.Context) error {
 	pause := minPause
 	for ctx.Err() == nil {
 		batch, wait := c.nextBatch()
@@ -36,7 +36,7 @@
 	return nil
 }
 
-func (c *Claims) waitForWork(ctx context.Context, wait time.Duration) {
+func (c *ClaimResolver) waitForWork(ctx context.Context, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
@@ -55,7 +55,7 @@
 }
 
 // nextBatch returns what to append, or else when to look again.
-func (c *Claims) nextBatch() (*sending, time.Duration) {
+func (c *ClaimResolver) nextBatch() (*sending, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Now()
@@ -72,7 +72,7 @@
 }
 
 // due returns the claims to be sent now, and when the next one is.
-func (c *Claims) due(now time.Time) ([]*pendingClaim, time.Duration) {
+func (c *ClaimResolver) due(now time.Time) ([]*pendingClaim, time.Duration) {
 	var due []*pendingClaim
 	wait := c.opts.ReadWait
 	for _, p := range c.pending {
@@ -89,7 +89,7 @@
 
 // issue gives each claim the key that it would stand for. Claims that get none
 // are refused.
-func (c *Claims) issue(due []*pendingClaim) []*pendingClaim {
+func (c *ClaimResolver) issue(due []*pendingClaim) []*pendingClaim {
 	var without []*pendingClaim
 	ready := due[:0]
 	for _, p := range due {
@@ -117,13 +117,13 @@
 // markDue reports whether a record without claims is worth an append: it ends
 // claims that take memory everywhere, and lets a newcomer know that what was
 // cut from the log had ended.
-func (c *Claims) markDue(horizon eventlog.Offset, now time.Time) bool {
+func (c *ClaimResolver) markDue(horizon eventlog.Offset, now time.Time) bool {
 	// Daemons that began together must not mark together.
-	spread := rand.N(c.opts.MarkInterval)
-	return horizon > c.index.horizon && now.Sub(c.raised) >= c.opts.MarkInterval+spread
+	spread := rand.N(c.opts.HorizonInterval)
+	return horizon > c.index.horizon && now.Sub(c.raised) >= c.opts.HorizonInterval+spread
 }
 
-func (c *Claims) encode(due []*pendingClaim, horizon eventlog.Offset) *sending {
+func (c *ClaimResolver) encode(due []*pendingClaim, horizon eventlog.Offset) *sending {
 	pb := &oncepb.ClaimBatch{
 		RuleVersion:     claimsRule,
 		Horizon:         horizon,
@@ -142,7 +142,7 @@
 }
 
 // append sends a record. What becomes of its claims is told by the log.
-func (c *Claims) append(ctx context.Context, s *sending) error {
+func (c *ClaimResolver) append(ctx context.Context, s *sending) error {
 	actx, cancel := context.WithTimeout(ctx, c.opts.AppendTimeout)
 	defer cancel()
 	offset, err := c.opts.Log.Append(actx, s.data)
--- a/once/example_test.go
+++ b/once/example_test.go
@@ -10,8 +10,8 @@
 
 // A caller gets a key, sends a permit hold under it, and repeats the request
 // when the answer does not come. The hold is placed once.
-func ExampleKeys() {
-	keys := once.NewKeys(once.DefaultKeysOptions("host-a", 7))
+func ExampleKeyStore() {
+	keys := once.NewKeyStore(once.DefaultKeyStoreOptions("host-a", 7))
 	sent := keys.Issue(1)[0].String()
 
 	body := []byte(`{"space":17}`)
@@ -29,9 +29,9 @@
 			fmt.Println(errkind.Of(err))
 		case run != nil:
 			rec := once.NewRecorder(1 << 10)
-			rec.Head(201, nil)
+			rec.WriteHeader(201, nil)
 			fmt.Fprint(rec, "held")
-			run.Finish(rec.Answer())
+			run.Finish(rec.Response())
 			fmt.Println("ran")
 		default:
 			fmt.Println("replayed:", ans.Status, string(ans.Body))
@@ -44,13 +44,13 @@
 
 // The link to a gate goes silent before the attempt's frame has arrived. The
 // sender asks over a new connection, and the frame that comes late is refused.
-func ExampleAttempts() {
-	gate := once.NewAttempts(once.DefaultAttemptsOptions(7))
-	sender := once.NewLanes(once.DefaultLanesOptions(
-		func(context.Context, once.Gate) (once.Lane, error) { return gate.OpenLane() }))
-	id, _ := sender.Next(context.Background(), once.Gate{Host: "host-a", Boot: 7})
+func ExampleAttemptTable() {
+	gate := once.NewAttemptTable(once.DefaultAttemptTableOptions(7))
+	sender := once.NewIDAllocator(once.DefaultIDAllocatorOptions(
+		func(context.Context, once.GateID) (once.Lane, error) { return gate.OpenLane() }))
+	id, _ := sender.Next(context.Background(), once.GateID{Host: "host-a", Boot: 7})
 
-	fmt.Println(gate.Ask(id, true).Outcome == once.NotRun)
+	fmt.Println(gate.Query(id, true).Outcome == once.NotRun)
 	fmt.Println(errkind.Of(gate.Start(id)))
 	// Output:
 	// true
--- a/once/keys.go
+++ b/once/keys.go
@@ -12,8 +12,8 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// KeysOptions holds the bounds of a Keys.
-type KeysOptions struct {
+// KeyStoreOptions holds the bounds of a Keys.
+type KeyStoreOptions struct {
 	// Host and Boot are what the keys name as their holder.
 	Host string
 	Boot uint64
@@ -31,17 +31,17 @@
 	Now      func() time.Time
 }
 
-// DefaultKeysOptions bound the table to some 80 MB.
-func DefaultKeysOptions(host string, boot uint64) KeysOptions {
-	return KeysOptions{
+// DefaultKeyStoreOptions bound the table to some 80 MB.
+func DefaultKeyStoreOptions(host string, boot uint64) KeyStoreOptions {
+	return KeyStoreOptions{
 		Host: host,
 		Boot: boot,
 		Bounds: Bounds{
-			KeepFor:        15 * time.Minute,
-			MaxRecords:     128 << 10,
-			MaxRunning:     16 << 10,
-			MaxBytes:       64 << 20,
-			MaxAnswerBytes: 256 << 10,
+			KeepFor:          15 * time.Minute,
+			MaxRecords:       128 << 10,
+			MaxRunning:       16 << 10,
+			MaxBytes:         64 << 20,
+			MaxResponseBytes: 256 << 10,
 		},
 		Lifetime: time.Hour,
 		MaxKeys:  16 << 20,
@@ -50,7 +50,7 @@
 	}
 }
 
-// Keys issues idempotency keys and is the table of the calls run under them.
+// KeyStore issues idempotency keys and is the table of the calls run under them.
 // It is safe for concurrent use; calls under different keys seldom share a
 // lock.
 //
@@ -58,8 +58,8 @@
 // outlives the record of its answer. It is dropped only a lifetime after the
 // key has expired, and an expired key never runs. A number without a bit is
 // therefore certain not to have run until then, and afterwards unknown.
-type Keys struct {
-	opts    KeysOptions
+type KeyStore struct {
+	opts    KeyStoreOptions
 	clock   clock
 	serials *serials
 	tags    cipher.Block
@@ -80,9 +80,9 @@
 // tagBlock is room to work out a tag in; on the stack it would escape.
 type tagBlock [aes.BlockSize]byte
 
-// NewKeys returns a table that has issued nothing.
-func NewKeys(opts KeysOptions) *Keys {
-	k := &Keys{opts: opts, clock: newClock(opts.Now), serials: newSerials(opts.Lifetime, opts.MaxKeys)}
+// NewKeyStore returns a table that has issued nothing.
+func NewKeyStore(opts KeyStoreOptions) *KeyStore {
+	k := &KeyStore{opts: opts, clock: newClock(opts.Now), serials: newSerials(opts.Lifetime, opts.MaxKeys)}
 	var secret [16]byte
 	_, _ = rand.Read(secret[:]) // It never fails.
 	k.tags, _ = aes.NewCipher(secret[:])
@@ -94,12 +94,12 @@
 	return k
 }
 
-// Lifetime returns how long a key may still be used after its issue, at most.
-func (k *Keys) Lifetime() time.Duration { return k.opts.Lifetime + k.serials.epochTime() }
+// MaxLifetime returns how long a key may still be used after its issue, at most.
+func (k *KeyStore) MaxLifetime() time.Duration { return k.opts.Lifetime + k.serials.epochTime() }
 
 // Issue returns up to n new keys: fewer where n is above MaxIssue or MaxKeys
 // are out, none at the worst.
-func (k *Keys) Issue(n int) []Key {
+func (k *KeyStore) Issue(n int) []Key {
 	first, got := k.serials.issue(min(n, k.opts.MaxIssue), k.clock.elapsed())
 	keys := make([]Key, got)
 	var block tagBlock
@@ -112,7 +112,7 @@
 
 // tag proves that this table issued a number. Without it one customer could
 // use up the keys of others by counting.
-func (k *Keys) tag(serial uint64, block *tagBlock) uint32 {
+func (k *KeyStore) tag(serial uint64, block *tagBlock) uint32 {
 	*block = tagBlock{}
 	binary.LittleEndian.PutUint64(block[:], serial)
 	k.tags.Encrypt(block[:], block[:])
@@ -124,7 +124,7 @@
 // and never will), KeyMismatch, KeyInProgress, OutcomeUnknown (it may have run,
 // or did and its answer is not kept), or Overloaded (not run, the key may be
 // used again). Whoever gets an Execution must end it.
-func (k *Keys) Begin(key Key, fp Fingerprint) (*Execution, *Answer, error) {
+func (k *KeyStore) Begin(key Key, fp Fingerprint) (*Execution, *Response, error) {
 	e, ans, _, err := k.begin(key, fp)
 	return e, ans, err
 }
@@ -132,7 +132,7 @@
 // BeginOrWait is Begin for a request that can wait for the first one to end:
 // it returns KeyInProgress only once ctx is done. Where the first one proves
 // not to have run, one of those who wait gets to run the call.
-func (k *Keys) BeginOrWait(ctx context.Context, key Key, fp Fingerprint) (*Execution, *Answer, error) {
+func (k *KeyStore) BeginOrWait(ctx context.Context, key Key, fp Fingerprint) (*Execution, *Response, error) {
 	for {
 		e, ans, w, err := k.begin(key, fp)
 		if w == nil {
@@ -151,7 +151,7 @@
 }
 
 // begin returns what to wait for beside a KeyInProgress.
-func (k *Keys) begin(key Key, fp Fingerprint) (*Execution, *Answer, *waiting, error) {
+func (k *KeyStore) begin(key Key, fp Fingerprint) (*Execution, *Response, *waiting, error) {
 	s := &k.shards[key.serial%keyShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +177,7 @@
 }
 
 // checkIssued refuses a key that this table did not issue.
-func (k *Keys) checkIssued(key Key, block *tagBlock) error {
+func (k *KeyStore) checkIssued(key Key, block *tagBlock) error {
 	switch {
 	case key.host != k.opts.Host || key.boot != k.opts.Boot:
 		return errkind.New(errkind.OutcomeUnknown, "the process that issued the idempotency key is gone")
@@ -188,7 +188,7 @@
 }
 
 // repeat answers a request under a key that is in the ledger.
-func repeat(e *entry, fp Fingerprint) (*Execution, *Answer, *waiting, error) {
+func repeat(e *entry, fp Fingerprint) (*Execution, *Response, *waiting, error) {
 	if e.fp != fp {
 		return nil, nil, nil, errkind.New(errkind.KeyMismatch, "the idempotency key was used with a different request")
 	}
@@ -200,7 +200,7 @@
 }
 
 // replay returns the first answer, or why there is none.
-func replay(s state, ans *Answer) (*Answer, error) {
+func replay(s state, ans *Response) (*Response, error) {
 	switch {
 	case s != ran:
 		return nil, errkind.New(errkind.OutcomeUnknown, "whether the first request under this idempotency key ran is unknown")
@@ -229,25 +229,25 @@
 // be called ends it and decides; later ones do nothing, so that Unknown can be
 // deferred as a safeguard.
 type Execution struct {
-	keys   *Keys
+	keys   *KeyStore
 	serial uint64
 	entry  *entry
 }
 
 // Finish ends a call that ran. A nil answer means that the answer was too
 // large to be kept.
-func (e *Execution) Finish(ans *Answer) {
+func (e *Execution) Finish(ans *Response) {
 	e.end(func(s *keyShard) { s.ledger.end(e.serial, e.entry, ran, ans, e.keys.clock.elapsed()) })
 }
 
-// Unknown ends a call that may or may not have run.
-func (e *Execution) Unknown() {
+// FinishUnknown ends a call that may or may not have run.
+func (e *Execution) FinishUnknown() {
 	e.end(func(s *keyShard) { s.ledger.end(e.serial, e.entry, unsure, nil, e.keys.clock.elapsed()) })
 }
 
-// NotRun ends a call that has certainly not run and never will. The key may be
+// FinishNotRun ends a call that has certainly not run and never will. The key may be
 // used again.
-func (e *Execution) NotRun() {
+func (e *Execution) FinishNotRun() {
 	e.end(func(s *keyShard) {
 		s.ledger.cancel(e.serial, e.entry)
 		s.begun.clear(e.serial / keyShards)
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -17,12 +17,12 @@
 )
 
 // tinyKeys make a table forget soon.
-func tinyKeys(host string, boot uint64, now func() time.Time) KeysOptions {
-	return KeysOptions{
+func tinyKeys(host string, boot uint64, now func() time.Time) KeyStoreOptions {
+	return KeyStoreOptions{
 		Host: host, Boot: boot,
 		Bounds: Bounds{
 			KeepFor: 20 * time.Second, MaxRecords: keyShards, MaxRunning: 4 * keyShards,
-			MaxBytes: 100 * keyShards, MaxAnswerBytes: 100,
+			MaxBytes: 100 * keyShards, MaxResponseBytes: 100,
 		},
 		Lifetime: 64 * time.Second, MaxKeys: 100, MaxIssue: 20, Now: now,
 	}
@@ -33,7 +33,7 @@
 type keysModel struct {
 	clock *manualClock
 	boots uint64
-	hosts map[string]*Keys
+	hosts map[string]*KeyStore
 	keys  []*modelKey
 	open  []modelRun
 }
@@ -45,7 +45,7 @@
 	// there is none.
 	fp     Fingerprint
 	ended  bool
-	answer *Answer
+	answer *Response
 	// dead keys were told never to run.
 	dead bool
 }
@@ -56,7 +56,7 @@
 }
 
 func newKeysModel() *keysModel {
-	m := &keysModel{clock: newManualClock(), hosts: map[string]*Keys{}}
+	m := &keysModel{clock: newManualClock(), hosts: map[string]*KeyStore{}}
 	m.start("a")
 	m.start("b")
 	return m
@@ -64,7 +64,7 @@
 
 func (m *keysModel) start(host string) {
 	m.boots++
-	m.hosts[host] = NewKeys(tinyKeys(host, m.boots, m.clock.Now))
+	m.hosts[host] = NewKeyStore(tinyKeys(host, m.boots, m.clock.Now))
 }
 
 func drawHost(t *rapid.T) string { return rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host") }
@@ -95,7 +95,7 @@
 	case e != nil:
 		must.Eq(t, Fingerprint{}, k.fp, must.Sprint("a key ran twice"))
 		must.False(t, k.dead, must.Sprint("a key ran that was told never to run"))
-		must.Less(t, table.Lifetime(), m.clock.Now().Sub(k.issued))
+		must.Less(t, table.MaxLifetime(), m.clock.Now().Sub(k.issued))
 		k.fp = fp
 		m.open = append(m.open, modelRun{k, e})
 	case ans != nil:
@@ -129,18 +129,18 @@
 	r.k.ended = true
 	switch rapid.IntRange(0, 4).Draw(t, "how") {
 	case 0:
-		r.e.Unknown()
+		r.e.FinishUnknown()
 	case 1:
-		r.e.NotRun()
+		r.e.FinishNotRun()
 		r.k.fp, r.k.ended = Fingerprint{}, false
 	case 2:
 		r.e.Finish(nil)
 	default:
-		r.k.answer = &Answer{Status: 200, Body: []byte(r.k.key.String()[:10])}
+		r.k.answer = &Response{Status: 200, Body: []byte(r.k.key.String()[:10])}
 		r.e.Finish(r.k.answer)
 	}
 	// A deferred safeguard changes nothing.
-	r.e.Unknown()
+	r.e.FinishUnknown()
 }
 
 // burst runs a few calls to their end, so that records have to go.
@@ -185,7 +185,7 @@
 // and records are forgotten. No key has two runs that were not called off.
 func TestKeysRunOnceConcurrently(t *testing.T) {
 	clock := newManualClock()
-	k := NewKeys(tinyKeys("a", 1, clock.Now))
+	k := NewKeyStore(tinyKeys("a", 1, clock.Now))
 	keys := append(k.Issue(20), k.Issue(20)...)
 	var runs [40]atomic.Int32
 	var wg sync.WaitGroup
@@ -201,10 +201,10 @@
 				case e == nil:
 					clock.advance(time.Millisecond)
 				case r.IntN(3) > 0:
-					e.NotRun()
+					e.FinishNotRun()
 				default:
 					runs[i].Add(1)
-					e.Finish(&Answer{Status: 200})
+					e.Finish(&Response{Status: 200})
 				}
 			}
 		})
@@ -220,9 +220,9 @@
 // waited get its whole answer, though the table has no room to keep it.
 func TestWaitersGetTheAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		opts := DefaultKeysOptions("a", 1)
+		opts := DefaultKeyStoreOptions("a", 1)
 		opts.Bounds.MaxBytes = 0
-		k := NewKeys(opts)
+		k := NewKeyStore(opts)
 		key := k.Issue(1)[0]
 		var runs, replays atomic.Int32
 		for range 50 {
@@ -236,10 +236,10 @@
 				}
 				time.Sleep(time.Second)
 				if runs.Add(1) < 4 {
-					e.NotRun()
+					e.FinishNotRun()
 					return
 				}
-				e.Finish(&Answer{Body: []byte("held")})
+				e.Finish(&Response{Body: []byte("held")})
 			}()
 		}
 		time.Sleep(time.Minute)
@@ -251,7 +251,7 @@
 // A request that waits for the first one has a time of its own; when that is
 // up it learns that the first still runs, which promises nothing.
 func TestWaitEndsWithTheRequest(t *testing.T) {
-	k := NewKeys(DefaultKeysOptions("a", 1))
+	k := NewKeyStore(DefaultKeyStoreOptions("a", 1))
 	key := k.Issue(1)[0]
 	_, _, err := k.Begin(key, Fingerprint{1})
 	must.NoError(t, err)
@@ -269,7 +269,7 @@
 	clock := newManualClock()
 	opts := tinyKeys("a", 1, clock.Now)
 	opts.MaxKeys, opts.MaxIssue = 3*chunkBits*keyShards, 2*chunkBits*keyShards
-	k := NewKeys(opts)
+	k := NewKeyStore(opts)
 	keys := k.Issue(opts.MaxIssue)
 	used, unused := keys[0], keys[1]
 	e, _, err := k.Begin(used, Fingerprint{1})
@@ -280,7 +280,7 @@
 		_, _, err2 := k.Begin(unused, Fingerprint{1})
 		return [2]errkind.Kind{errkind.Of(err1), errkind.Of(err2)}
 	}
-	clock.advance(k.Lifetime())
+	clock.advance(k.MaxLifetime())
 	must.Eq(t, [2]errkind.Kind{errkind.OutcomeUnknown, errkind.KeyUnknown}, kinds())
 	must.Len(t, opts.MaxKeys-opts.MaxIssue, k.Issue(opts.MaxIssue))
 	must.SliceEmpty(t, k.Issue(1))
@@ -293,7 +293,7 @@
 // A number that was never issued, or was issued to another customer and is
 // guessed, is refused before it can use up the key.
 func TestGuessedKeysAreRefused(t *testing.T) {
-	k := NewKeys(DefaultKeysOptions("a", 1))
+	k := NewKeyStore(DefaultKeyStoreOptions("a", 1))
 	key := k.Issue(1)[0]
 	guessed, ahead := key, key
 	guessed.tag++
@@ -359,13 +359,13 @@
 // An answer that does not fit is not kept in part.
 func TestRecorderKeepsAllOrNothing(t *testing.T) {
 	r := NewRecorder(5)
-	r.Head(200, []Field{{"A", "b"}})
+	r.WriteHeader(200, []HeaderField{{"A", "b"}})
 	_, _ = r.Write([]byte("abc"))
 	_, _ = r.Write([]byte("de"))
-	must.Eq(t, &Answer{200, []Field{{"A", "b"}}, []byte("abcde")}, r.Answer())
+	must.Eq(t, &Response{200, []HeaderField{{"A", "b"}}, []byte("abcde")}, r.Response())
 	r = NewRecorder(5)
 	_, _ = r.Write([]byte("abcd"))
 	_, _ = r.Write([]byte("ef"))
 	_, _ = r.Write([]byte("g"))
-	must.Nil(t, r.Answer())
+	must.Nil(t, r.Response())
 }
--- a/once/lanes.go
+++ b/once/lanes.go
@@ -16,32 +16,32 @@
 	Number uint32
 }
 
-// Gate names one life of the daemon beside a backend server.
-type Gate struct {
+// GateID names one life of the daemon beside a backend server.
+type GateID struct {
 	Host string
 	Boot uint64
 }
 
-// LanesOptions holds what a Lanes works with.
-type LanesOptions struct {
-	// Open asks a gate to open a lane, in one exchange.
-	Open func(ctx context.Context, gate Gate) (Lane, error)
+// IDAllocatorOptions holds what a Lanes works with.
+type IDAllocatorOptions struct {
+	// OpenLane asks a gate to open a lane, in one exchange.
+	OpenLane func(ctx context.Context, gate GateID) (Lane, error)
 	// IdleAfter is how long an unused lane is trusted to be open still. It must
 	// be well below the gates' LaneIdle.
 	IdleAfter time.Duration
 	Now       func() time.Time
 }
 
-// DefaultLanesOptions match DefaultAttemptsOptions.
-func DefaultLanesOptions(open func(ctx context.Context, gate Gate) (Lane, error)) LanesOptions {
-	return LanesOptions{Open: open, IdleAfter: 5 * time.Minute, Now: time.Now}
+// DefaultIDAllocatorOptions match DefaultAttemptsOptions.
+func DefaultIDAllocatorOptions(open func(ctx context.Context, gate GateID) (Lane, error)) IDAllocatorOptions {
+	return IDAllocatorOptions{OpenLane: open, IdleAfter: 5 * time.Minute, Now: time.Now}
 }
 
-// Lanes gives a sender's attempts their ids. It keeps one lane to each gate,
+// IDAllocator gives a sender's attempts their ids. It keeps one lane to each gate,
 // so that only the first call to a gate costs an exchange. It is safe for
 // concurrent use.
-type Lanes struct {
-	opts  LanesOptions
+type IDAllocator struct {
+	opts  IDAllocatorOptions
 	clock clock
 	gates sync.Map // Gate to *gateLane
 }
@@ -64,14 +64,14 @@
 	used atomic.Int64
 }
 
-// NewLanes returns a Lanes that has no lane open.
-func NewLanes(opts LanesOptions) *Lanes {
-	return &Lanes{opts: opts, clock: newClock(opts.Now)}
+// NewIDAllocator returns a Lanes that has no lane open.
+func NewIDAllocator(opts IDAllocatorOptions) *IDAllocator {
+	return &IDAllocator{opts: opts, clock: newClock(opts.Now)}
 }
 
 // Next returns the id of a new attempt at a gate. The error is Open's or
 // ctx's; nothing of the attempt has been sent then.
-func (l *Lanes) Next(ctx context.Context, gate Gate) (ID, error) {
+func (l *IDAllocator) Next(ctx context.Context, gate GateID) (ID, error) {
 	g := l.gate(gate)
 	if id, ok := l.mint(g.current.Load()); ok {
 		return id, nil
@@ -86,7 +86,7 @@
 		return id, nil
 	}
 	l.prune()
-	lane, err := l.opts.Open(ctx, gate)
+	lane, err := l.opts.OpenLane(ctx, gate)
 	if err != nil {
 		return ID{}, err
 	}
@@ -97,16 +97,16 @@
 	return id, nil
 }
 
-// Refused tells that a gate barred an attempt that it was sent: the lane may
+// Invalidate tells that a gate barred an attempt that it was sent: the lane may
 // be closed there, and the next attempt opens another.
-func (l *Lanes) Refused(gate Gate, id ID) {
+func (l *IDAllocator) Invalidate(gate GateID, id ID) {
 	g := l.gate(gate)
 	if o := g.current.Load(); o != nil && o.lane.Number == id.lane() {
 		g.current.CompareAndSwap(o, nil)
 	}
 }
 
-func (l *Lanes) gate(gate Gate) *gateLane {
+func (l *IDAllocator) gate(gate GateID) *gateLane {
 	v, ok := l.gates.Load(gate)
 	if !ok {
 		g := &gateLane{opening: make(chan struct{}, 1)}
@@ -120,7 +120,7 @@
 
 // mint returns the lane's next id, unless there is no lane or it is idle or
 // used up.
-func (l *Lanes) mint(o *openLane) (ID, bool) {
+func (l *IDAllocator) mint(o *openLane) (ID, bool) {
 	if o == nil {
 		return ID{}, false
 	}
@@ -134,7 +134,7 @@
 
 // prune drops the gates that no attempt has been made at for long, so that
 // those which are gone for good take no room.
-func (l *Lanes) prune() {
+func (l *IDAllocator) prune() {
 	now := l.clock.elapsed()
 	l.gates.Range(func(k, v any) bool {
 		if now-time.Duration(v.(*gateLane).touched.Load()) >= l.opts.IdleAfter {
--- a/once/ledger.go
+++ b/once/ledger.go
@@ -13,8 +13,8 @@
 	MaxRunning int
 	// MaxBytes bounds the memory of all answers kept, in bytes.
 	MaxBytes int64
-	// MaxAnswerBytes bounds the memory of one answer kept, in bytes.
-	MaxAnswerBytes int64
+	// MaxResponseBytes bounds the memory of one answer kept, in bytes.
+	MaxResponseBytes int64
 }
 
 // split returns each shard's part of the bounds.
@@ -41,7 +41,7 @@
 type entry struct {
 	state  state
 	fp     Fingerprint
-	answer *Answer
+	answer *Response
 	// waiting is set while somebody waits for the end.
 	waiting *waiting
 }
@@ -52,7 +52,7 @@
 	done chan struct{}
 	// Set before done is closed.
 	state  state
-	answer *Answer
+	answer *Response
 }
 
 // join returns what tells of the running entry's end.
@@ -99,11 +99,11 @@
 }
 
 // end remembers how a running call ended, and its answer if there is room.
-func (l *ledger) end(n uint64, e *entry, s state, ans *Answer, now time.Duration) {
+func (l *ledger) end(n uint64, e *entry, s state, ans *Response, now time.Duration) {
 	l.running--
 	e.state = s
 	e.wake(ans)
-	if size := ans.size(); size <= l.bounds.MaxAnswerBytes {
+	if size := ans.size(); size <= l.bounds.MaxResponseBytes {
 		e.answer = ans
 		l.bytes += size
 	}
@@ -119,7 +119,7 @@
 	delete(l.entries, n)
 }
 
-func (e *entry) wake(ans *Answer) {
+func (e *entry) wake(ans *Response) {
 	if e.waiting == nil {
 		return
 	}
