--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -59,10 +59,10 @@
 		Host: d.settings.Host, Boot: d.boot,
 		MaxBody: d.settings.Requests.MaxBodyBytes, MaxCalls: d.settings.Requests.MaxInFlight,
 		Dialect: d.dialect(), Anonymous: d.settings.Requests.Customers == settings.CustomersOptional,
-		SendBlind: d.without(settings.WithoutQuestions), ForgetReturns: d.without(settings.WithoutReturns),
-		TryBusy:       d.without(settings.WithoutBusy),
-		CallerService: d.localService, Runs: runs, Nested: &admission.NestedRoutes{},
-		Callees: callees, Calls: &admission.CallGraph{},
+		AlwaysSendSmallBodies: d.without(settings.WithoutQuestions), IgnoreCallerRetries: d.without(settings.WithoutReturns),
+		TryBusyGates:  d.without(settings.WithoutBusy),
+		CallerService: d.localService, Runs: runs, NestedRoutes: &admission.NestedRoutes{},
+		CalleeStats: callees, CallGraph: &admission.CallGraph{},
 		KilobyteCost: d.kilobyteCost, Quarantine: p.quarantine,
 	})
 	p.lifecycle = &drain.Controller{
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -207,7 +207,7 @@
 	d.logger.Warn("daemon: calls given up by the drain timeout", "calls", d.outbound.InFlight(), "connections", d.callers.Open())
 	ctx, cancel := context.WithTimeout(context.Background(), lastAnswersTimeout)
 	defer cancel()
-	d.outbound.GiveUp()
+	d.outbound.CancelCalls()
 	if d.callers.Shutdown(ctx) != nil {
 		d.logger.Warn("daemon: callers' connections cut off", "connections", d.callers.Open())
 	}
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -100,7 +100,7 @@
 	o.Handler = d.outbound
 	o.Limits = d.callerLimits
 	o.MaxKept = d.settings.Requests.MaxConnections
-	o.OnCallerLeft = d.outbound.CallerLeft
+	o.OnCallerLeft = d.outbound.RecordDisconnect
 	o.Logger = d.logger
 	o.OnMalformed = func(remote net.Addr, err error) {
 		d.meter.RejectedAt(listenerCallers, reasonMalformed)
--- a/internal/proxy/advice/advice.go
+++ b/internal/proxy/advice/advice.go
@@ -10,8 +10,8 @@
 // milli is the unit in which rates of calls travel: thousandths of a call.
 const milli = 1000
 
-// MadeBy returns the wire form of who makes the calls of a route.
-func MadeBy(m admission.MadeBy) peerpb.MadeBy {
+// MadeByToProto returns the wire form of who makes the calls of a route.
+func MadeByToProto(m admission.MadeBy) peerpb.MadeBy {
 	switch m {
 	case admission.MadeByCallers:
 		return peerpb.MadeBy_MADE_BY_CALLERS
@@ -21,8 +21,8 @@
 	return peerpb.MadeBy_MADE_BY_UNSPECIFIED
 }
 
-// MadeByOf is the inverse of MadeBy. What a newer program tells is unknown here.
-func MadeByOf(m peerpb.MadeBy) admission.MadeBy {
+// MadeByFromProto is the inverse of MadeBy. What a newer program tells is unknown here.
+func MadeByFromProto(m peerpb.MadeBy) admission.MadeBy {
 	switch m {
 	case peerpb.MadeBy_MADE_BY_CALLERS:
 		return admission.MadeByCallers
@@ -32,8 +32,8 @@
 	return admission.MadeByUnknown
 }
 
-// Callees returns the wire form of the services that runs call.
-func Callees(rates []admission.Callee) []*peerpb.Callee {
+// CalleesToProto returns the wire form of the services that runs call.
+func CalleesToProto(rates []admission.Callee) []*peerpb.Callee {
 	var callees []*peerpb.Callee
 	for _, r := range rates {
 		callees = append(callees, &peerpb.Callee{Service: r.Service, MilliCalls: uint32(r.Calls * milli)})
@@ -41,8 +41,8 @@
 	return callees
 }
 
-// CalleesOf is the inverse of Callees, in thousandths of a call.
-func CalleesOf(callees []*peerpb.Callee) []admission.Callee {
+// CalleesFromProto is the inverse of Callees, in thousandths of a call.
+func CalleesFromProto(callees []*peerpb.Callee) []admission.Callee {
 	var rates []admission.Callee
 	for _, c := range callees {
 		rates = append(rates, admission.Callee{Service: c.GetService(), Calls: float64(c.GetMilliCalls()) / milli})
--- a/internal/proxy/dialect/dialect.go
+++ b/internal/proxy/dialect/dialect.go
@@ -73,9 +73,9 @@
 	return strconv.FormatInt(int64((after+time.Second-1)/time.Second), 10)
 }
 
-// RefusedUnrun reports whether a backend server's answer says that it has not run
+// IsRejection reports whether a backend server's answer says that it has not run
 // the call. Without a field for that no answer says so.
-func (d Dialect) RefusedUnrun(status int, h http.Header) bool {
+func (d Dialect) IsRejection(status int, h http.Header) bool {
 	if d.ExpectedServer != "" && status == http.StatusMisdirectedRequest {
 		return true
 	}
--- a/internal/proxy/dialect/dialect_test.go
+++ b/internal/proxy/dialect/dialect_test.go
@@ -18,9 +18,9 @@
 func TestRefusedUnrun(t *testing.T) {
 	d := Dialect{NotRun: "Not-Run", ExpectedServer: "Expected"}
 	refusal := http.Header{"Not-Run": {"1"}}
-	must.True(t, d.RefusedUnrun(http.StatusServiceUnavailable, refusal))
-	must.True(t, d.RefusedUnrun(http.StatusMisdirectedRequest, http.Header{}))
-	must.False(t, d.RefusedUnrun(http.StatusServiceUnavailable, http.Header{}))
-	must.False(t, Default().RefusedUnrun(http.StatusServiceUnavailable, refusal))
-	must.False(t, Default().RefusedUnrun(http.StatusMisdirectedRequest, http.Header{}))
+	must.True(t, d.IsRejection(http.StatusServiceUnavailable, refusal))
+	must.True(t, d.IsRejection(http.StatusMisdirectedRequest, http.Header{}))
+	must.False(t, d.IsRejection(http.StatusServiceUnavailable, http.Header{}))
+	must.False(t, Default().IsRejection(http.StatusServiceUnavailable, refusal))
+	must.False(t, Default().IsRejection(http.StatusMisdirectedRequest, http.Header{}))
 }
--- a/internal/proxy/inbound/call.go
+++ b/internal/proxy/inbound/call.go
@@ -175,8 +175,8 @@
 		RetryAfterMs: uint32(errkind.RetryAfterOf(err).Milliseconds()),
 		Load:         c.load(),
 		Arrived:      c.arrived,
-		MadeBy:       advice.MadeBy(c.madeBy),
-		Callees:      advice.Callees(c.h.opts.Callees.Rates()),
+		MadeBy:       advice.MadeByToProto(c.madeBy),
+		Callees:      advice.CalleesToProto(c.h.opts.Callees.Rates()),
 	}
 	_ = c.st.SetWriteDeadline(time.Now().Add(refuseTimeout))
 	if serr := c.st.Send(head); serr != nil {
--- a/internal/proxy/inbound/forward.go
+++ b/internal/proxy/inbound/forward.go
@@ -91,10 +91,10 @@
 func (c *call) checkAnswer(resp *http.Response) error {
 	d := c.h.opts.Dialect
 	switch {
-	case d.RefusedUnrun(resp.StatusCode, resp.Header) && resp.StatusCode == http.StatusMisdirectedRequest:
+	case d.IsRejection(resp.StatusCode, resp.Header) && resp.StatusCode == http.StatusMisdirectedRequest:
 		c.h.opts.Misplaced(c.site.id)
 		return errkind.Newf(errkind.Unreachable, "backend server %s has the address of %s", resp.Header.Get(d.ServerID), c.site.id)
-	case d.RefusedUnrun(resp.StatusCode, resp.Header):
+	case d.IsRejection(resp.StatusCode, resp.Header):
 		return errkind.Newf(errkind.Shed, "the backend server turned the call away with status %d", resp.StatusCode)
 	case d.Signature != "" && resp.StatusCode < http.StatusMultipleChoices && resp.Header.Get(d.Signature) == "":
 		return errkind.Newf(errkind.BackendFailed, "the answer with status %d is not signed", resp.StatusCode)
@@ -147,8 +147,8 @@
 		Fields:        body.Fields(resp.Header),
 		ContentLength: resp.ContentLength,
 		Load:          c.load(),
-		MadeBy:        advice.MadeBy(c.madeBy),
-		Callees:       advice.Callees(c.h.opts.Callees.Rates()),
+		MadeBy:        advice.MadeByToProto(c.madeBy),
+		Callees:       advice.CalleesToProto(c.h.opts.Callees.Rates()),
 	}
 }
 
--- a/internal/proxy/outbound/again.go
+++ b/internal/proxy/outbound/again.go
@@ -15,7 +15,7 @@
 	case c.route == nil:
 		c.h.opts.Budgets.Deposit(contractCalls)
 	case c.request.Nested:
-		c.h.opts.Callees.AddCall(c.service)
+		c.h.opts.CalleeStats.AddCall(c.service)
 	default:
 		c.h.opts.Budgets.Deposit(c.service)
 	}
@@ -30,7 +30,7 @@
 		return []retry.ServiceCost{{Service: contractCalls, Calls: 1}}
 	}
 	var needs []retry.ServiceCost
-	for _, callee := range c.h.opts.Calls.CallsPerRequest(c.service) {
+	for _, callee := range c.h.opts.CallGraph.CallsPerRequest(c.service) {
 		needs = append(needs, retry.ServiceCost(callee))
 	}
 	return needs
--- a/internal/proxy/outbound/anonymous.go
+++ b/internal/proxy/outbound/anonymous.go
@@ -52,10 +52,10 @@
 // request returns what counts for the call's treatment under overload.
 func (h *Handler) request(c *call, wait time.Duration) admission.Request {
 	r := admission.Request{
-		Nested: h.opts.Nested.Contains(c.route.Name), Priority: c.route.Priority, Objective: c.route.Objective,
+		Nested: h.opts.NestedRoutes.Contains(c.route.Name), Priority: c.route.Priority, Objective: c.route.Objective,
 		FirstSent: c.start, Arrived: c.start, Deadline: c.deadline,
 	}
-	if !r.Nested && !h.opts.ForgetReturns {
+	if !r.Nested && !h.opts.IgnoreCallerRetries {
 		r.FirstSent = c.start.Add(-h.usual.Elapsed(c.route.Name, wait))
 	}
 	return r
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -56,7 +56,7 @@
 func newAttempt(c *call, lease *balance.Lease) *attempt {
 	return &attempt{
 		c: c, lease: lease, server: lease.Server(), start: time.Now(),
-		asksFirst: c.head.GetExpectContinue() || len(c.held) > maxBlindBody && !c.h.opts.SendBlind && !lease.HasFreeSlot(),
+		asksFirst: c.head.GetExpectContinue() || len(c.held) > maxBlindBody && !c.h.opts.AlwaysSendSmallBodies && !lease.HasFreeSlot(),
 	}
 }
 
--- a/internal/proxy/outbound/choose.go
+++ b/internal/proxy/outbound/choose.go
@@ -18,7 +18,7 @@
 	if c.route != nil {
 		need.Objective = c.route.Objective
 	}
-	if !c.h.opts.TryBusy {
+	if !c.h.opts.TryBusyGates {
 		need.MaxWait = c.maxQueue()
 	}
 	lease, err := c.h.opts.Picker.PickWithOptions(servers, need)
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -57,15 +57,15 @@
 	CallerService func() string
 	// Runs is what the backend server beside this daemon runs, Nested what gates tell of
 	// routes.
-	Runs   *admission.Runs
-	Nested *admission.NestedRoutes
-	// Callees learns what the backend server's runs call, Calls is what gates tell of
+	Runs         *admission.Runs
+	NestedRoutes *admission.NestedRoutes
+	// CalleeStats learns what the backend server's runs call, Calls is what gates tell of
 	// theirs.
-	Callees *admission.CalleeStats
-	Calls   *admission.CallGraph
-	// SendBlind sends small bodies without a question, ForgetReturns takes callers that
-	// come back for new ones, TryBusy tries gates known to be busy; all are for trials.
-	SendBlind, ForgetReturns, TryBusy bool
+	CalleeStats *admission.CalleeStats
+	CallGraph   *admission.CallGraph
+	// AlwaysSendSmallBodies sends small bodies without a question, IgnoreCallerRetries takes callers that
+	// come back for new ones, TryBusyGates tries gates known to be busy; all are for trials.
+	AlwaysSendSmallBodies, IgnoreCallerRetries, TryBusyGates bool
 	// KilobyteCost is the time that 1,000 bytes are worth that stay in the
 	// availability zone, for a latency objective of 1 s.
 	KilobyteCost func() time.Duration
@@ -111,10 +111,10 @@
 // InFlight returns the number of requests in progress.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
-// GiveUp ends the calls in progress: the process is about to end, and a call that is
+// CancelCalls ends the calls in progress: the process is about to end, and a call that is
 // then still without an answer gets none. One that has not run is answered so, one that
 // may have run as a failure, unless its gate has the answer already.
-func (h *Handler) GiveUp() {
+func (h *Handler) CancelCalls() {
 	h.running.Range(func(call, cancel any) bool {
 		cancel.(context.CancelCauseFunc)(errLeaving)
 		return true
--- a/internal/proxy/outbound/learn.go
+++ b/internal/proxy/outbound/learn.go
@@ -8,6 +8,6 @@
 // learn takes in what a gate tells of its service and of the call's route.
 func (a *attempt) learn(head *peerpb.AnswerHead) {
 	o := a.c.h.opts
-	o.Nested.Update(a.c.head.GetRoute(), advice.MadeByOf(head.GetMadeBy()))
-	o.Calls.Update(a.c.service, advice.CalleesOf(head.GetCallees()))
+	o.NestedRoutes.Update(a.c.head.GetRoute(), advice.MadeByFromProto(head.GetMadeBy()))
+	o.CallGraph.Update(a.c.service, advice.CalleesFromProto(head.GetCallees()))
 }
--- a/internal/proxy/outbound/log.go
+++ b/internal/proxy/outbound/log.go
@@ -37,9 +37,9 @@
 	h.opts.Logger.Info("outbound: request ended", attrs...)
 }
 
-// CallerLeft counts and tells of a request that does not begin, as its caller had left
+// RecordDisconnect counts and tells of a request that does not begin, as its caller had left
 // before.
-func (h *Handler) CallerLeft(r *http.Request) {
+func (h *Handler) RecordDisconnect(r *http.Request) {
 	h.opts.Metrics.CallerGone.Inc()
 	if h.lines.Allow() {
 		h.opts.Logger.Info("outbound: request not begun",
