--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -9,20 +9,19 @@
 	"github.com/shoenig/test/must"
 )
 
-// service is servers that run lookups, each with the daemon beside it. Lookups take a while;
-// a deadly one ends its server with all that it runs, which then is away for some seconds.
-// What broke off is sent on once if its daemon allows that, and then comes again by its
-// caller.
+// service simulates backend servers that process lookups, each with a daemon beside it. A
+// crashing lookup terminates its server with all lookups in progress, and the server restarts
+// after some seconds. Interrupted lookups are sent again, up to a number of attempts.
 type service struct {
 	*daemons
 	rnd     *rand.Rand
 	servers []simServer
-	// delay is how long news takes to reach all.
+	// delay is the interval at which the daemons exchange notes.
 	delay    time.Duration
 	lastTold time.Time
 	next     int
 	crashes  int
-	// refused are the requests that a daemon refused.
+	// refused holds the requests that a daemon rejected.
 	refused map[Identity]bool
 }
 
@@ -35,7 +34,7 @@
 	id     Identity
 	ends   time.Time
 	deadly bool
-	// tries is how many servers may yet be tried, by the daemons and the caller.
+	// tries is the number of attempts left, by the daemons and the caller together.
 	tries int
 }
 
@@ -55,7 +54,7 @@
 	}
 }
 
-// send runs a request at a server that has room, by the word of its daemon.
+// send starts a request at a random server with a free slot, unless the daemon rejects it.
 func (s *service) send(r simRun) {
 	var open []int
 	for i, srv := range s.servers {
@@ -79,7 +78,8 @@
 	s.servers[at].runs = append(s.servers[at].runs, r)
 }
 
-// step ends what ends now, and returns what broke off.
+// step advances the time by simStep, completes the requests that end, and returns those that a
+// crash interrupted.
 func (s *service) step() (broken []simRun) {
 	s.now = s.now.Add(simStep)
 	for i := range s.servers {
@@ -111,10 +111,11 @@
 	return broken
 }
 
-// One request ends each server that runs it and comes again, 150 other lookups a second run
-// beside it on nine servers. After the third server it must reach few more, and what ran
-// beside it must not be refused for it, though each crash has up to eight bystanders that
-// are sent again to a server which may be the next.
+// Guards against quarantining requests that merely run beside a crashing one. One request
+// crashes each server that processes it and is repeated; 150 other lookups per second run on
+// the nine servers. After the third crash few more servers may crash, and no other request may
+// be rejected, although each crash interrupts up to eight others, which are sent again to a
+// server that may be the next to crash.
 func TestLedger_BystandersAreServed(t *testing.T) {
 	const perStep, seconds = 1.5, 15
 	crashes, innocents := 0, 0
@@ -139,6 +140,6 @@
 		crashes += s.crashes
 		innocents += len(s.refused) - 1
 	}
-	t.Logf("20 seeds: %d servers ended, %d innocent requests refused", crashes, innocents)
+	t.Logf("20 seeds: %d server crashes, %d other requests rejected", crashes, innocents)
 	must.Eq(t, 0, innocents)
 }
--- a/quarantine/decide.go
+++ b/quarantine/decide.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// sameEnd is within what ends of verdicts on one request count as the same. Daemons decide
-// at different moments, by clocks that differ by seconds.
+// verdictEndTolerance is the difference below which the ends of two verdicts on one request
+// count as equal. Daemons decide at different moments and by clocks that differ by seconds.
 const sameEnd = time.Minute
 
-// crashed counts a crash against a request, and keeps the request away where that is one
-// too many.
+// crashed adds a crash to a request's count. At the threshold it quarantines the request, or
+// clears it if the server beside this daemon completed it recently.
 func (l *Tracker) crashed(id Identity, from source, now time.Time) {
 	s := l.suspectOf(id, now)
 	if s == nil {
@@ -22,16 +22,16 @@
 		return
 	}
 	if l.good.has(id, now) {
-		l.clear(id, "a backend server has just run it to its end")
+		l.clear(id, "a backend server completed it recently")
 		return
 	}
 	l.decide(id, s, now)
 }
 
-// decide keeps a request from backend servers.
+// decide quarantines a request unless the maximum of verdicts in force is reached.
 func (l *Tracker) decide(id Identity, s *suspect, now time.Time) {
 	if len(l.inForce(now)) >= l.opts.MaxVerdicts {
-		l.opts.Logger.Warn("quarantine: full, a request under which servers ended is let through", "identity", id.String())
+		l.opts.Logger.Warn("quarantine: request not quarantined, too many verdicts in force", "identity", id.String())
 		return
 	}
 	hold := l.opts.Hold
@@ -44,7 +44,8 @@
 	l.publish(now)
 }
 
-// adopt takes in a verdict of others.
+// adopt accepts a verdict of another daemon, with its duration and end limited by the options.
+// Verdicts that have ended, were cleared or are in force already are ignored.
 func (l *Tracker) adopt(v Verdict, now time.Time) {
 	v.Duration = min(max(v.Duration, l.opts.Hold), l.opts.MaxHold)
 	if latest := now.Add(v.Duration); v.Until.After(latest) {
@@ -58,12 +59,13 @@
 		return
 	}
 	s.verdict = &v
-	l.opts.Logger.Info("quarantine: verdict taken over", "identity", v.Identity.String(), "until", v.Until)
+	l.opts.Logger.Info("quarantine: verdict adopted", "identity", v.Identity.String(), "until", v.Until)
 	l.publish(now)
 	l.notify()
 }
 
-// clear takes back what is held against a request, and tells the others.
+// clear removes the crashes and the verdict of a request, and publishes a clearing to the
+// other daemons.
 func (l *Tracker) clear(id Identity, why string) {
 	now := l.opts.Now()
 	until := now.Add(l.opts.Hold)
@@ -76,7 +78,8 @@
 	l.notify()
 }
 
-// forgive forgets the crashes that are known by now and the verdicts that end by until.
+// forgive removes the crashes recorded so far for a request, and its verdict if that ends at
+// or before until.
 func (l *Tracker) forgive(id Identity, until, now time.Time) {
 	s := l.suspectOf(id, now)
 	if s == nil {
@@ -90,8 +93,8 @@
 	l.publish(now)
 }
 
-// suspectOf returns the entry of a request, a new one where there is none, or nil where the
-// ledger is full of verdicts.
+// suspectOf returns the entry of a request and creates it if needed. It returns nil if there
+// are MaxSuspects entries and all of them have verdicts in force.
 func (l *Tracker) suspectOf(id Identity, now time.Time) *suspect {
 	s := l.suspects[id]
 	if s == nil {
@@ -106,8 +109,8 @@
 	return s
 }
 
-// dropOldest forgets the suspect of which nothing was learned for longest, and reports
-// whether there was one without a verdict in force.
+// dropOldest removes the least recently updated suspect without a verdict in force, and
+// reports whether there was one.
 func (l *Tracker) dropOldest(now time.Time) bool {
 	var oldest Identity
 	var found *suspect
@@ -120,7 +123,8 @@
 	return found != nil
 }
 
-// Expire forgets what no longer counts.
+// Expire removes crashes and notes older than Options.Window, and the suspects that have no
+// crash, verdict, probation or clearing left. The caller runs it every few seconds.
 func (l *Tracker) Expire() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -151,12 +155,12 @@
 
 func (s *suspect) inForce(now time.Time) bool { return s.verdict != nil && s.verdict.Until.After(now) }
 
-// onProbation reports whether a verdict has ended not long ago.
+// onProbation reports whether the latest verdict ended less than its own duration ago.
 func (s *suspect) onProbation(now time.Time) bool {
 	return s.verdict != nil && !s.inForce(now) && now.Before(s.verdict.Until.Add(s.verdict.Duration))
 }
 
-// inForce returns the verdicts in force.
+// inForce returns the verdicts in force, in no particular order.
 func (l *Tracker) inForce(now time.Time) []Verdict {
 	var list []Verdict
 	for _, s := range l.suspects {
@@ -167,7 +171,8 @@
 	return list
 }
 
-// publish has requests refused by the verdicts in force, and returns how many there are.
+// publish replaces the map that QuarantinedFor reads by the verdicts in force, and returns
+// their number.
 func (l *Tracker) publish(now time.Time) int {
 	list := l.inForce(now)
 	if len(list) == 0 {
--- a/quarantine/good.go
+++ b/quarantine/good.go
@@ -5,16 +5,19 @@
 	"time"
 )
 
-// maxGoodRuns bounds the runs that are remembered: those of a second and more at a server
-// that ends 500 a second.
+// maxRecentSuccesses is the number of completed requests that are kept: at least those of
+// one second at a server that completes 500 requests per second.
 const maxGoodRuns = 1024
 
-// goodRuns remembers the requests that have run well of late.
+// recentSuccesses is a ring buffer of the requests that the backend server beside this daemon
+// completed most recently. It is safe for concurrent use.
 type goodRuns struct {
+	// ttl is how long an entry counts as recent.
 	keep time.Duration
 
 	mu   sync.Mutex
 	ring [maxGoodRuns]goodRun
+	// next is the index in ring of the next entry to overwrite.
 	next int
 }
 
@@ -30,7 +33,7 @@
 	g.next = (g.next + 1) % len(g.ring)
 }
 
-// has reports whether a request has run well of late.
+// has reports whether the request was completed within the last ttl.
 func (g *goodRuns) has(id Identity, now time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -43,7 +46,7 @@
 	return false
 }
 
-// without returns the requests that have not run well of late.
+// without returns those of the given requests that were not completed within the last ttl.
 func (g *goodRuns) without(ids []Identity, now time.Time) []Identity {
 	var rest []Identity
 	for _, id := range ids {
--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -1,7 +1,8 @@
-// Package quarantine keeps requests away from backend servers that end under them. A
-// request that crashes each server which begins to run it, and that its caller sends again
-// and again, would else take one server after the other: no bound on retries within a call
-// counts what a caller repeats, at any daemon.
+// Package quarantine rejects requests that crash backend servers.
+//
+// A request that crashes every server that starts to process it, and that its caller keeps
+// repeating, would otherwise crash one server after another: the retry limits of a single
+// call do not count repetitions by the caller, which may arrive at any daemon.
 package quarantine
 
 import (
@@ -10,18 +11,19 @@
 	"encoding/hex"
 )
 
-// Identity tells one request from others by what a caller repeats: a prefix of a SHA-256.
-// Callers choose what is hashed, and one that could find a second request of the same
-// identity could have another customer's refused.
+// Identity identifies a request across repetitions by its caller. It is the first 16 bytes
+// of a SHA-256 hash over the fields of Request. The hash is cryptographic because callers
+// choose the hashed data: a caller that found a second request with the same identity could
+// have another customer's request rejected.
 type Identity [16]byte
 
-// String returns the identity in hexadecimal digits.
+// String returns the identity as 32 hexadecimal digits.
 func (i Identity) String() string { return hex.EncodeToString(i[:]) }
 
-// IsZero reports whether the identity is not known.
+// IsZero reports whether the identity is unknown.
 func (i Identity) IsZero() bool { return i == Identity{} }
 
-// ParseIdentity reads what String returns.
+// ParseIdentity parses the format returned by String.
 func ParseIdentity(s string) (Identity, bool) {
 	b, err := hex.DecodeString(s)
 	if err != nil {
@@ -30,30 +32,31 @@
 	return IdentityFrom(b)
 }
 
-// IdentityFrom returns the identity of its bytes, as messages carry it.
+// IdentityFrom converts the bytes of an identity, as sent in messages. ok is false if b does
+// not have the length of an identity.
 func IdentityFrom(b []byte) (id Identity, ok bool) {
 	return id, copy(id[:], b) == len(id) && len(b) == len(id)
 }
 
-// Request is what makes the identity of a request.
+// Request holds the fields of a request that determine its identity.
 type Request struct {
-	// Customer is who sends it, empty where callers are not told apart.
+	// Customer is the client account of the caller, empty if callers are not distinguished.
 	Customer  string
 	Method    string
 	Authority string
-	// Target is the path with the query.
+	// Target is the path including the query.
 	Target string
 	Body   []byte
-	// Streamed is whether the body is passed on as it comes, so that Body lacks it. Such
-	// requests are told apart by their heads alone.
+	// Streamed is true if the body is forwarded while it is being received. Body is ignored
+	// then, and requests are distinguished by the other fields alone.
 	Streamed bool
 }
 
-// IdentityOf returns the identity of a request.
+// IdentityOf computes the identity of a request.
 func IdentityOf(r Request) Identity {
 	h := sha256.New()
 	var length [8]byte
-	// Each field goes behind its length: no two requests are the same bytes.
+	// Each field is preceded by its length, so that different requests never hash the same bytes.
 	for _, field := range []string{r.Customer, r.Method, r.Authority, r.Target} {
 		h.Write(binary.BigEndian.AppendUint64(length[:0], uint64(len(field))))
 		h.Write([]byte(field))
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -7,28 +7,29 @@
 	"time"
 )
 
-// Options sizes a Ledger.
+// Options configures a Tracker.
 type Options struct {
-	// Crashes is how many servers end under a request before it is kept from the others.
-	// Callers whose requests ran beside it are innocent, and most have been in one crash or
-	// two: a server runs its other calls as well, and what broke off is sent again.
+	// CrashThreshold is the number of server crashes after which a request that was running
+	// in each of them is quarantined. Most requests that merely run beside it are in one or
+	// two crashes: a crash interrupts all calls of the server, and these are sent again.
 	Crashes int
-	// Window is how long a crash is held against the requests that it ended.
+	// Window is how long a crash counts toward CrashThreshold.
 	Window time.Duration
-	// Hold is how long a first verdict lasts. A request that ends a server within the same
-	// time after that is kept away at once, for twice as long, up to MaxHold.
+	// Duration is how long a first verdict lasts. A request that crashes a server within the
+	// same time after its verdict ended is quarantined again at once, for twice as long, up to
+	// MaxDuration.
 	Hold, MaxHold time.Duration
-	// GoodFor is how long a run that ended well speaks for a request. A popular lookup is
-	// in progress at each server of a service, so it is in each crash of it.
+	// SuccessTTL is how long a completed run exempts a request from crash counts. A popular
+	// lookup is in progress at every server of a service, and so in each of their crashes.
 	GoodFor time.Duration
-	// MaxSuspects and MaxVerdicts bound the requests that are remembered: callers can make
-	// any number of them.
+	// MaxSuspects and MaxVerdicts bound the number of suspects and of verdicts in force:
+	// callers can create any number of distinct requests.
 	MaxSuspects, MaxVerdicts int
 	Logger                   *slog.Logger
 	Now                      func() time.Time
 }
 
-// DefaultOptions returns options for a fleet whose servers are back within seconds.
+// DefaultOptions returns the options for a fleet whose backend servers restart within seconds.
 func DefaultOptions() Options {
 	return Options{
 		Crashes: 3, Window: 5 * time.Minute, Hold: 10 * time.Minute, MaxHold: 4 * time.Hour,
@@ -37,42 +38,48 @@
 	}
 }
 
-// Verdict keeps a request from backend servers.
+// Verdict quarantines one request: daemons do not send it to backend servers until it ends.
 type Verdict struct {
 	Identity Identity
-	// Until is when it ends, by the time of day: it outlives the processes that know it.
-	Until    time.Time
+	// Until is the end of the verdict as wall-clock time, since a verdict outlives the
+	// processes that hold it.
+	Until time.Time
+	// Duration is the length of the quarantine, and of the probation that follows it.
 	Duration time.Duration
 }
 
-// source tells one crash from others: who told of it, in which life, under which number.
+// noteID identifies a crash or a clearing by the daemon that published it, the boot ID of that
+// daemon and the number of its note. Host and boot are zero for this daemon's own notes.
 type source struct {
 	host string
 	boot uint64
 	seq  uint32
 }
 
-// suspect is a request under which servers have ended.
+// suspect is the state of a request that is tracked for crashes, a verdict or a clearing.
 type suspect struct {
-	// crashes are the times at which this daemon learned of each.
+	// crashes maps each crash to the time at which this daemon recorded it.
 	crashes map[source]time.Time
-	// verdict is the latest one, nil where there was none. It is on probation from its end
-	// on for as long as it lasted.
+	// verdict is the latest one, in force or ended, nil if there was none. After its end the
+	// request is on probation for the verdict's duration.
 	verdict *Verdict
-	// clearedUntil is the end of the latest verdict that no longer counts.
+	// clearedUntil invalidates the verdicts that end at or before it.
 	clearedUntil time.Time
-	// touched is when anything was last learned.
+	// lastUpdate is when a crash, verdict or clearing was last recorded.
 	touched time.Time
 }
 
-// Tracker is what one daemon knows of requests that servers ended under. It decides by
-// itself, from its own evidence and what others tell; those who know the same decide the
-// same. It is safe for concurrent use. What a request's path asks takes no lock.
+// Tracker records, for one daemon, the requests that were running when backend servers
+// crashed, and decides which of them to quarantine. Each daemon decides by itself, from its
+// own crashes and the notes of the other daemons; daemons with the same information reach the
+// same decision. It is safe for concurrent use. QuarantinedFor, which is called for each
+// request, takes no lock.
 type Tracker struct {
 	opts Options
-	// kept holds the ends of the verdicts in force, nil without any.
+	// quarantined maps the requests with a verdict in force to the end of the verdict. It is
+	// nil if there are none.
 	kept atomic.Pointer[map[Identity]time.Time]
-	// suspected is how many suspects there are.
+	// suspectCount mirrors len(suspects) for reads without mu.
 	suspected atomic.Int64
 
 	good goodRuns
@@ -80,11 +87,13 @@
 	mu       sync.Mutex
 	suspects map[Identity]*suspect
 	own      ownNotes
-	seen     map[source]time.Time
-	changed  chan struct{}
+	// seen maps the crashes and clearings received from other daemons to the time of receipt.
+	seen map[source]time.Time
+	// changed is closed and replaced at each change.
+	changed chan struct{}
 }
 
-// New returns an empty ledger.
+// New returns an empty tracker.
 func New(opts Options) *Tracker {
 	return &Tracker{
 		opts: opts, suspects: make(map[Identity]*suspect), seen: make(map[source]time.Time),
@@ -92,7 +101,7 @@
 	}
 }
 
-// QuarantinedFor returns how long a request is kept from backend servers yet, 0 where it is not.
+// QuarantinedFor returns the remaining time of a request in quarantine, 0 if it is not quarantined.
 func (l *Tracker) QuarantinedFor(id Identity) time.Duration {
 	kept := l.kept.Load()
 	if kept == nil {
@@ -105,7 +114,7 @@
 	return max(until.Sub(l.opts.Now()), 0)
 }
 
-// Crashes returns how many servers are known to have ended under a request.
+// Crashes returns the number of recorded server crashes during which a request was running.
 func (l *Tracker) Crashes(id Identity) int {
 	if l.suspected.Load() == 0 {
 		return 0
@@ -118,8 +127,9 @@
 	return 0
 }
 
-// RecordCrash notes that the server beside this daemon has ended under requests; the latest come
-// last. Those that have just run well are left out.
+// RecordCrash records that the backend server beside this daemon crashed while it was processing
+// the given requests, which are sorted by start, the latest last. Requests that the server
+// completed within Options.SuccessTTL are not counted.
 func (l *Tracker) RecordCrash(ids []Identity) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -135,9 +145,9 @@
 	l.notify()
 }
 
-// mostSuspect returns at most maxEndedUnder of the requests that a server ended under:
-// those that are suspect already, then the latest. A server may run any number of calls,
-// and what is told of one crash must be short.
+// mostSuspect returns at most maxIdentitiesPerCrash of the requests that were running in a
+// crash: those that are already suspects first, then the others, each the latest first. A
+// server may process any number of calls, and the note on a crash has to be short.
 func (l *Tracker) mostSuspect(ids []Identity) []Identity {
 	if len(ids) <= maxEndedUnder {
 		return ids
@@ -154,8 +164,8 @@
 	return most[:maxEndedUnder]
 }
 
-// RecordSuccess notes that the server beside this daemon has run a request to its end. What
-// was held against the request is taken back, here and at the others.
+// RecordSuccess records that the backend server beside this daemon completed a request. Crashes
+// and verdicts recorded for the request are cleared at all daemons.
 func (l *Tracker) RecordSuccess(id Identity) {
 	l.good.add(id, l.opts.Now())
 	if l.suspected.Load() == 0 {
@@ -164,12 +174,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.suspects[id]; s != nil && (len(s.crashes) > 0 || s.verdict != nil) {
-		l.clear(id, "a backend server has run it to its end")
+		l.clear(id, "a backend server completed it")
 	}
 }
 
-// Lift takes a request out of quarantine, here and at the others, and reports whether
-// anything was held against it.
+// Lift clears the crashes and the verdict of a request at all daemons, and reports whether
+// this daemon had recorded any.
 func (l *Tracker) Lift(id Identity) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -188,31 +198,33 @@
 	return l.inForce(l.opts.Now())
 }
 
-// Stats counts what a ledger holds.
+// Stats holds the numbers of tracked requests.
 type Stats struct {
-	// Quarantined requests are kept from backend servers, Suspected ones have ended any.
+	// Quarantined counts the requests with a verdict in force, Suspected all suspects.
 	Quarantined, Suspected int
 }
 
-// Stats returns what the ledger holds.
+// Stats returns the current numbers of quarantined and suspected requests.
 func (l *Tracker) Stats() Stats {
 	return Stats{Quarantined: len(l.Verdicts()), Suspected: int(l.suspected.Load())}
 }
 
-// Add takes in a verdict that was found in the platform's directory, or that a gate told.
+// Add adopts a verdict that was read from the platform's directory or reported by another
+// daemon's gate.
 func (l *Tracker) Add(v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.adopt(v, l.opts.Now())
 }
 
-// Watch returns a channel that is closed after the next change.
+// Watch returns a channel that is closed when crashes, verdicts or clearings change next.
 func (l *Tracker) Watch() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.changed
 }
 
+// notify wakes all watchers. The caller holds mu.
 func (l *Tracker) notify() {
 	close(l.changed)
 	l.changed = make(chan struct{})
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// daemons are ledgers of a fleet that tell each other all notes, on one clock.
+// daemons simulates the trackers of a fleet, which exchange all their notes and share one clock.
 type daemons struct {
 	now     time.Time
 	ledgers []*Tracker
@@ -31,6 +31,7 @@
 	return l
 }
 
+// pass advances the clock and expires old state.
 func (d *daemons) pass(t time.Duration) {
 	d.now = d.now.Add(t)
 	for _, l := range d.ledgers {
@@ -38,7 +39,7 @@
 	}
 }
 
-// tell has all daemons take in what all tell.
+// tell passes the notes of each daemon to all others.
 func (d *daemons) tell() {
 	var all []PeerNotes
 	for i, l := range d.ledgers {
@@ -49,7 +50,7 @@
 	}
 }
 
-// refusing returns how many daemons refuse a request.
+// refusing returns the number of daemons that have a request in quarantine.
 func (d *daemons) refusing(id Identity) int {
 	n := 0
 	for _, l := range d.ledgers {
@@ -67,9 +68,9 @@
 
 var deadly = identity(1_000_000)
 
-// Three servers beside three daemons end under one request, each with bystanders of its
-// own. Every daemon refuses that request then, and none of the others; what is told twice
-// counts once.
+// A request crashes three servers, each of which also processes two other requests. All daemons
+// must quarantine that request and none of the others. Notes that are received twice count
+// once.
 func TestLedger_ThirdCrashIsKnownToAll(t *testing.T) {
 	d := newDaemons(8)
 	for crash := range 3 {
@@ -84,10 +85,10 @@
 	}
 }
 
-// A service of eight servers loses six at one moment, for reasons of its own. A popular
-// lookup was in progress at each, and runs well at the two that are left. A verdict on it
-// would refuse its callers for minutes; a daemon that has just seen it run well takes it
-// back for all.
+// Guards against quarantining a popular request. Six of eight servers crash at once for another
+// reason while a popular lookup is in progress at each of them. The other two servers complete
+// it. A verdict would reject its callers for minutes, so a daemon whose server completed the
+// request recently clears it at all daemons.
 func TestLedger_PopularRequestIsNoCulprit(t *testing.T) {
 	popular := identity(7)
 	d := newDaemons(8)
@@ -102,16 +103,16 @@
 	d.tell()
 	d.tell()
 	must.Eq(t, 0, d.refusing(popular))
-	// It goes on being served while more servers end.
+	// It stays out of quarantine while more servers crash.
 	d.ledgers[7].RecordSuccess(popular)
 	d.ledgers[0].RecordCrash([]Identity{popular})
 	d.tell()
 	must.Eq(t, 0, d.refusing(popular))
 }
 
-// A request that ended three servers is let in again when its verdict ends. It ends another
-// one: that is enough then, and the next verdict lasts twice as long. Where it ends none
-// until as much time has passed once more, it is as any other.
+// A request that crashed three servers is accepted again when its verdict ends. During the
+// probation that follows, a single crash suffices for a verdict of twice the duration. After a
+// probation without crashes, one crash is not enough any more.
 func TestLedger_ProbationAfterAVerdict(t *testing.T) {
 	d := newDaemons(4)
 	for i := range 3 {
@@ -132,8 +133,9 @@
 	must.Eq(t, 0, d.refusing(deadly))
 }
 
-// An operator lifts a verdict at one daemon. It ends at all, and a daemon that starts later
-// and hears of the crashes and of the lift at once does not decide anew.
+// A verdict that an operator lifts at one daemon must end at all daemons. A daemon that starts
+// later and receives the crashes and the clearing together must not quarantine the request
+// again.
 func TestLedger_LiftHoldsEverywhere(t *testing.T) {
 	d := newDaemons(5)
 	for i := range 3 {
@@ -149,8 +151,8 @@
 	must.False(t, d.ledgers[4].Lift(deadly))
 }
 
-// A verdict that a start finds among the platform's entries holds at once, and no longer
-// than it says, or than verdicts may last.
+// A verdict that a starting daemon reads from the platform's directory must be in force at once,
+// until its own end and for MaxDuration at most.
 func TestLedger_VerdictFromTheDirectory(t *testing.T) {
 	d := newDaemons(1)
 	l := d.ledgers[0]
@@ -168,8 +170,8 @@
 	must.False(t, ok)
 }
 
-// A caller makes a new deadly request for each crash, many times over. What is remembered
-// and what is told stay bounded, and a verdict in force is not pushed out.
+// Guards against unbounded memory and notes when a caller sends ever new crashing requests. A
+// verdict in force must not be evicted by them.
 func TestLedger_StaysBounded(t *testing.T) {
 	d := newDaemons(3)
 	for i := range 3 {
@@ -201,8 +203,8 @@
 	}
 }
 
-// Two requests that differ in any field have different identities, also where the bytes of
-// one field after the other are the same.
+// Two requests that differ in any field must have different identities, even if the
+// concatenations of their fields are equal.
 func TestIdentityOf_TellsRequestsApart(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Request {
@@ -223,8 +225,8 @@
 	})
 }
 
-// What a call costs more by its identity, which it did not have before: 0.23 µs for a
-// lookup, 44 µs for a body of 60 kB, no allocation.
+// Measures the time that computing the identity adds to a call: 0.23 µs for a lookup and 44 µs
+// for a body of 60 kB, without allocations.
 func BenchmarkIdentityOf(b *testing.B) {
 	for name, size := range map[string]int{"lookup": 0, "body of 60 kB": 60_000} {
 		b.Run(name, func(b *testing.B) {
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -9,27 +9,29 @@
 )
 
 const (
-	// maxEndedUnder is how many requests are told of one crash.
+	// maxIdentitiesPerCrash is the maximum number of requests in the note on one crash.
 	maxEndedUnder = 24
-	// maxEndedNotes and maxClearings bound what one daemon tells of at a time. Others have
-	// taken in what is left out; only a daemon that starts lacks it.
+	// maxCrashNotes and maxClearingNotes bound the notes that a daemon publishes at a time.
+	// Running daemons have received the older ones before; only a daemon that starts later
+	// misses them.
 	maxEndedNotes = 3
 	maxClearings  = 4
 )
 
-// ownNote is one note of this daemon.
+// ownNote is a note of this daemon and the time at which it was created.
 type ownNote struct {
 	note *quarantinepb.Note
 	at   time.Time
 }
 
-// ownNotes are what this daemon tells the others, the latest first.
+// ownNotes holds the crashes and clearings that this daemon publishes, each the latest first.
 type ownNotes struct {
+	// seq is the number of the latest note.
 	seq               uint32
 	crashes, cleareds []ownNote
 }
 
-// ended adds a crash and returns its number.
+// ended adds the note on a crash and returns its number.
 func (o *ownNotes) ended(ids []Identity, now time.Time) uint32 {
 	o.seq++
 	n := &quarantinepb.Note{Seq: o.seq}
@@ -40,13 +42,14 @@
 	return o.seq
 }
 
+// cleared adds a clearing of the verdicts that end at or before until.
 func (o *ownNotes) cleared(id Identity, until, now time.Time) {
 	o.seq++
 	n := &quarantinepb.Note{Seq: o.seq, Clearing: &quarantinepb.Clearing{Identity: id[:], UntilUnix: until.Unix()}}
 	o.cleareds = prepend(o.cleareds, ownNote{n, now}, maxClearings)
 }
 
-// expire forgets notes that are older than window, and reports whether there were any.
+// expire removes the notes older than window, and reports whether there were any.
 func (o *ownNotes) expire(now time.Time, window time.Duration) bool {
 	before := len(o.crashes) + len(o.cleareds)
 	o.crashes = youngerThan(o.crashes, now, window)
@@ -54,11 +57,13 @@
 	return len(o.crashes)+len(o.cleareds) < before
 }
 
+// prepend inserts n before the list and truncates the list to limit.
 func prepend(list []ownNote, n ownNote, limit int) []ownNote {
 	list = append([]ownNote{n}, list...)
 	return list[:min(len(list), limit)]
 }
 
+// youngerThan returns the notes up to the first that is older than age.
 func youngerThan(list []ownNote, now time.Time, age time.Duration) []ownNote {
 	for i, n := range list {
 		if now.Sub(n.at) > age {
@@ -68,9 +73,9 @@
 	return list
 }
 
-// Notes returns what this daemon tells the others, the most urgent first: its latest crash,
-// what it has cleared, the verdicts that it carries for daemons which start, and earlier
-// crashes.
+// Notes returns the serialized notes that this daemon publishes, the most urgent first: its
+// latest crash, its clearings, the given verdicts, which it carries for daemons that start
+// later, and its earlier crashes.
 func (l *Tracker) Notes(carried []Verdict) [][]byte {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,16 +101,16 @@
 	return encoded
 }
 
-// PeerNotes is what another daemon tells, in one of its lives.
+// PeerNotes holds the notes of another daemon. Boot is the ID of one run of its process.
 type PeerNotes struct {
 	Host  string
 	Boot  uint64
 	Notes [][]byte
 }
 
-// Observe takes in what others tell. Notes that were taken in before change nothing, and
-// those that cannot be read are passed over. Clearings come last: a daemon that starts hears
-// of crashes and of their clearing at once, in any order.
+// Observe processes the notes of other daemons. Notes that were processed before change
+// nothing, and notes that cannot be decoded are skipped. Clearings are applied last, since a
+// daemon that starts receives crashes and their clearings together and in any order.
 func (l *Tracker) Observe(all []PeerNotes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,6 +143,7 @@
 	l.notify()
 }
 
+// observeCrash counts the crash in a note for each of its requests.
 func (l *Tracker) observeCrash(n *quarantinepb.Note, from source, now time.Time) {
 	const size = len(Identity{})
 	for b := n.GetEndedUnder(); len(b) >= size; b = b[size:] {
@@ -157,13 +163,13 @@
 	}, ok
 }
 
-// EncodeEntry returns a verdict as an entry of the platform's directory.
+// EncodeEntry serializes a verdict as an entry of the platform's directory.
 func EncodeEntry(v Verdict) ([]byte, error) {
 	return proto.Marshal(&quarantinepb.DirectoryEntry{Verdict: encodeVerdict(v)})
 }
 
-// DecodeEntry reads an entry of the platform's directory; ok is false for one that is no
-// verdict.
+// DecodeEntry parses an entry of the platform's directory. ok is false if the entry does not
+// hold a verdict.
 func DecodeEntry(b []byte) (v Verdict, ok bool) {
 	e := new(quarantinepb.DirectoryEntry)
 	if proto.Unmarshal(b, e) != nil {
--- a/quarantine/refusal.go
+++ b/quarantine/refusal.go
@@ -6,8 +6,8 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// Refusal is the error of a request that is kept from backend servers for so long yet. It
-// has not run, and its caller need not come back before.
+// Refusal returns the error for a request that stays in quarantine for the given time. The
+// request has not run, and the error tells the caller not to retry before that time is over.
 func Refusal(left time.Duration) error {
-	return errkind.New(errkind.Quarantined, "backend servers have ended under this request").After(left)
+	return errkind.New(errkind.Quarantined, "the request is in quarantine: backend servers crashed while processing it").After(left)
 }
--- a/rollout/active.go
+++ b/rollout/active.go
@@ -8,10 +8,13 @@
 )
 
 const (
-	// Near the end of its time a rollout opens the gates of the new version (the lead before
-	// the end), closes those of the old one once all can know of the first (settle), and
-	// ends when these have run out or the time is nearly up (margin). All that is kept
-	// short: a version that turns bad this late cannot be caught.
+	// Near the end of an order's duration the traffic moves in three steps. The gates of the
+	// new version open when the lead time is left, which is leadShare of the duration, at most
+	// maxLead. The gates of the old version close once all daemons can know of the open
+	// gates, after settleTime. The rollout ends when the old servers have no calls left, or
+	// when only the margin is left, which is marginShare of the duration, at most maxMargin.
+	// These times are short because a version that turns bad during them is not detected in
+	// time.
 	maxLead    = 2400 * time.Millisecond
 	leadShare  = 0.25
 	settle     = 800 * time.Millisecond
@@ -19,49 +22,59 @@
 	marginPart = 0.06
 )
 
-// server is what a decider knows of one server's gate.
+// server is the state of one server and its gate, from the gate's latest report.
 type server struct {
 	Report
-	// rank orders servers in a way that mixes availability zones.
-	rank  uint64
+	// rank is a hash of the host that orders servers independently of their availability
+	// zones.
+	rank uint64
+	// heard is when the latest report arrived.
 	heard time.Time
-	// granted is the most that the gate may have let through by its latest permit, base what
-	// it had let through when it got that.
+	// granted is the number of calls that the gate may have admitted under its latest permit,
+	// base the number that it had admitted when it reported for that permit.
 	granted, base uint64
-	// marks are earlier tallies, to judge what has come since.
+	// marks are the counts at the last two ends of a recentWindow, the older first. The recent
+	// results are those since the older one.
 	marks [2]Tally
-	// suspect is set once the server by itself looks bad, while the others do not.
+	// suspect is set once this server alone was found bad.
 	suspect bool
 }
 
-// active is one rollout in progress or just ended.
+// active is the state of a rollout that is in progress or has ended recently.
 type active struct {
 	order Order
 	opts  Options
-	// begun is when the order was given, as far as any gate knows.
+	// begun is when the order was given, estimated from the oldest OrderAge in the reports.
 	begun time.Time
+	// heard is when the latest report of any gate arrived.
 	heard time.Time
-	// loaded is whether it is known that the rollout had not ended before.
+	// loaded is set once the recorded outcome has been looked up, so that it is known whether
+	// the rollout had ended before.
 	loaded  bool
 	outcome Outcome
-	reason  string
-	// told is whether toldOutcome has been recorded and told to the operator.
+	// reason explains the outcome to operators.
+	reason string
+	// told is true once an outcome has been recorded and reported to the operator, toldOutcome
+	// is the latest such outcome.
 	told        bool
 	toldOutcome Outcome
 
-	servers   map[ServerID]*server
+	servers map[ServerID]*server
+	// evaluated is when the rollout was last evaluated, marked when the marks of the servers
+	// were last set.
 	evaluated time.Time
 	marked    time.Time
-	// openedAt and closedAt are when the gates of the new version were opened, and those
-	// of the old one closed; zero before.
+	// openedAt is when the decider opened the gates of the new version, closedAt when it closed
+	// those of the old version. They are zero before.
 	openedAt, closedAt time.Time
 }
 
+// newActive returns the state of a rollout whose first report has just arrived.
 func newActive(o Order, opts Options, now time.Time) *active {
 	return &active{order: o, opts: opts, begun: now, heard: now, servers: make(map[ServerID]*server), marked: now}
 }
 
-// take takes in a report.
+// take processes a report.
 func (c *active) take(r Report, now time.Time) {
 	c.heard = now
 	if begun := now.Add(-r.OrderAge); begun.Before(c.begun) {
@@ -74,13 +87,13 @@
 	}
 	s.Report, s.heard = r, now
 	if r.Outcome != Undecided && c.outcome == Undecided {
-		// Another daemon has decided.
-		c.end(r.Outcome, "as a gate was told")
+		// The gate received the outcome from another daemon that decided before.
+		c.end(r.Outcome, "reported by a gate")
 	}
 }
 
-// end ends the rollout. What has been decided stays: a version that was taken back is not
-// tried again under the same order.
+// end sets the outcome of the rollout. The first outcome is final: a version that was rolled
+// back is not tried again under the same order.
 func (c *active) end(outcome Outcome, reason string) {
 	if c.outcome != Undecided {
 		return
@@ -90,7 +103,7 @@
 		"outcome", outcome.String(), "reason", reason, "calls", c.admitted(false)+c.admitted(true), "new_calls", c.admitted(true))
 }
 
-// alive returns the servers of one version whose gates have reported of late.
+// alive returns the servers of one version whose gates have reported within gateTimeout.
 func (c *active) alive(newVersion bool, now time.Time) []*server {
 	var list []*server
 	for _, s := range c.servers {
@@ -101,8 +114,8 @@
 	return list
 }
 
-// admitted returns the calls that the servers of one version got, those that are gone
-// included.
+// admitted returns the number of calls that the servers of one version admitted, including
+// servers that no longer report.
 func (c *active) admitted(newVersion bool) uint64 {
 	var n uint64
 	for _, s := range c.servers {
@@ -113,7 +126,8 @@
 	return n
 }
 
-// evaluate brings the rollout to where it should be now.
+// evaluate rolls back a version that is worse than the old one, and otherwise performs the step
+// of the move that is due. It does nothing before the recorded outcome has been looked up.
 func (c *active) evaluate(now time.Time) {
 	if c.outcome != Undecided || !c.loaded || now.Sub(c.evaluated) < evaluateGap {
 		return
@@ -132,9 +146,10 @@
 	c.move(now)
 }
 
-// findsWorse judges the new version by all that was seen, and by what was seen of late. A
-// server that looks bad alone is taken for a bad host and gets no more calls on trial; two
-// of them are the version's fault.
+// findsWorse compares the new version with the old one by the results since the order and by
+// the recent results. If only a single server is found bad, its host is assumed to be at
+// fault, and the server receives no more trial calls. If a second server is found bad, the
+// version is.
 func (c *active) findsWorse(now time.Time) (Finding, bool) {
 	old, oldLate := Tally{}, Tally{}
 	var all, late []Tally
@@ -178,17 +193,18 @@
 	return Finding{}, false
 }
 
-// move opens and closes gates when it is time, and ends the rollout.
+// move opens and closes gates at the times for it, and ends the rollout.
 func (c *active) move(now time.Time) {
 	left := c.order.Duration - now.Sub(c.begun)
 	fresh, old := c.alive(true, now), c.alive(false, now)
 	switch {
 	case left <= 0:
-		c.end(RolledBack, "the time was up before the traffic had moved")
+		c.end(RolledBack, "the duration of the order ended before the traffic had moved")
 	case left > c.lead() || len(fresh) == 0:
-		// Still on trial, or no server of the new version is there to move traffic to.
+		// The trial is still in progress, or no server of the new version is alive.
 	case c.openedAt.IsZero() && (!c.seenEnough() || c.doubtful()):
-		// Deciders or the store were away for most of the time, or more has to be seen.
+		// Too few results, since deciders or the store were unavailable for most of the time, or
+		// results that are too bad to move the traffic.
 	case c.openedAt.IsZero():
 		c.openedAt = now
 		c.opts.Logger.Info("rollout: gates of the new version open", "service", c.order.Service, "order", c.order.Offset,
@@ -199,14 +215,15 @@
 			c.closedAt = now
 		}
 	case !allAre(Closed, old):
-		// The operator stops the old servers at once: what an open gate lets through is lost.
+		// The operator stops the old servers at once after a success, and calls that an open gate
+		// still admits would be lost.
 	case inFlight(old) == 0 || left <= c.margin():
-		c.end(Succeeded, "no worse than the version before")
+		c.end(Succeeded, "no worse than the previous version")
 	}
 }
 
-// seenEnough reports whether the new version has had calls enough to be judged by, those of
-// servers that look bad alone aside.
+// seenEnough reports whether the new version has received enough calls to move the traffic to
+// it. Calls of suspect servers are not counted.
 func (c *active) seenEnough() bool {
 	var calls uint64
 	for _, s := range c.servers {
@@ -217,8 +234,8 @@
 	return float64(calls) >= min(enoughCalls, enoughShare*c.trialBound())
 }
 
-// doubtful reports whether the new version, servers that look bad alone aside, looks worse
-// than the traffic may move to.
+// doubtful reports whether the new version, without suspect servers, is too bad for the
+// traffic to move to it.
 func (c *active) doubtful() bool {
 	old := Tally{}
 	var fresh []Tally
@@ -234,23 +251,24 @@
 	return bad
 }
 
-// trialBound returns how many calls the servers on trial may have had by now.
+// trialBound returns the number of calls that the servers on trial may have received so far.
 func (c *active) trialBound() float64 {
 	calls := c.admitted(false) + c.admitted(true)
 	return trialShare*c.opts.MaxShare*float64(calls) + spentShare*float64(c.opts.Slack)
 }
 
-// lead returns how long before the end of its time the traffic moves. Short orders have
-// less time for each step.
+// lead returns how long before the end of the order's duration the traffic starts to move. It
+// is shorter for short orders.
 func (c *active) lead() time.Duration {
 	return min(maxLead, time.Duration(leadShare*float64(c.order.Duration)))
 }
 
-// scaled shortens a step as much as the lead is shortened.
+// scaled shortens the time of a step in proportion to the lead.
 func (c *active) scaled(step time.Duration) time.Duration {
 	return time.Duration(float64(step) * float64(c.lead()) / float64(maxLead))
 }
 
+// margin returns how long before the end of the order's duration the rollout ends at the latest.
 func (c *active) margin() time.Duration {
 	return min(margin, time.Duration(marginPart*float64(c.order.Duration)))
 }
@@ -259,6 +277,7 @@
 	return !slices.ContainsFunc(servers, func(s *server) bool { return s.Mode != m })
 }
 
+// inFlight returns the number of calls that the servers have not ended.
 func inFlight(servers []*server) int {
 	n := 0
 	for _, s := range servers {
@@ -267,7 +286,7 @@
 	return n
 }
 
-// task returns what has to be done outside of the decider, if anything.
+// task returns the operation that the caller of the decider has to perform, if any.
 func (c *active) task() (Task, bool) {
 	switch {
 	case c.outcome == Undecided && !c.loaded:
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -10,8 +10,8 @@
 	"github.com/crocuscross/crocuscross/rollout/rolloutpb"
 )
 
-// ErrBadReport means that a report is none that a gate sends.
-var ErrBadReport = errors.New("report on a rollout is not valid")
+// ErrBadReport is returned for a report that no gate can have sent.
+var ErrBadReport = errors.New("invalid rollout report")
 
 var outcomes = map[Outcome]rolloutpb.Outcome{
 	Undecided:  rolloutpb.Outcome_OUTCOME_UNSPECIFIED,
@@ -25,7 +25,7 @@
 	Limited: rolloutpb.Mode_MODE_LIMITED,
 }
 
-// keyOf returns the key of a value, the zero key where there is none.
+// keyOf returns the key of a value in m, the zero key if m does not contain the value.
 func keyOf[K, V comparable](m map[K]V, value V) K {
 	for k, v := range m {
 		if v == value {
@@ -36,7 +36,7 @@
 	return none
 }
 
-// EncodeReport returns the message of a report on an order.
+// EncodeReport converts a report on an order to its message.
 func EncodeReport(o Order, r Report) *rolloutpb.Report {
 	m := &rolloutpb.Report{
 		Host: r.Server.Host, Boot: r.Server.Boot, Life: r.Server.Instance, Service: o.Service, Order: o.Offset,
@@ -51,7 +51,7 @@
 	return m
 }
 
-// trimmed returns the latencies without the empty buckets at the end.
+// trimmed returns the latency buckets without the trailing empty ones.
 func (c *Counts) trimmed() []uint32 {
 	n := latencyBuckets
 	for n > 0 && c.Latencies[n-1] == 0 {
@@ -60,7 +60,8 @@
 	return append([]uint32(nil), c.Latencies[:n]...)
 }
 
-// DecodeReport returns the report of a message. The error is ErrBadReport.
+// DecodeReport converts a message to a report. The error is ErrBadReport if the message has too
+// many routes or latency buckets.
 func DecodeReport(m *rolloutpb.Report) (Report, error) {
 	r := Report{
 		Server:     ServerID{Host: m.GetHost(), Boot: m.GetBoot(), Instance: m.GetLife()},
@@ -69,11 +70,11 @@
 		Admitted: m.GetAdmitted(), InFlight: int(m.GetInFlight()), Tally: make(Tally, len(m.GetRoutes())),
 	}
 	if len(m.GetRoutes()) > maxRoutes+1 {
-		return r, errors.Wrapf(ErrBadReport, "%d routes", len(m.GetRoutes()))
+		return r, errors.Wrapf(ErrBadReport, "%d routes, more than allowed", len(m.GetRoutes()))
 	}
 	for _, route := range m.GetRoutes() {
 		if len(route.GetLatencies()) > latencyBuckets {
-			return r, errors.Wrapf(ErrBadReport, "%d buckets", len(route.GetLatencies()))
+			return r, errors.Wrapf(ErrBadReport, "%d latency buckets, more than allowed", len(route.GetLatencies()))
 		}
 		c := &Counts{Answered: uint64(route.GetAnswered()), Failed: uint64(route.GetFailed())}
 		copy(c.Latencies[:], route.GetLatencies())
@@ -82,7 +83,7 @@
 	return r, nil
 }
 
-// EncodePermit returns the message of a permit.
+// EncodePermit converts a permit to its message.
 func EncodePermit(p Permit) *rolloutpb.Permit {
 	return &rolloutpb.Permit{
 		Mode: modes[p.Mode], AdmitUpTo: p.AdmitUpTo, LeaseMs: uint32(p.Lease.Milliseconds()),
@@ -90,7 +91,8 @@
 	}
 }
 
-// DecodePermit returns the permit of a message. A mode that is not known opens nothing.
+// DecodePermit converts a message to a permit. A permit with an unknown mode has no lease and
+// therefore expires at once, so that it opens no gate.
 func DecodePermit(m *rolloutpb.Permit) Permit {
 	p := Permit{
 		Mode: keyOf(modes, m.GetMode()), AdmitUpTo: m.GetAdmitUpTo(), Lease: time.Duration(m.GetLeaseMs()) * time.Millisecond,
@@ -102,14 +104,15 @@
 	return p
 }
 
-// RecordedOutcome is the outcome of the rollout of an order.
+// RecordedOutcome is an order and the outcome of its rollout, as stored in the directory.
 type RecordedOutcome struct {
 	Order   Order
 	Outcome Outcome
 }
 
-// Matches reports whether it is the outcome of an order: of that very one, or of one that a
-// restore of the log from an older copy has given another offset since.
+// Matches reports whether e is the outcome of order o. An order that was appended again after the
+// log was restored from an older copy has another offset, in a later epoch; it matches if all
+// other fields are equal.
 func (e RecordedOutcome) Matches(o Order) bool {
 	if e.Order.Offset == o.Offset {
 		return e.Order.Service == o.Service
@@ -119,7 +122,7 @@
 	return renamed == o && eventlog.Epoch(e.Order.Offset) < eventlog.Epoch(o.Offset)
 }
 
-// EncodeEntry returns the directory's entry of an outcome.
+// EncodeEntry serializes an outcome as an entry of the platform's directory.
 func EncodeEntry(e RecordedOutcome) ([]byte, error) {
 	return proto.Marshal(&rolloutpb.Entry{Ended: &rolloutpb.Ended{
 		Service: e.Order.Service, Order: e.Order.Offset, Outcome: outcomes[e.Outcome],
@@ -127,7 +130,8 @@
 	}})
 }
 
-// DecodeEntry returns the outcome of an entry of the directory, which also holds others.
+// DecodeEntry parses an entry of the platform's directory. ok is false for entries of other
+// kinds, which the directory holds as well.
 func DecodeEntry(value []byte) (RecordedOutcome, bool) {
 	var m rolloutpb.Entry
 	if proto.Unmarshal(value, &m) != nil || m.GetEnded() == nil {
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -6,67 +6,76 @@
 	"time"
 )
 
-// Options holds the bounds that a Decider keeps.
+// Options configures a Decider.
 type Options struct {
-	// MaxShare of the calls of a service, and Slack calls beside it, are the most that a
-	// bad version may get until the end of its order's time.
+	// MaxShare and Slack bound the calls that reach a bad version until the end of its order's
+	// duration: the share MaxShare of the service's calls, plus Slack calls.
 	MaxShare float64
 	Slack    int
 	Judge    Judge
 	Logger   *slog.Logger
 }
 
-// DefaultOptions let a tenth of the calls reach a version that is not known to be good.
+// DefaultOptions returns options by which a bad version receives at most a tenth of the calls
+// plus 50.
 func DefaultOptions() Options {
 	return Options{MaxShare: 0.1, Slack: 50, Judge: DefaultJudge(), Logger: slog.New(slog.DiscardHandler)}
 }
 
 const (
-	// lease is how long a permit holds: some reports may be lost, and a gate that is cut
-	// off closes well within the time in which a bad version has to be taken back.
+	// permitLease is how long a permit is valid: long enough that a few reports may be lost,
+	// and short enough that an isolated gate of the new version closes well within the time
+	// in which a bad version has to be rolled back.
 	lease = time.Second
-	// silence is how long a gate counts as there after its last report.
+	// gateTimeout is how long a server counts as alive after the last report of its gate.
 	silence = 1500 * time.Millisecond
-	// forgetAfter is how long a rollout is remembered whose gates are all silent.
+	// rolloutRetention is how long a rollout is kept after the last report of any of its gates.
 	forgetAfter = 10 * time.Second
-	// evaluateGap is the least time between two looks at the evidence.
+	// evaluateInterval is the minimum time between two evaluations of a rollout.
 	evaluateGap = 200 * time.Millisecond
-	// window is how far back the evidence of late goes, at least: a version that turns bad
-	// after a while is not excused by its good answers before.
+	// recentWindow is the minimum period of the recent results, which are evaluated beside the
+	// results since the order: otherwise the earlier good answers of a version that turns bad
+	// after a while would hide its failures.
 	window = 1500 * time.Millisecond
 
-	// trialShare is the part of MaxShare that is granted, spentShare the part of Slack: the
-	// rest covers calls under way, and the move at the end.
+	// trialShare and trialSlackShare are the fractions of MaxShare and Slack that are granted
+	// to the trial. The rest covers calls in flight and the move at the end.
 	trialShare = 0.9
 	spentShare = 0.6
-	// turns is how many servers are on trial one after the other in an order's time, where the
-	// bound leaves calls for no two at once: what one host does wrong must not have a
-	// version taken back, and a server needs a while under load to show anything.
+	// trialTurns is the number of servers that are on trial one after the other during an
+	// order, if the bound is too low for two at a time. More than one is needed since faults
+	// of a single host must not cause a rollback, and few since each server needs some time
+	// under load for its faults to show.
 	turns = 4
-	// enoughCalls are enough on trial to open the gates of a version; where a service has few
-	// calls, enoughShare of those that the bound would have let through.
+	// minTrialCalls is the number of trial calls that are needed before the gates of the new
+	// version open. For services with few calls, the fraction minTrialShare of the calls that
+	// the bound allows is enough.
 	enoughCalls = 60
 	enoughShare = 0.25
-	// firstGrant is the least number of calls that a server on trial wants.
+	// minGrant is the number of calls that a permit for a server on trial grants at least, as
+	// long as the bound allows them.
 	firstGrant = 8
 )
 
-// Decider decides about the rollouts that gates report to it. Any daemon can be asked, and
-// another one can go on at any time: all evidence comes with the next reports, and what has
-// been decided is in the platform's directory and known to the gates.
+// Decider decides about the rollouts that gates report to it. Any daemon can do this, and
+// another daemon can take over at any time: the next reports contain all results since the
+// order, and outcomes are stored in the platform's directory and known to the gates. It is
+// safe for concurrent use.
 type Decider struct {
 	opts Options
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// rollouts holds the rollout of the latest order by service.
 	rollouts map[string]*active
 }
 
-// NewDecider returns a decider that knows of no rollout.
+// NewDecider returns a decider without rollouts.
 func NewDecider(opts Options) *Decider {
 	return &Decider{opts: opts, rollouts: make(map[string]*active)}
 }
 
-// Report takes in what a gate has seen and returns what it may do.
+// Report processes the report of a gate on an order and returns the gate's next permit. A newer
+// order replaces the rollout of an older one.
 func (d *Decider) Report(o Order, r Report, now time.Time) Permit {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,11 +93,12 @@
 	return c.permit(r, now)
 }
 
-// SupersededPermit answers the report of a gate that has not heard of the order that took the
-// place of its own.
+// SupersededPermit returns the permit for a gate whose order was replaced by a newer one that its
+// daemon has not received yet.
 func SupersededPermit(r Report) Permit { return Permit{Mode: safeMode(r), Lease: lease} }
 
-// safeMode leaves calls where they were before the order.
+// safeMode returns the mode in which calls go to the servers that received them before the
+// order.
 func safeMode(r Report) Mode {
 	if r.NewVersion {
 		return Closed
@@ -96,16 +106,17 @@
 	return Open
 }
 
-// Task is something that has to be done for a rollout outside of the decider.
+// Task is an input or output operation that the caller has to perform for a rollout.
 type Task struct {
 	Order Order
-	// Load asks for the outcome that is recorded for the order. Otherwise Outcome is to be
-	// recorded and told to the operator.
+	// Load asks the caller to look up the recorded outcome of the order and pass it to Loaded.
+	// Otherwise the caller records Outcome, reports it to the operator and calls Recorded.
 	Load    bool
 	Outcome Outcome
 }
 
-// Tasks returns what is to be done now.
+// Tasks evaluates all rollouts and returns the operations that are due. A failed operation is
+// returned again by the next call.
 func (d *Decider) Tasks(now time.Time) []Task {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,14 +134,15 @@
 	return tasks
 }
 
-// Idle reports whether there is no rollout to decide about.
+// Idle reports whether the decider has no rollouts.
 func (d *Decider) Idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.rollouts) == 0
 }
 
-// Loaded tells what a Load task has found. Until then no call reaches the new version.
+// Loaded passes the result of a Load task, Undecided if no outcome is recorded. Until then no
+// calls are granted to the new version.
 func (d *Decider) Loaded(o Order, outcome Outcome) {
 	d.with(o, func(c *active) {
 		c.loaded = true
@@ -140,8 +152,8 @@
 	})
 }
 
-// Recorded tells that an outcome has been recorded and told, Undecided that the operator
-// has been told of a rollout in progress.
+// Recorded confirms that an outcome was recorded and reported to the operator. Undecided
+// confirms that the operator was informed of a rollout in progress.
 func (d *Decider) Recorded(o Order, outcome Outcome) {
 	d.with(o, func(c *active) {
 		c.told = true
@@ -149,6 +161,7 @@
 	})
 }
 
+// with calls f with the rollout of an order, if that is the latest order of its service.
 func (d *Decider) with(o Order, f func(*active)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -157,24 +170,27 @@
 	}
 }
 
-// Status is how a rollout stands at the daemon that decides about it.
+// Status is the state of a rollout at the daemon that decides about it.
 type Status struct {
 	Service   string `json:"service"`
 	ToVersion string `json:"to_version"`
 	Outcome   string `json:"outcome"`
-	// AgeS is the time since the order, DurationS the time that it has, in seconds.
+	// AgeS is the time since the order and DurationS its duration, both in seconds.
 	AgeS      float64 `json:"age_s"`
 	DurationS float64 `json:"duration_s"`
-	// Calls to the service and those of them to the new version since the order.
-	Calls        uint64 `json:"calls"`
-	NewCalls     uint64 `json:"new_calls"`
-	Servers      int    `json:"servers"`
-	NewServers   int    `json:"new_servers"`
-	Reason       string `json:"reason,omitempty"`
-	TrafficMoved bool   `json:"traffic_moved"`
+	// Calls counts the calls to the service since the order, NewCalls those of them that went
+	// to the new version.
+	Calls    uint64 `json:"calls"`
+	NewCalls uint64 `json:"new_calls"`
+	// Servers and NewServers count the live servers of the old and the new version.
+	Servers    int    `json:"servers"`
+	NewServers int    `json:"new_servers"`
+	Reason     string `json:"reason,omitempty"`
+	// TrafficMoved is true once the gates of the old version have been closed.
+	TrafficMoved bool `json:"traffic_moved"`
 }
 
-// Status returns how the rollouts stand that this daemon decides about.
+// Status returns the states of all rollouts that this daemon decides about.
 func (d *Decider) Status(now time.Time) []Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -7,24 +7,25 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// errWithheld is made once: a gate that is closed refuses many calls.
-var errWithheld = errkind.New(errkind.NoBackend, "no calls go to this version of the backend server for now")
+// errWithheld is created only once, since a closed gate rejects many calls.
+var errWithheld = errkind.New(errkind.NoBackend, "the rollout withholds calls from this version of the backend server")
 
-// Gate lets calls through to the backend server beside a daemon as a rollout permits, and
-// counts what becomes of them. Without a rollout it costs a call one atomic load. It is safe
+// Gate admits calls to the backend server beside a daemon as far as a rollout permits, and
+// counts their results. Without a rollout it adds a single atomic load to a call. It is safe
 // for concurrent use.
 type Gate struct {
 	tracker atomic.Pointer[Tracker]
 	now     func() time.Time
 }
 
-// NewGate returns a gate that lets all calls through.
+// NewGate returns a gate that admits all calls. now returns the current time.
 func NewGate(now func() time.Time) *Gate { return &Gate{now: now} }
 
-// SetTracker puts a tracker in the place of the one before; nil lets all calls through.
+// SetTracker replaces the tracker of the gate. With nil the gate admits all calls.
 func (g *Gate) SetTracker(w *Tracker) { g.tracker.Store(w) }
 
-// Check returns the error with which Begin would refuse a call that came now.
+// Check returns an error if the gate is closed, so that Begin would reject a call. It counts
+// nothing and does not check the limit of mode Limited.
 func (g *Gate) Check() error {
 	w := g.tracker.Load()
 	if w == nil || w.modeAt(g.now()) != Closed {
@@ -33,8 +34,8 @@
 	return errWithheld
 }
 
-// Begin lets a call through. The call that it returns, which is nil without a rollout, has
-// to be ended.
+// Begin admits a call or returns an error. The caller must call End on the returned Call, which
+// is nil without a rollout.
 func (g *Gate) Begin() (*Call, error) {
 	w := g.tracker.Load()
 	if w == nil {
@@ -47,11 +48,11 @@
 	return &Call{w}, nil
 }
 
-// Call is a call that a gate let through.
+// Call is a call that a gate admitted. The methods of a nil Call do nothing.
 type Call struct{ w *Tracker }
 
-// End tells how a call ended and how long the server took. Warm is whether the server's
-// time counts: one that has just started is slow for that.
+// End records the result of a call and the latency of the server. warm is false if the server
+// has started recently and is slow for that reason; its latency is not counted then.
 func (c *Call) End(route string, result Result, latency time.Duration, warm bool) {
 	if c == nil {
 		return
@@ -60,31 +61,34 @@
 	c.w.recorder.ended(route, result, latency, warm)
 }
 
-// Tracker holds the permit of one life of a backend server in one rollout, and what was seen
-// of it.
+// Tracker holds the permit and the call results of one run of a backend server in one rollout.
+// It is safe for concurrent use.
 type Tracker struct {
 	Order Order
-	// Server is this server, NewVersion whether it has the version that traffic is to move to.
+	// Server identifies the server. NewVersion is true if it has the version that traffic is
+	// to move to.
 	Server     ServerID
 	NewVersion bool
-	// OrderKnownAt is when the daemon learned of the order.
+	// OrderKnownAt is when the daemon received the order.
 	OrderKnownAt time.Time
 
 	recorder recorder
 	admitted atomic.Int64
 	inFlight atomic.Int64
 	permit   atomic.Pointer[held]
-	outcome  atomic.Uint32
+	// outcome holds an Outcome.
+	outcome atomic.Uint32
 }
 
-// held is a permit and the time at which it ends.
+// held is a permit with its expiry time.
 type held struct {
 	mode  Mode
 	limit int64
 	until time.Time
 }
 
-// SetPermit holds from the moment at which the report was sent that it answers.
+// SetPermit stores the answer to a report. Its lease starts at sent, the time at which the report
+// was sent. The first outcome other than Undecided is final.
 func (w *Tracker) SetPermit(p Permit, sent time.Time) {
 	if p.Outcome != Undecided {
 		w.outcome.CompareAndSwap(uint32(Undecided), uint32(p.Outcome))
@@ -92,14 +96,14 @@
 	w.permit.Store(&held{p.Mode, int64(p.AdmitUpTo), sent.Add(p.Lease)})
 }
 
-// Outcome returns how the rollout has ended, as far as is known.
+// Outcome returns the outcome of the rollout as known to this daemon.
 func (w *Tracker) Outcome() Outcome { return Outcome(w.outcome.Load()) }
 
-// Mode returns what the gate does with calls.
+// Mode returns the mode of the gate at a time.
 func (w *Tracker) Mode(now time.Time) Mode { return w.modeAt(now) }
 
-// modeAt returns the mode by the outcome or the permit. Where a permit has lapsed, calls go
-// where they went before the order.
+// modeAt returns the mode that follows from the outcome or, without one, from the permit. If
+// the permit has expired, calls go to the servers that received them before the order.
 func (w *Tracker) modeAt(now time.Time) Mode {
 	switch w.Outcome() {
 	case Succeeded:
@@ -117,7 +121,7 @@
 	return h.mode
 }
 
-// take counts a call that may go on to the server.
+// take reports whether a call may be forwarded to the server, and counts it if so.
 func (w *Tracker) take(now time.Time) bool {
 	switch w.modeAt(now) {
 	case Closed:
@@ -133,7 +137,7 @@
 	return false
 }
 
-// Report returns what has been seen so far.
+// Report returns the report on the calls so far.
 func (w *Tracker) Report(now time.Time) Report {
 	return Report{
 		Server: w.Server, NewVersion: w.NewVersion, OrderAge: now.Sub(w.OrderKnownAt), Outcome: w.Outcome(), Mode: w.modeAt(now),
--- a/rollout/helper_test.go
+++ b/rollout/helper_test.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// step of the simulated time, and how long senders take to learn of a gate's mode.
+	// simStep is the step of the simulated time, newsLag the time until senders receive a
+	// change of a gate's mode.
 	simStep = 25 * time.Millisecond
 	newsLag = 300 * time.Millisecond
-	// startAfter is how long after the order the new servers are there.
+	// startAfter is the time from the order until the new servers have started.
 	startAfter = 500 * time.Millisecond
 )
 
-// behavior is what the servers of a version do with a call.
+// behavior describes the faults of the servers of a version.
 type behavior struct {
-	// failing and slow are the shares of calls that fail, or take slowBy times as long.
+	// failing is the share of calls that fail, slow the share that take slowBy times as long.
 	failing, slow, slowBy float64
-	// from is when that begins, counted from the order.
+	// from is the time from the order until the faults begin.
 	from time.Duration
-	// route is the only one that it strikes, empty for all.
+	// route is the only route with faults, empty for all routes.
 	route string
-	// above is how many calls a second a server gets at least for it to strike.
+	// above is the load in calls per second from which a server has faults.
 	above float64
 }
 
-// strikes reports whether the behavior strikes a call.
+// strikes reports whether the faults apply to a call.
 func (b behavior) strikes(age time.Duration, route string, rate float64) bool {
 	return age >= b.from && (b.route == "" || b.route == route) && rate >= b.above
 }
@@ -36,7 +37,8 @@
 // simRoute is a kind of call.
 type simRoute struct {
 	name string
-	// share of all calls, the time that one takes, and the share that fails whatever the version.
+	// share is the share of all calls, time the usual latency, and failing the share of calls
+	// that fail regardless of the version.
 	share   float64
 	time    time.Duration
 	failing float64
@@ -46,18 +48,20 @@
 type simServer struct {
 	tracker *Tracker
 	gate    *Gate
-	// lone is what this one does beside its version.
+	// lone describes faults of this server in addition to those of its version.
 	lone behavior
-	// calls of the last second, for its load.
+	// recent holds the times of the calls in the last second, to compute the load.
 	recent []time.Time
-	// open is what senders believe, and since when the gate has been otherwise.
+	// open is the state of the gate as known to senders, changed the time since which the
+	// actual state differs from it.
 	open    bool
 	changed time.Time
+	// nextRep is the time from the order until the next report.
 	nextRep time.Duration
 }
 
-// sim plays a rollout: servers of two versions, senders that choose among the gates that
-// they take for open, the real gates, and the real decider behind reports.
+// sim simulates a rollout with servers of two versions, senders that choose among the gates
+// which are open as far as they know, and the actual Gate and Decider, connected by reports.
 type sim struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -70,21 +74,26 @@
 	fresh   []*simServer
 	routes  []simRoute
 	rate    func(age time.Duration) float64
-	// version and oldVersion are what the servers of each do.
+	// version and oldVersion are the behaviors of the new and the old servers.
 	version, oldVersion behavior
-	// reports reports whether the decider can be reached at an age.
+	// reports tells whether the decider can be reached at a time after the order.
 	reports func(age time.Duration) bool
-	// store reports whether outcomes can be recorded at an age.
+	// store tells whether outcomes can be recorded at a time after the order.
 	store func(age time.Duration) bool
 
 	recorded Outcome
-	told     map[Outcome]time.Duration
-	debt     float64
-	// calls to the service and to the new version until the order's end, its bad answers,
-	// when it had the 50th of them, and the last call to it.
-	calls, exposed, bad    int
+	// told holds the time at which the operator received each outcome.
+	told map[Outcome]time.Duration
+	// debt is the number of calls that are due, with a fraction.
+	debt float64
+	// calls and exposed count the calls to the service and to the new version until the end
+	// of the order's duration, bad the bad answers of the new version.
+	calls, exposed, bad int
+	// fiftieth is the time of the 50th bad answer, last that of the last call to the new
+	// version, and served that of the last call to any server.
 	fiftieth, last, served time.Duration
-	refused                int
+	// refused counts the calls that no gate admitted.
+	refused int
 }
 
 func newSim(t *testing.T, seed uint64, old, fresh int, rate float64) *sim {
@@ -122,7 +131,7 @@
 
 func (s *sim) age() time.Duration { return s.now.Sub(s.begun) }
 
-// run plays the order's time and some seconds more.
+// run simulates the duration of the order and some seconds after it.
 func (s *sim) run() {
 	for s.age() < s.order.Duration+6*time.Second {
 		s.step()
@@ -142,7 +151,7 @@
 	}
 }
 
-// report has the gates report that are due.
+// report sends the reports that are due.
 func (s *sim) report() {
 	for _, v := range s.all() {
 		if s.age() < v.nextRep || v.tracker.NewVersion && s.age() < startAfter {
@@ -158,7 +167,7 @@
 
 func (s *sim) all() []*simServer { return append(append([]*simServer(nil), s.old...), s.fresh...) }
 
-// work does the decider's tasks.
+// work performs the decider's tasks.
 func (s *sim) work() {
 	for _, task := range s.decider.Tasks(s.now) {
 		switch {
@@ -177,7 +186,7 @@
 	}
 }
 
-// news brings senders what gates have announced.
+// news passes changes of the gates' modes to the senders after newsLag.
 func (s *sim) news() {
 	for _, v := range s.all() {
 		is := v.tracker.Mode(s.now) != Closed && (!v.tracker.NewVersion || s.age() >= startAfter)
@@ -192,11 +201,11 @@
 	}
 }
 
-// call sends one call to a few gates in turn until one lets it through.
+// call sends one call to up to eight gates in turn until one admits it.
 func (s *sim) call() {
 	var open []*simServer
 	for _, v := range s.all() {
-		// Old servers are stopped once the operator has been told.
+		// Old servers are stopped once the operator has received the success.
 		if at, ok := s.told[Succeeded]; v.open && !(ok && !v.tracker.NewVersion && s.age() >= at) {
 			open = append(open, v)
 		}
@@ -216,7 +225,7 @@
 	s.refused++
 }
 
-// serve runs a call at a server.
+// serve processes a call at a server.
 func (s *sim) serve(v *simServer, c *Call) {
 	route := s.draw()
 	for len(v.recent) > 0 && s.now.Sub(v.recent[0]) > time.Second {
@@ -248,6 +257,7 @@
 	s.count(v, bad)
 }
 
+// count updates the statistics after a call.
 func (s *sim) count(v *simServer, bad bool) {
 	s.served = s.age()
 	if s.age() <= s.order.Duration {
@@ -268,6 +278,7 @@
 	}
 }
 
+// draw returns a random route according to the shares.
 func (s *sim) draw() simRoute {
 	x := s.rng.Float64()
 	for _, r := range s.routes {
--- a/rollout/judge.go
+++ b/rollout/judge.go
@@ -8,63 +8,68 @@
 	"slices"
 )
 
-// Judge tells a bad version from a good one by comparison with the other version, on the
-// same routes over the same time. What strikes the whole service, or a caller's own bad
-// requests, strikes both and speaks against neither.
+// Judge compares the call results of a new version with those of the old one, on the same
+// routes over the same time. Faults of the whole service and invalid requests of callers
+// affect both versions, and so are not attributed to the new one.
 //
-// A good version that is taken back is tried again by its operators; a bad one that is let
-// through fails callers. So it takes little to take one back.
+// The thresholds favor rollbacks: operators can repeat the rollout of a good version that was
+// rolled back, while a bad version that passes fails the calls of callers.
 type Judge struct {
-	// MaxChance is the greatest probability, of a version that is no worse than the other, to
-	// look as bad as this one does on some route.
+	// MaxChance is the p-value at or below which a version is bad: the probability that a
+	// version no worse than the old one has at least as many bad answers on some route.
 	MaxChance float64
-	// MaxChanceAgain is MaxChance for a second server once another one looks bad: that the
-	// version is bad is then far more likely than before.
+	// MaxChanceAgain replaces MaxChance for a second server after another server was found
+	// bad, since it is then far more likely that the version is bad.
 	MaxChanceAgain float64
-	// MaxChanceToMove is MaxChance for the traffic to move to the version: too little may have
-	// been seen of it to take it back, and too much to send all calls there.
+	// MaxChanceToMove replaces MaxChance when deciding whether traffic may move to the
+	// version: the results may be too few for a rollback, and too bad to send all calls there.
 	MaxChanceToMove float64
-	// MinAgreement is the least probability, were all servers half as bad as the worst, of the
-	// others to look as good as they do: one slow or failing host must not have a version taken back.
+	// MinAgreement prevents a rollback because of one slow or failing host. It is the minimum
+	// probability that the other servers have as few bad answers as counted, assuming that
+	// their share of bad answers is half that of the worst server.
 	MinAgreement float64
-	// SlowRatio is how many times longer than the other version's median an answer takes
-	// that counts as slow.
+	// SlowRatio is the multiple of the old version's median latency from which an answer
+	// counts as slow.
 	SlowRatio float64
-	// Baseline is the least share of bad answers that is taken for usual.
+	// Baseline is the minimum share of bad answers that is expected of any version.
 	Baseline float64
-	// MinTimed is the least number of the other version's answers that tell what is slow.
+	// MinTimed is the number of latencies of the old version that are needed to evaluate
+	// latencies on a route.
 	MinTimed uint64
-	// MaxBad is how many bad answers beyond the usual ones are too many in any case. Fifty are
-	// the most that a version may give for long.
+	// MaxBad is the number of bad answers beyond the expected ones above which a version is bad
+	// regardless of probabilities. It is below 50 since a bad version must not receive calls
+	// for long after its 50th bad answer.
 	MaxBad float64
 }
 
-// DefaultJudge finds a version that fails one call in five after some twenty calls.
+// DefaultJudge returns an analyzer that detects a version failing one call in five after about
+// 20 calls.
 func DefaultJudge() Judge {
 	return Judge{MaxChance: 2e-4, MaxChanceAgain: 5e-3, MaxChanceToMove: 5e-2, MinAgreement: 0.1, SlowRatio: 2.5, Baseline: 0.015, MinTimed: 40, MaxBad: 25}
 }
 
-// unlikeness is by what part two servers of one version may differ in their share of bad
-// answers: hosts differ in speed, and callers in what they ask for.
+// serverVariation is the relative difference in the share of bad answers that is normal between
+// two servers of one version: hosts differ in speed, and callers in their requests.
 const unlikeness = 0.1
 
-// minBad is the fewest bad answers that count against a version.
+// minBad is the minimum number of bad answers for which a version can be found bad by
+// probability.
 const minBad = 3
 
-// allRoutes is the name of the sum of all routes in findings.
+// allRoutes is the route of a finding on the sum of all routes.
 const allRoutes = "all routes"
 
-// Finding is what speaks against a version.
+// Finding describes the route on which a version is worse than the old one.
 type Finding struct {
 	Route string
-	// Slow is whether answers came late, else they failed.
+	// Slow is true if the bad answers were slow, false if they failed.
 	Slow bool
-	// Bad of Of answers were bad, where Expected would be usual.
+	// Bad is the number of bad answers among Of answers. Expected bad answers would be normal.
 	Bad, Of  uint64
 	Expected float64
 }
 
-// String tells the finding to people.
+// String formats the finding for logs and for the reason of an outcome.
 func (f Finding) String() string {
 	what := "failed"
 	if f.Slow {
@@ -73,20 +78,20 @@
 	return fmt.Sprintf("%s: %d of %d %s, %.1f expected", f.Route, f.Bad, f.Of, what, f.Expected)
 }
 
-// again returns the judge of a further server once one looks bad.
+// again returns an analyzer for a second server after another one was found bad.
 func (j Judge) again() Judge {
 	j.MaxChance = j.MaxChanceAgain
 	return j
 }
 
-// toMove returns the judge of a version before the traffic moves to it.
+// toMove returns an analyzer that decides whether traffic may move to a version.
 func (j Judge) toMove() Judge {
 	j.MaxChance = j.MaxChanceToMove
 	return j
 }
 
-// FindsWorse reports whether the servers of the new version are bad beside the old one's
-// tally, and why.
+// FindsWorse compares the counts of each server of the new version with the pooled counts of
+// the old version. It returns a finding and true if the new version is worse.
 func (j Judge) FindsWorse(old Tally, servers []Tally) (Finding, bool) {
 	pooled := Tally{}
 	for _, s := range servers {
@@ -100,10 +105,12 @@
 	return Finding{}, false
 }
 
-// sample is bad answers among all, of one version on one route.
+// sample is the number of bad answers of one version on one route, and of all its answers.
 type sample struct{ bad, of uint64 }
 
-// looksAt judges by failures or by latencies.
+// looksAt compares slow answers if slow is true, failed ones otherwise, on each route and on the
+// sum of all routes. The maximum p-value is divided by the number of these comparisons
+// (Bonferroni correction).
 func (j Judge) looksAt(slow bool, old, pooled Tally, servers []Tally) (Finding, bool) {
 	routes := slices.Sorted(maps.Keys(pooled))
 	maxChance := j.MaxChance / float64(len(routes)+1)
@@ -134,8 +141,8 @@
 	return total, j.convinces(total, sums, maxChance)
 }
 
-// counter returns how to count bad answers on a route, nil where the old version tells too
-// little to know what is slow there.
+// counter returns a function that counts the slow or the failed answers on a route. It returns
+// nil if the old version has too few latencies on the route to tell which answers are slow.
 func (j Judge) counter(slow bool, old *Counts) func(*Counts) sample {
 	if !slow {
 		return func(c *Counts) sample {
@@ -158,20 +165,22 @@
 	}
 }
 
-// usual returns the share of bad answers that the old version may well have too: more than
-// was seen of it, the less was seen.
+// usual returns the share of bad answers to expect of a good version, given the sample of the
+// old version. The fewer answers the sample has, the further the result is above its share of
+// bad answers.
 func (j Judge) usual(old sample) float64 {
 	share := float64(old.bad+1) / float64(old.of+2)
 	deviation := math.Sqrt(share * (1 - share) / float64(old.of+1))
 	return min(max(j.Baseline, share*(1+unlikeness)+deviation+j.Baseline/2), 1)
 }
 
-// serverSample is the answers of one server with the share of bad ones that is usual.
+// serverSample is the sample of one server and the share of bad answers that is expected.
 type serverSample struct {
 	sample
 	usual float64
 }
 
+// merge adds the sample of another route and averages the expected shares by answers.
 func (l *serverSample) merge(o serverSample) {
 	expected := l.expected() + o.expected()
 	l.bad, l.of = l.bad+o.bad, l.of+o.of
@@ -180,12 +189,14 @@
 	}
 }
 
+// expected returns the expected number of bad answers.
 func (l serverSample) expected() float64 { return l.usual * float64(l.of) }
 
+// excess returns the number of bad answers beyond the expected ones.
 func (l serverSample) excess() float64 { return float64(l.bad) - l.expected() }
 
-// convinces reports whether a finding is hardly chance, and the servers do not contradict
-// each other.
+// convinces reports whether a finding is statistically significant and not due to the worst
+// server alone.
 func (j Judge) convinces(f Finding, servers []serverSample, maxChance float64) bool {
 	if f.Bad < minBad || f.Of == 0 || binomialTail(f.Bad, f.Of, f.Expected/float64(f.Of)) > maxChance {
 		return false
@@ -193,12 +204,12 @@
 	worst := slices.MaxFunc(servers, func(a, b serverSample) int { return cmp.Compare(a.excess(), b.excess()) })
 	bad, of := f.Bad-worst.bad, f.Of-worst.of
 	half := float64(worst.bad) / float64(worst.of) / 2
-	// The lower tail: the others would have so few bad answers, or fewer.
+	// The lower tail: the probability of this many bad answers or fewer at the other servers.
 	return 1-binomialTail(bad+1, of, half) > j.MinAgreement
 }
 
-// binomialTail returns the probability of bad answers or more among so many, each with the same
-// probability (the upper tail of the binomial distribution).
+// binomialTail returns the upper tail of the binomial distribution: the probability of at least
+// bad bad answers among of answers, each of which is bad with the given probability.
 func binomialTail(bad, of uint64, probability float64) float64 {
 	switch {
 	case bad > of:
@@ -219,6 +230,7 @@
 		sum += term
 		term *= odds * (n - k) / (k + 1)
 	}
-	// Where bad answers are fewer than usual the terms rise first; they sum to the bulk.
+	// If bad is below the mean, the terms increase at first, and the sum includes the bulk of
+	// the distribution.
 	return min(sum, 1)
 }
--- a/rollout/permit.go
+++ b/rollout/permit.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// permit returns what a gate may do from now on.
+// permit returns the permit that answers a report which has been processed by take.
 func (c *active) permit(r Report, now time.Time) Permit {
 	p := Permit{Mode: safeMode(r), Lease: lease}
 	s := c.servers[r.Server]
@@ -34,7 +34,7 @@
 	return p
 }
 
-// movedMode opens the new version's gate and closes the old one's.
+// movedMode returns the mode after the move: Open for the new version, Closed for the old one.
 func movedMode(r Report) Mode {
 	if r.NewVersion {
 		return Open
@@ -42,11 +42,11 @@
 	return Closed
 }
 
-// recorded reports whether the outcome is where it outlives all daemons.
+// recorded reports whether the current outcome is recorded in the directory, where it outlives
+// all daemons, and reported to the operator.
 func (c *active) recorded() bool { return c.told && c.toldOutcome == c.outcome }
 
-// candidates returns the servers of the new version that may be put on trial, in an order
-// that stays.
+// candidates returns the live servers of the new version without suspects, in a stable order.
 func (c *active) candidates(now time.Time) []*server {
 	list := slices.DeleteFunc(c.alive(true, now), func(s *server) bool { return s.suspect })
 	slices.SortFunc(list, func(a, b *server) int {
@@ -56,9 +56,10 @@
 	return list
 }
 
-// onTrial returns the servers of the new version that get calls before the move: as many as
-// the bound leaves as many calls each as they would have after it, so that a version that is
-// bad under load shows it.
+// onTrial returns the servers of the new version that receive calls before the move. Their
+// number is chosen so that the bound on calls gives each about the load that it will have
+// after the move, and a version that fails under load fails in the trial. If the bound is too
+// low for two servers, a single server is on trial at a time.
 func (c *active) onTrial(now time.Time) []*server {
 	fresh, old := c.candidates(now), c.alive(false, now)
 	n := int(trialShare * c.opts.MaxShare * float64(len(old)))
@@ -69,8 +70,9 @@
 	return fresh[i : i+1]
 }
 
-// grant returns how many calls a server on trial may have had by the end of its permit.
-// What is granted to all of them stays below the bound on exposure, used or not.
+// grant returns the limit of Report.Admitted for the next permit of a server on trial: twice
+// the calls that it admitted since the previous permit, and at least minGrant. The grants of
+// all servers together, whether used or not, stay within trialBound.
 func (c *active) grant(s *server) uint64 {
 	spent := float64(s.Admitted)
 	for _, o := range c.servers {
--- a/rollout/role.go
+++ b/rollout/role.go
@@ -3,56 +3,62 @@
 import "time"
 
 const (
-	// unknownPatience is how long a server waits whose version most others do not have while
-	// no order for it is known: the order may be on its way, and without it the server would
-	// take its whole share of the calls at once.
+	// orderWait is how long a server stays closed after its start if most other servers have
+	// another version and no order for its version is known. The order may not have arrived
+	// yet, and without it the server would receive its full share of the calls at once.
 	unknownPatience = 3 * time.Second
-	// inServiceAfter is how long before an order a server took calls that the order is not
-	// about: it is no canary, and to withhold calls from it would leave the service
-	// without servers.
+	// inServiceAge is how long before the order a server of the target version must have been
+	// seen to count as in service already. Such a server is not a canary, and withholding
+	// calls from it would leave the service without servers.
 	inServiceAfter = 10 * time.Second
-	// stopPatience is how long a server that traffic was moved away from stays closed: its
-	// operator stops it without a drain, and what it runs then is lost. One that is still
-	// there after that is not going to be stopped.
+	// stopWait is how long a server of the old version stays closed after the rollout has
+	// succeeded. The operator stops it in this time without draining it, and calls that it
+	// is processing then are lost. A server that still runs afterwards is not going to be
+	// stopped.
 	stopPatience = 10 * time.Second
 )
 
-// PeerCounts counts the other live servers of a service by version.
+// PeerCounts counts the other live servers of a service by version. Servers whose version is unknown
+// are not counted.
 type PeerCounts struct {
-	// Same have the version of the server beside the daemon, Other another one. Target have
-	// the version that traffic is to move to.
+	// Same counts the servers with the version of the server beside the daemon, Other those
+	// with another version, and Target those with the version that traffic is to move to.
 	Same, Other, Target int
 }
 
-// mostAreOther reports whether the server's version is that of a few.
+// mostAreOther reports whether the local server's version is in the minority: at least two other
+// servers, and more than share the local version, have a different one.
 func (p PeerCounts) mostAreOther() bool { return p.Other > 1 && p.Same < p.Other }
 
-// LocalServer is what a daemon knows of the backend server beside it and of its service.
+// LocalServer describes the backend server beside a daemon and its service.
 type LocalServer struct {
+	// Version of the server, empty if it is unknown.
 	Version string
-	// FirstSeen is when it was first seen, OrderKnownAt when the daemon learned of the order, and OutcomeKnownAt
-	// when it learned of its outcome.
+	// FirstSeen is when the daemon first saw the server, OrderKnownAt when it received the
+	// order, and OutcomeKnownAt when it received the order's outcome.
 	FirstSeen, OrderKnownAt, OutcomeKnownAt time.Time
-	// Unproven is whether an earlier order for its version was replaced before it had
-	// succeeded, or was rolled back.
+	// Unproven is true if an earlier order for the server's version was rolled back, or was
+	// replaced before it succeeded.
 	Unproven bool
-	// Peers counts the servers of the service. It is asked only where that decides: it walks
-	// over all members, at each news of one.
+	// Peers counts the other servers of the service. It iterates over all members, and roles
+	// are evaluated at each membership change, so it is called only if the result depends on
+	// it.
 	Peers func() PeerCounts
 }
 
-// Role is what a server has to do with the order for its service.
+// Role is the part of a server in the rollout of its service.
 type Role uint8
 
-// The roles. An unaffected server takes calls as it would without an order.
+// The roles. An Unaffected server receives calls as it would without an order.
 const (
 	Unaffected Role = iota
-	// Canary has the version that traffic is to move to.
+	// Canary is a server of the version that traffic is to move to.
 	Canary
-	// Stable has another version, which traffic is moved away from.
+	// Stable is a server of another version, which traffic is moved away from.
 	Stable
-	// Pending has a version that most others do not have and no order names, has not told
-	// it yet, or has one that an earlier order was not finished for.
+	// Pending is a server that is closed until more is known: its version is in the minority
+	// and no order is known, its version is not known yet, or an earlier order for its
+	// version did not succeed.
 	Pending
 )
 
@@ -69,8 +75,8 @@
 	return "unaffected"
 }
 
-// RoleOf decides which role a server has. The order is the latest for its service, nil
-// where none is known.
+// RoleOf returns the role of a server. The order is the latest one for its service, nil if none
+// is known.
 func RoleOf(o *Order, outcome Outcome, l LocalServer, now time.Time) Role {
 	if o == nil {
 		if l.Version != "" && now.Sub(l.FirstSeen) < unknownPatience && l.Peers().mostAreOther() {
@@ -81,7 +87,8 @@
 	stable := l.Version != o.ToVersion
 	switch {
 	case l.Version == "" && outcome != Succeeded && now.Sub(l.FirstSeen) < unknownPatience && l.Peers().Target > 0:
-		// Its daemon has restarted; it may be one of those.
+		// The daemon has restarted and does not know the version yet: the server may be one of
+		// those with the target version.
 		return Pending
 	case stable && l.Unproven && l.Peers().Other > 0:
 		return Pending
@@ -96,7 +103,7 @@
 	case l.OrderKnownAt.Sub(l.FirstSeen) > inServiceAfter:
 		return Unaffected
 	case now.Sub(l.FirstSeen) > unknownPatience && l.Peers().Other == 0:
-		// No server of another version is left that could take the calls.
+		// No server of another version is left to receive the calls.
 		return Unaffected
 	}
 	return Canary
--- a/rollout/role_test.go
+++ b/rollout/role_test.go
@@ -11,8 +11,8 @@
 
 func counted(p PeerCounts) func() PeerCounts { return func() PeerCounts { return p } }
 
-// Guards against a new version that takes its whole share of the calls before its order is
-// known, and against servers withheld that nobody else stands in for.
+// Guards against servers of a new version that receive their full share of the calls before the
+// order is known, and against withholding calls from servers that no others can replace.
 func TestPartOf(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -24,24 +24,24 @@
 		now     float64
 		want    Role
 	}{
-		"no order":                        {nil, 0, LocalServer{Version: "v1", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
-		"no order, in the minority":       {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 1, Pending},
-		"the order never came":            {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 4, Unaffected},
-		"no version told":                 {nil, 0, LocalServer{FirstSeen: at(0), Peers: counted(PeerCounts{Other: 8})}, 1, Unaffected},
-		"new version":                     {order, 0, LocalServer{Version: "v2", FirstSeen: at(1), OrderKnownAt: at(1), Peers: counted(PeerCounts{Other: 8})}, 2, Canary},
-		"old version":                     {order, 0, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 2, Stable},
-		"version not told, none is new":   {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0)}, 2, Stable},
-		"version not told":                {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
-		"version not told, rolled back":   {order, RolledBack, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
-		"version never told":              {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 5, Stable},
-		"no other server left":            {order, 0, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 4, Unaffected},
-		"in service before the order":     {order, 0, LocalServer{Version: "v2", FirstSeen: at(-60), OrderKnownAt: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
-		"an earlier order not finished":   {order, 0, LocalServer{Version: "v0", FirstSeen: at(-5), OrderKnownAt: at(0), Unproven: true, Peers: counted(PeerCounts{Other: 8})}, 2, Pending},
-		"rolled back":                     {order, RolledBack, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 60, Canary},
-		"rolled back, old version":        {order, RolledBack, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 60, Unaffected},
-		"succeeded":                       {order, Succeeded, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Unaffected},
-		"succeeded, old version":          {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Stable},
-		"succeeded, old version not gone": {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 30, Unaffected},
+		"no order":                            {nil, 0, LocalServer{Version: "v1", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
+		"no order, in the minority":           {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 1, Pending},
+		"order not received in time":          {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 4, Unaffected},
+		"no order, version unknown":           {nil, 0, LocalServer{FirstSeen: at(0), Peers: counted(PeerCounts{Other: 8})}, 1, Unaffected},
+		"new version":                         {order, 0, LocalServer{Version: "v2", FirstSeen: at(1), OrderKnownAt: at(1), Peers: counted(PeerCounts{Other: 8})}, 2, Canary},
+		"old version":                         {order, 0, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 2, Stable},
+		"version unknown, no peer has target": {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0)}, 2, Stable},
+		"version unknown":                     {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
+		"version unknown, rolled back":        {order, RolledBack, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
+		"version unknown for too long":        {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 5, Stable},
+		"no other server left":                {order, 0, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 4, Unaffected},
+		"in service before the order":         {order, 0, LocalServer{Version: "v2", FirstSeen: at(-60), OrderKnownAt: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
+		"earlier order not finished":          {order, 0, LocalServer{Version: "v0", FirstSeen: at(-5), OrderKnownAt: at(0), Unproven: true, Peers: counted(PeerCounts{Other: 8})}, 2, Pending},
+		"rolled back":                         {order, RolledBack, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 60, Canary},
+		"rolled back, old version":            {order, RolledBack, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 60, Unaffected},
+		"succeeded":                           {order, Succeeded, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Unaffected},
+		"succeeded, old version":              {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Stable},
+		"succeeded, old version still runs":   {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 30, Unaffected},
 	} {
 		if c.local.Peers == nil {
 			c.local.Peers = counted(PeerCounts{})
@@ -50,8 +50,8 @@
 	}
 }
 
-// Guards against a gate that goes on without its decider: a permit lapses to where calls
-// went before the order.
+// Guards against a gate that keeps its mode without a decider. When its permit expires, calls
+// must go to the servers that received them before the order.
 func TestGate_PermitLapses(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, newVersion := range []bool{true, false} {
@@ -76,7 +76,7 @@
 	}
 }
 
-// Guards against reports that lose on the way what they tell.
+// Guards against data lost by encoding and decoding reports, permits and directory entries.
 func TestReport_Codec(t *testing.T) {
 	w := &Tracker{Order: Order{Service: "signs", Offset: 7}, Server: ServerID{"h", 1, 2}, NewVersion: true, OrderKnownAt: time.Unix(1000, 0)}
 	w.recorder.ended("r", Answered, 120*time.Millisecond, true)
@@ -98,13 +98,13 @@
 	renamed := ended.Order
 	renamed.Offset = eventlog.At(1, 3)
 	must.True(t, e.Matches(ended.Order))
-	must.True(t, e.Matches(renamed), must.Sprint("the same order, written again after a restore"))
+	must.True(t, e.Matches(renamed), must.Sprint("the same order, appended again after a restore"))
 	must.False(t, RecordedOutcome{renamed, RolledBack}.Matches(ended.Order))
 	renamed.ToVersion = "v3"
 	must.False(t, e.Matches(renamed))
 	renamed = ended.Order
 	renamed.Offset++
-	must.False(t, e.Matches(renamed), must.Sprint("ordered again"))
+	must.False(t, e.Matches(renamed), must.Sprint("a repeated order in the same epoch"))
 	_, ok = DecodeEntry([]byte("\x0a\x04host"))
 	must.False(t, ok)
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,31 +1,33 @@
-// Package rollout moves the traffic of a service to the backend servers of another
-// version, watches how these do, and finishes the move or takes it back.
+// Package rollout moves the traffic of a service to backend servers of a new version, compares
+// the new version with the old one, and finishes the move or rolls it back.
 //
-// The gate beside each server of the new version lets calls through only by a permit,
-// which it renews with reports of what it has seen. One daemon decides for a service
-// (Decider): it grants a few gates a number of calls each, compares their answers with
-// those of the other version (Judge), and near the end of the order's time opens all
-// gates of the new version and closes the others. Whatever goes wrong on the way, a
-// permit lapses, and calls go to the servers that had them before.
+// The gate beside each server of the new version admits calls only under a permit with a
+// lease, which it renews by reporting the results of its calls. One daemon decides for a
+// service (Decider): it grants a few gates a number of calls each, compares their results
+// with those of the old version (Analyzer), and near the end of the order's duration opens
+// all gates of the new version and closes those of the old one. If reports or permits are
+// lost, the permits expire, and calls go to the servers that received them before the order.
 //
-// Nothing here reads a clock or the network, so that decisions can be tested without.
+// The package uses neither the clock nor the network: callers pass in times and exchange the
+// messages, so that tests can simulate both.
 package rollout
 
 import "time"
 
-// Order is an operator's order to move the traffic of a service.
+// Order is an operator's instruction to move the traffic of a service to another version.
 type Order struct {
 	Service, ToVersion string
-	// Duration is the time from the order until the move has to be finished or taken back.
+	// Duration is the time from the order until the move has to be finished or rolled back.
 	Duration time.Duration
-	// Offset of the configuration record that ordered it; it tells orders apart.
+	// Offset is the log offset of the configuration record with the order, and identifies the
+	// order.
 	Offset uint64
 }
 
-// Outcome is how a rollout has ended.
+// Outcome is the result of a rollout.
 type Outcome uint8
 
-// The outcomes. Undecided rollouts are in progress.
+// The outcomes. A rollout in progress is Undecided.
 const (
 	Undecided Outcome = iota
 	Succeeded
@@ -43,10 +45,10 @@
 	return "running"
 }
 
-// Mode is what a gate does with calls.
+// Mode determines which calls a gate admits.
 type Mode uint8
 
-// The modes. Limited gates let calls through up to a number.
+// The modes. A gate in mode Limited admits calls up to Permit.AdmitUpTo.
 const (
 	Open Mode = iota + 1
 	Closed
@@ -66,39 +68,42 @@
 	return "unknown"
 }
 
-// ServerID tells one life of a backend server, with the daemon beside it, from others.
+// ServerID identifies one run of a backend server and of the daemon beside it: the host, the
+// boot ID of the daemon's process and the number of the server's run.
 type ServerID struct {
 	Host     string
 	Boot     uint64
 	Instance uint32
 }
 
-// Report is what one gate has seen of its backend server since it learned of the order.
+// Report is a gate's account of its backend server since the daemon received the order.
 type Report struct {
 	Server ServerID
-	// NewVersion is whether the server has the version that traffic is to move to.
+	// NewVersion is true if the server has the version that traffic is to move to.
 	NewVersion bool
-	// OrderAge is the time since the gate learned of the order.
+	// OrderAge is the time since the gate's daemon received the order.
 	OrderAge time.Duration
-	// Outcome of the rollout, as far as the gate knows.
+	// Outcome of the rollout as known to the gate.
 	Outcome Outcome
-	// Mode that the gate is in.
+	// Mode is the gate's current mode.
 	Mode Mode
-	// Admitted counts the calls that were let through, InFlight those that run.
+	// Admitted counts the calls admitted so far, InFlight those that have not ended.
 	Admitted uint64
 	InFlight int
-	Tally    Tally
+	// Tally counts the results of the calls by route.
+	Tally Tally
 }
 
-// Permit answers a report.
+// Permit is the answer to a report. It sets the mode of the gate until it expires.
 type Permit struct {
 	Mode Mode
-	// AdmitUpTo bounds Report.Admitted where the mode is Limited.
+	// AdmitUpTo is the limit of Report.Admitted in mode Limited.
 	AdmitUpTo uint64
-	// Lease is how long the permit holds, from the moment at which the report was sent.
-	Lease   time.Duration
+	// Lease is how long the permit is valid after the gate sent its report.
+	Lease time.Duration
+	// Outcome of the rollout. Succeeded is sent only after it has been recorded.
 	Outcome Outcome
-	// Recorded is whether the outcome is kept where it outlives all daemons, so that the
-	// gate need not report any more.
+	// Recorded is true once the outcome is stored in the platform's directory, where it
+	// outlives all daemons. The gate sends no further reports then.
 	Recorded bool
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// badVersions are the ways in which a version is bad.
+// badVersions holds the behaviors of bad versions by name.
 var badVersions = map[string]behavior{
 	"fails always":          {failing: 1},
 	"fails one in five":     {failing: 0.2},
@@ -28,7 +28,8 @@
 	"one route, from later": {failing: 0.5, route: "lookup", from: 4 * time.Second},
 }
 
-// keepsBound checks both bounds on what a bad version gets.
+// keepsBound checks both bounds on the calls that reach a bad version: their number, and the
+// time for which it receives calls after its 50th bad answer.
 func (s *sim) keepsBound(t *testing.T, text string) {
 	t.Helper()
 	bound := s.opts.MaxShare*float64(s.calls) + float64(s.opts.Slack)
@@ -38,10 +39,11 @@
 	}
 }
 
-// tooRare are bad in so few calls that a service of nine servers does not show it in time.
+// tooRare holds the bad versions with so few bad answers that a service of nine servers does not
+// produce enough of them to be detected in time.
 var tooRare = map[string]bool{"fails one in twelve": true, "a rare route fails": true, "a rare route is slow": true}
 
-// Guards against a bad version that goes on getting calls, whatever it is bad at.
+// Guards against a bad version that keeps receiving calls, whatever its fault.
 func TestDecider_BadVersionIsTakenBack(t *testing.T) {
 	for name, b := range badVersions {
 		t.Run(name, func(t *testing.T) {
@@ -64,7 +66,8 @@
 	}
 }
 
-// Guards against a good version that is not finished in time, or taken back for what others do.
+// Guards against a good version whose rollout is not finished in time, or is rolled back for
+// faults of single hosts or of the whole service.
 func TestDecider_GoodVersionFinishes(t *testing.T) {
 	for name, change := range map[string]func(*sim){
 		"calm": func(*sim) {},
@@ -95,7 +98,7 @@
 		t.Run(name, func(t *testing.T) {
 			for _, size := range []struct{ old, fresh, seeds int }{{3, 3, 5}, {9, 9, 5}, {72, 72, 1}} {
 				if size.old == 3 && strings.HasPrefix(name, "one ") {
-					// Of two servers on trial one that is bad alone may speak against both.
+					// With two servers on trial, a single bad one may make both look bad.
 					continue
 				}
 				for seed := range size.seeds {
@@ -113,8 +116,8 @@
 	}
 }
 
-// Guards against servers on trial that share the calls of one, so that a version that is bad
-// under load does not show it.
+// Guards against a trial that spreads the calls over so many servers that a version which fails
+// under load does not fail in the trial.
 func TestDecider_ServerOnTrialHasItsLaterLoad(t *testing.T) {
 	s := newSim(t, 0x26a5, 11, 26, 198)
 	s.version = badVersions["fails under load"]
@@ -123,8 +126,8 @@
 	s.keepsBound(t, "11 and 26 servers")
 }
 
-// Guards against a version that is moved to though hardly anything was seen of it: the store
-// was away at first, and later no daemon decided.
+// Guards against moving the traffic to a version that has received hardly any calls, because the
+// store was unavailable at first and no decider was available later.
 func TestDecider_MovesNothingUnseen(t *testing.T) {
 	s := newSim(t, 1, 11, 2, 247.5)
 	s.version = badVersions["fails one in five"]
@@ -142,8 +145,8 @@
 	s.keepsBound(t, "11 and 2 servers")
 }
 
-// Guards against exposure beyond its bound when deciders are lost, cut off or meet a store
-// that is away, at any moment.
+// Guards against more calls to a bad version than the bounds allow when, at any moment, the
+// decider is lost, no decider can be reached or the store is unavailable.
 func TestDecider_ExposureIsBounded(t *testing.T) {
 	var names []string
 	for name := range badVersions {
@@ -154,7 +157,8 @@
 	slices.Sort(names)
 	rapid.Check(t, func(rt *rapid.T) {
 		old := rapid.IntRange(9, 30).Draw(rt, "old")
-		// A server on trial of nine has four fifths of its later load: 18 calls a second or more.
+		// With nine old servers, the server on trial has four fifths of its load after the move:
+		// at least 18 calls per second.
 		s := newSim(t, rapid.Uint64().Draw(rt, "seed"), old, rapid.IntRange(2, 30).Draw(rt, "fresh"),
 			rapid.Float64Range(22, 30).Draw(rt, "rate")*float64(old))
 		s.version = badVersions[rapid.SampledFrom(names).Draw(rt, "version")]
@@ -186,7 +190,8 @@
 	})
 }
 
-// Guards against a version that fails only near the load of later, and shows that on trial too late.
+// Guards against a version that fails only near its load after the move. A server on trial
+// reaches that load too late for the fault to be detected in time.
 func TestDecider_FailsNearTheLoadOfLater(t *testing.T) {
 	for fresh, seeds := range map[int][]uint64{
 		9:  {41, 161, 268, 353},
--- a/rollout/tally.go
+++ b/rollout/tally.go
@@ -7,16 +7,17 @@
 )
 
 const (
-	// latencyBuckets and bucketRatio cover 1 ms to 36 s; a bucket's bounds are a quarter
-	// apart, less than the factor that tells a slow version.
+	// latencyBuckets and bucketRatio define exponential buckets from 1 ms to 36 s. Each upper
+	// bound is 1.25 times the one before, a finer step than Analyzer.SlowRatio.
 	latencyBuckets = 48
 	bucketRatio    = 1.25
-	// maxRoutes bounds the routes that are told apart; the rest count as one.
+	// maxRoutes bounds the routes that are counted separately. The calls of all further routes
+	// are counted under otherRoutes.
 	maxRoutes   = 256
 	otherRoutes = ""
 )
 
-// bucketOf returns the bucket of a latency.
+// bucketOf returns the index of the bucket of a latency.
 func bucketOf(d time.Duration) int {
 	ms := float64(d) / float64(time.Millisecond)
 	if ms <= 1 {
@@ -25,12 +26,13 @@
 	return min(int(math.Log(ms)/math.Log(bucketRatio))+1, latencyBuckets-1)
 }
 
-// Counts is what became of the calls of one route.
+// Counts holds the results of the calls on one route.
 type Counts struct {
-	// Answered and Failed calls; a call that its caller gave up is neither.
+	// Answered and Failed count the calls that ended with these results. Calls with the result
+	// GivenUp are not counted.
 	Answered, Failed uint64
-	// Latencies counts answers by bucket. Servers that have just started, and are slow
-	// for that, are left out.
+	// Latencies counts answered calls by latency bucket. Answers of servers that are slow
+	// because they started recently are left out.
 	Latencies [latencyBuckets]uint32
 }
 
@@ -42,7 +44,8 @@
 	}
 }
 
-// less returns c without what an earlier o has counted.
+// less returns the difference between c and an earlier state o of the same counts, c itself if
+// o is nil.
 func (c *Counts) less(o *Counts) *Counts {
 	if o == nil {
 		return c
@@ -56,9 +59,10 @@
 	return &n
 }
 
+// ended returns the number of calls that were answered or failed.
 func (c *Counts) ended() uint64 { return c.Answered + c.Failed }
 
-// timed returns the number of latencies in the buckets from one on.
+// timed returns the number of latencies in bucket from and all above it.
 func (c *Counts) timed(from int) uint64 {
 	var n uint64
 	for _, count := range c.Latencies[from:] {
@@ -67,7 +71,7 @@
 	return n
 }
 
-// median returns the bucket of the median latency.
+// median returns the index of the bucket with the median latency.
 func (c *Counts) median() int {
 	half := c.timed(0) / 2
 	var n uint64
@@ -79,9 +83,10 @@
 	return latencyBuckets - 1
 }
 
-// Tally is the counts of one or several servers by route.
+// Tally holds the counts of one or several servers by route.
 type Tally map[string]*Counts
 
+// add adds the counts of o to t.
 func (t Tally) add(o Tally) {
 	for route, c := range o {
 		if t[route] == nil {
@@ -91,7 +96,7 @@
 	}
 }
 
-// less returns t without what an earlier o has counted.
+// less returns the difference between t and an earlier state o of the same counts.
 func (t Tally) less(o Tally) Tally {
 	n := make(Tally, len(t))
 	for route, c := range t {
@@ -100,22 +105,24 @@
 	return n
 }
 
-// Result is how a call that reached the backend server has ended.
+// Result is the result of a call that a gate admitted.
 type Result uint8
 
-// The results. Given up calls tell nothing of the server.
+// The results. GivenUp calls give no information about the server, for example since the
+// caller canceled them.
 const (
 	Answered Result = iota
 	Failed
 	Inconclusive
 )
 
-// recorder counts what becomes of calls. It is safe for concurrent use.
+// recorder counts the results of calls by route. It is safe for concurrent use.
 type recorder struct {
 	mu    sync.Mutex
 	tally Tally
 }
 
+// ended counts a call that has ended. The latency is counted only if warm is true.
 func (r *recorder) ended(route string, result Result, latency time.Duration, warm bool) {
 	if result == Inconclusive {
 		return
@@ -143,7 +150,7 @@
 	}
 }
 
-// copy returns the counts so far.
+// copy returns a copy of the current counts.
 func (r *recorder) copy() Tally {
 	r.mu.Lock()
 	defer r.mu.Unlock()
