--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -169,7 +169,7 @@
 	t.Cleanup(srv.Close)
 	c := operator.NewClient(srv.URL)
 	id := quarantine.IdentityOf(quarantine.Request{Method: http.MethodGet, Target: "/signs/deadly"})
-	for range quarantine.DefaultOptions().Crashes {
+	for range quarantine.DefaultOptions().CrashThreshold {
 		ledger.RecordCrash([]quarantine.Identity{id})
 	}
 	list, err := c.Quarantine(t.Context())
--- a/quarantine/decide.go
+++ b/quarantine/decide.go
@@ -4,58 +4,58 @@
 
 // verdictEndTolerance is the difference below which the ends of two verdicts on one request
 // count as equal. Daemons decide at different moments and by clocks that differ by seconds.
-const sameEnd = time.Minute
+const verdictEndTolerance = time.Minute
 
-// crashed adds a crash to a request's count. At the threshold it quarantines the request, or
+// countCrash adds a crash to a request's count. At the threshold it quarantines the request, or
 // clears it if the server beside this daemon completed it recently.
-func (l *Tracker) crashed(id Identity, from source, now time.Time) {
-	s := l.suspectOf(id, now)
+func (l *Tracker) countCrash(id Identity, from noteID, now time.Time) {
+	s := l.getOrAddSuspect(id, now)
 	if s == nil {
 		return
 	}
 	s.crashes[from] = now
-	enough := l.opts.Crashes
+	threshold := l.opts.CrashThreshold
 	if s.onProbation(now) {
-		enough = 1
+		threshold = 1
 	}
-	if len(s.crashes) < enough || s.inForce(now) {
+	if len(s.crashes) < threshold || s.inForce(now) {
 		return
 	}
-	if l.good.has(id, now) {
-		l.clear(id, "a backend server completed it recently")
+	if l.successes.has(id, now) {
+		l.clearRequest(id, "a backend server completed it recently")
 		return
 	}
-	l.decide(id, s, now)
+	l.addVerdict(id, s, now)
 }
 
-// decide quarantines a request unless the maximum of verdicts in force is reached.
-func (l *Tracker) decide(id Identity, s *suspect, now time.Time) {
+// addVerdict quarantines a request unless the maximum of verdicts in force is reached.
+func (l *Tracker) addVerdict(id Identity, s *suspect, now time.Time) {
 	if len(l.inForce(now)) >= l.opts.MaxVerdicts {
 		l.opts.Logger.Warn("quarantine: request not quarantined, too many verdicts in force", "identity", id.String())
 		return
 	}
-	hold := l.opts.Hold
+	duration := l.opts.Duration
 	if s.verdict != nil {
-		hold = min(2*s.verdict.Duration, l.opts.MaxHold)
+		duration = min(2*s.verdict.Duration, l.opts.MaxDuration)
 	}
-	s.verdict = &Verdict{Identity: id, Until: now.Add(hold), Duration: hold}
+	s.verdict = &Verdict{Identity: id, Until: now.Add(duration), Duration: duration}
 	l.opts.Logger.Warn("quarantine: request kept from backend servers", "identity", id.String(),
 		"servers_ended", len(s.crashes), "until", s.verdict.Until)
 	l.publish(now)
 }
 
-// adopt accepts a verdict of another daemon, with its duration and end limited by the options.
-// Verdicts that have ended, were cleared or are in force already are ignored.
-func (l *Tracker) adopt(v Verdict, now time.Time) {
-	v.Duration = min(max(v.Duration, l.opts.Hold), l.opts.MaxHold)
+// adoptVerdict accepts a verdict of another daemon, with its duration and end limited by the
+// options. Verdicts that have ended, were cleared or are in force already are ignored.
+func (l *Tracker) adoptVerdict(v Verdict, now time.Time) {
+	v.Duration = min(max(v.Duration, l.opts.Duration), l.opts.MaxDuration)
 	if latest := now.Add(v.Duration); v.Until.After(latest) {
 		v.Until = latest
 	}
 	if !v.Until.After(now) || len(l.inForce(now)) >= l.opts.MaxVerdicts {
 		return
 	}
-	s := l.suspectOf(v.Identity, now)
-	if s == nil || !v.Until.After(s.clearedUntil) || s.verdict != nil && v.Until.Sub(s.verdict.Until) < sameEnd {
+	s := l.getOrAddSuspect(v.Identity, now)
+	if s == nil || !v.Until.After(s.clearedUntil) || s.verdict != nil && v.Until.Sub(s.verdict.Until) < verdictEndTolerance {
 		return
 	}
 	s.verdict = &v
@@ -64,24 +64,24 @@
 	l.notify()
 }
 
-// clear removes the crashes and the verdict of a request, and publishes a clearing to the
+// clearRequest removes the crashes and the verdict of a request, and publishes a clearing to the
 // other daemons.
-func (l *Tracker) clear(id Identity, why string) {
+func (l *Tracker) clearRequest(id Identity, reason string) {
 	now := l.opts.Now()
-	until := now.Add(l.opts.Hold)
+	until := now.Add(l.opts.Duration)
 	if v := l.suspects[id].verdict; v != nil && v.Until.After(until) {
 		until = v.Until
 	}
-	l.own.cleared(id, until, now)
-	l.forgive(id, until, now)
-	l.opts.Logger.Info("quarantine: request cleared", "identity", id.String(), "reason", why)
+	l.own.addClearing(id, until, now)
+	l.applyClearing(id, until, now)
+	l.opts.Logger.Info("quarantine: request cleared", "identity", id.String(), "reason", reason)
 	l.notify()
 }
 
-// forgive removes the crashes recorded so far for a request, and its verdict if that ends at
-// or before until.
-func (l *Tracker) forgive(id Identity, until, now time.Time) {
-	s := l.suspectOf(id, now)
+// applyClearing removes the crashes recorded so far for a request, and its verdict if that ends
+// at or before until.
+func (l *Tracker) applyClearing(id Identity, until, now time.Time) {
+	s := l.getOrAddSuspect(id, now)
 	if s == nil {
 		return
 	}
@@ -93,29 +93,29 @@
 	l.publish(now)
 }
 
-// suspectOf returns the entry of a request and creates it if needed. It returns nil if there
-// are MaxSuspects entries and all of them have verdicts in force.
-func (l *Tracker) suspectOf(id Identity, now time.Time) *suspect {
+// getOrAddSuspect returns the entry of a request and creates it if needed. It returns nil if
+// there are MaxSuspects entries and all of them have verdicts in force.
+func (l *Tracker) getOrAddSuspect(id Identity, now time.Time) *suspect {
 	s := l.suspects[id]
 	if s == nil {
-		if len(l.suspects) >= l.opts.MaxSuspects && !l.dropOldest(now) {
+		if len(l.suspects) >= l.opts.MaxSuspects && !l.evictOldest(now) {
 			return nil
 		}
-		s = &suspect{crashes: make(map[source]time.Time)}
+		s = &suspect{crashes: make(map[noteID]time.Time)}
 		l.suspects[id] = s
-		l.suspected.Store(int64(len(l.suspects)))
+		l.suspectCount.Store(int64(len(l.suspects)))
 	}
-	s.touched = now
+	s.lastUpdate = now
 	return s
 }
 
-// dropOldest removes the least recently updated suspect without a verdict in force, and
+// evictOldest removes the least recently updated suspect without a verdict in force, and
 // reports whether there was one.
-func (l *Tracker) dropOldest(now time.Time) bool {
+func (l *Tracker) evictOldest(now time.Time) bool {
 	var oldest Identity
 	var found *suspect
 	for id, s := range l.suspects {
-		if !s.inForce(now) && (found == nil || s.touched.Before(found.touched)) {
+		if !s.inForce(now) && (found == nil || s.lastUpdate.Before(found.lastUpdate)) {
 			oldest, found = id, s
 		}
 	}
@@ -147,8 +147,8 @@
 			delete(l.suspects, id)
 		}
 	}
-	l.suspected.Store(int64(len(l.suspects)))
-	if before := l.kept.Load(); l.publish(now) < size(before) {
+	l.suspectCount.Store(int64(len(l.suspects)))
+	if before := l.quarantined.Load(); l.publish(now) < size(before) {
 		l.notify()
 	}
 }
@@ -176,20 +176,20 @@
 func (l *Tracker) publish(now time.Time) int {
 	list := l.inForce(now)
 	if len(list) == 0 {
-		l.kept.Store(nil)
+		l.quarantined.Store(nil)
 		return 0
 	}
-	kept := make(map[Identity]time.Time, len(list))
+	quarantined := make(map[Identity]time.Time, len(list))
 	for _, v := range list {
-		kept[v.Identity] = v.Until
+		quarantined[v.Identity] = v.Until
 	}
-	l.kept.Store(&kept)
-	return len(kept)
+	l.quarantined.Store(&quarantined)
+	return len(quarantined)
 }
 
-func size(kept *map[Identity]time.Time) int {
-	if kept == nil {
+func size(quarantined *map[Identity]time.Time) int {
+	if quarantined == nil {
 		return 0
 	}
-	return len(*kept)
+	return len(*quarantined)
 }
--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -10,12 +10,12 @@
 
 const (
 	// maxIdentitiesPerCrash is the maximum number of requests in the note on one crash.
-	maxEndedUnder = 24
+	maxIdentitiesPerCrash = 24
 	// maxCrashNotes and maxClearingNotes bound the notes that a daemon publishes at a time.
 	// Running daemons have received the older ones before; only a daemon that starts later
 	// misses them.
-	maxEndedNotes = 3
-	maxClearings  = 4
+	maxCrashNotes    = 3
+	maxClearingNotes = 4
 )
 
 // ownNote is a note of this daemon and the time at which it was created.
@@ -27,34 +27,34 @@
 // ownNotes holds the crashes and clearings that this daemon publishes, each the latest first.
 type ownNotes struct {
 	// seq is the number of the latest note.
-	seq               uint32
-	crashes, cleareds []ownNote
+	seq                uint32
+	crashes, clearings []ownNote
 }
 
-// ended adds the note on a crash and returns its number.
-func (o *ownNotes) ended(ids []Identity, now time.Time) uint32 {
+// addCrash adds the note on a crash and returns its number.
+func (o *ownNotes) addCrash(ids []Identity, now time.Time) uint32 {
 	o.seq++
 	n := &quarantinepb.Note{Seq: o.seq}
 	for _, id := range ids {
 		n.EndedUnder = append(n.EndedUnder, id[:]...)
 	}
-	o.crashes = prepend(o.crashes, ownNote{n, now}, maxEndedNotes)
+	o.crashes = prepend(o.crashes, ownNote{n, now}, maxCrashNotes)
 	return o.seq
 }
 
-// cleared adds a clearing of the verdicts that end at or before until.
-func (o *ownNotes) cleared(id Identity, until, now time.Time) {
+// addClearing adds a clearing of the verdicts that end at or before until.
+func (o *ownNotes) addClearing(id Identity, until, now time.Time) {
 	o.seq++
 	n := &quarantinepb.Note{Seq: o.seq, Clearing: &quarantinepb.Clearing{Identity: id[:], UntilUnix: until.Unix()}}
-	o.cleareds = prepend(o.cleareds, ownNote{n, now}, maxClearings)
+	o.clearings = prepend(o.clearings, ownNote{n, now}, maxClearingNotes)
 }
 
 // expire removes the notes older than window, and reports whether there were any.
 func (o *ownNotes) expire(now time.Time, window time.Duration) bool {
-	before := len(o.crashes) + len(o.cleareds)
+	before := len(o.crashes) + len(o.clearings)
 	o.crashes = youngerThan(o.crashes, now, window)
-	o.cleareds = youngerThan(o.cleareds, now, window)
-	return len(o.crashes)+len(o.cleareds) < before
+	o.clearings = youngerThan(o.clearings, now, window)
+	return len(o.crashes)+len(o.clearings) < before
 }
 
 // prepend inserts n before the list and truncates the list to limit.
@@ -87,7 +87,7 @@
 	}
 	latest := min(len(l.own.crashes), 1)
 	add(l.own.crashes[:latest])
-	add(l.own.cleareds)
+	add(l.own.clearings)
 	for _, v := range carried {
 		notes = append(notes, &quarantinepb.Note{Verdict: encodeVerdict(v)})
 	}
@@ -116,17 +116,17 @@
 	defer l.mu.Unlock()
 	now := l.opts.Now()
 	var clearings []*quarantinepb.Clearing
-	for _, told := range all {
-		for _, b := range told.Notes {
+	for _, peer := range all {
+		for _, b := range peer.Notes {
 			n := new(quarantinepb.Note)
 			if proto.Unmarshal(b, n) != nil {
 				continue
 			}
 			if v, ok := decodeVerdict(n.GetVerdict()); ok {
-				l.adopt(v, now)
+				l.adoptVerdict(v, now)
 				continue
 			}
-			from := source{told.Host, told.Boot, n.GetSeq()}
+			from := noteID{peer.Host, peer.Boot, n.GetSeq()}
 			if _, ok := l.seen[from]; ok {
 				continue
 			}
@@ -137,18 +137,18 @@
 	}
 	for _, c := range clearings {
 		if id, ok := IdentityFrom(c.GetIdentity()); ok {
-			l.forgive(id, time.Unix(c.GetUntilUnix(), 0), now)
+			l.applyClearing(id, time.Unix(c.GetUntilUnix(), 0), now)
 		}
 	}
 	l.notify()
 }
 
 // observeCrash counts the crash in a note for each of its requests.
-func (l *Tracker) observeCrash(n *quarantinepb.Note, from source, now time.Time) {
+func (l *Tracker) observeCrash(n *quarantinepb.Note, from noteID, now time.Time) {
 	const size = len(Identity{})
 	for b := n.GetEndedUnder(); len(b) >= size; b = b[size:] {
 		id, _ := IdentityFrom(b[:size])
-		l.crashed(id, from, now)
+		l.countCrash(id, from, now)
 	}
 }
 
--- a/quarantine/ledger.go
+++ b/quarantine/tracker.go
@@ -12,16 +12,16 @@
 	// CrashThreshold is the number of server crashes after which a request that was running
 	// in each of them is quarantined. Most requests that merely run beside it are in one or
 	// two crashes: a crash interrupts all calls of the server, and these are sent again.
-	Crashes int
+	CrashThreshold int
 	// Window is how long a crash counts toward CrashThreshold.
 	Window time.Duration
 	// Duration is how long a first verdict lasts. A request that crashes a server within the
 	// same time after its verdict ended is quarantined again at once, for twice as long, up to
 	// MaxDuration.
-	Hold, MaxHold time.Duration
+	Duration, MaxDuration time.Duration
 	// SuccessTTL is how long a completed run exempts a request from crash counts. A popular
 	// lookup is in progress at every server of a service, and so in each of their crashes.
-	GoodFor time.Duration
+	SuccessTTL time.Duration
 	// MaxSuspects and MaxVerdicts bound the number of suspects and of verdicts in force:
 	// callers can create any number of distinct requests.
 	MaxSuspects, MaxVerdicts int
@@ -32,8 +32,8 @@
 // DefaultOptions returns the options for a fleet whose backend servers restart within seconds.
 func DefaultOptions() Options {
 	return Options{
-		Crashes: 3, Window: 5 * time.Minute, Hold: 10 * time.Minute, MaxHold: 4 * time.Hour,
-		GoodFor: 5 * time.Second, MaxSuspects: 1024, MaxVerdicts: 64,
+		CrashThreshold: 3, Window: 5 * time.Minute, Duration: 10 * time.Minute, MaxDuration: 4 * time.Hour,
+		SuccessTTL: 5 * time.Second, MaxSuspects: 1024, MaxVerdicts: 64,
 		Logger: slog.New(slog.DiscardHandler), Now: time.Now,
 	}
 }
@@ -50,7 +50,7 @@
 
 // noteID identifies a crash or a clearing by the daemon that published it, the boot ID of that
 // daemon and the number of its note. Host and boot are zero for this daemon's own notes.
-type source struct {
+type noteID struct {
 	host string
 	boot uint64
 	seq  uint32
@@ -59,14 +59,14 @@
 // suspect is the state of a request that is tracked for crashes, a verdict or a clearing.
 type suspect struct {
 	// crashes maps each crash to the time at which this daemon recorded it.
-	crashes map[source]time.Time
+	crashes map[noteID]time.Time
 	// verdict is the latest one, in force or ended, nil if there was none. After its end the
 	// request is on probation for the verdict's duration.
 	verdict *Verdict
 	// clearedUntil invalidates the verdicts that end at or before it.
 	clearedUntil time.Time
 	// lastUpdate is when a crash, verdict or clearing was last recorded.
-	touched time.Time
+	lastUpdate time.Time
 }
 
 // Tracker records, for one daemon, the requests that were running when backend servers
@@ -78,17 +78,17 @@
 	opts Options
 	// quarantined maps the requests with a verdict in force to the end of the verdict. It is
 	// nil if there are none.
-	kept atomic.Pointer[map[Identity]time.Time]
+	quarantined atomic.Pointer[map[Identity]time.Time]
 	// suspectCount mirrors len(suspects) for reads without mu.
-	suspected atomic.Int64
+	suspectCount atomic.Int64
 
-	good goodRuns
+	successes recentSuccesses
 
 	mu       sync.Mutex
 	suspects map[Identity]*suspect
 	own      ownNotes
 	// seen maps the crashes and clearings received from other daemons to the time of receipt.
-	seen map[source]time.Time
+	seen map[noteID]time.Time
 	// changed is closed and replaced at each change.
 	changed chan struct{}
 }
@@ -96,18 +96,18 @@
 // New returns an empty tracker.
 func New(opts Options) *Tracker {
 	return &Tracker{
-		opts: opts, suspects: make(map[Identity]*suspect), seen: make(map[source]time.Time),
-		changed: make(chan struct{}), good: goodRuns{keep: opts.GoodFor},
+		opts: opts, suspects: make(map[Identity]*suspect), seen: make(map[noteID]time.Time),
+		changed: make(chan struct{}), successes: recentSuccesses{ttl: opts.SuccessTTL},
 	}
 }
 
 // QuarantinedFor returns the remaining time of a request in quarantine, 0 if it is not quarantined.
 func (l *Tracker) QuarantinedFor(id Identity) time.Duration {
-	kept := l.kept.Load()
-	if kept == nil {
+	quarantined := l.quarantined.Load()
+	if quarantined == nil {
 		return 0
 	}
-	until, ok := (*kept)[id]
+	until, ok := (*quarantined)[id]
 	if !ok {
 		return 0
 	}
@@ -116,7 +116,7 @@
 
 // Crashes returns the number of recorded server crashes during which a request was running.
 func (l *Tracker) Crashes(id Identity) int {
-	if l.suspected.Load() == 0 {
+	if l.suspectCount.Load() == 0 {
 		return 0
 	}
 	l.mu.Lock()
@@ -134,47 +134,47 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opts.Now()
-	ids = l.mostSuspect(l.good.without(ids, now))
+	ids = l.selectForNote(l.successes.without(ids, now))
 	if len(ids) == 0 {
 		return
 	}
-	seq := l.own.ended(ids, now)
+	seq := l.own.addCrash(ids, now)
 	for _, id := range ids {
-		l.crashed(id, source{seq: seq}, now)
+		l.countCrash(id, noteID{seq: seq}, now)
 	}
 	l.notify()
 }
 
-// mostSuspect returns at most maxIdentitiesPerCrash of the requests that were running in a
+// selectForNote returns at most maxIdentitiesPerCrash of the requests that were running in a
 // crash: those that are already suspects first, then the others, each the latest first. A
 // server may process any number of calls, and the note on a crash has to be short.
-func (l *Tracker) mostSuspect(ids []Identity) []Identity {
-	if len(ids) <= maxEndedUnder {
+func (l *Tracker) selectForNote(ids []Identity) []Identity {
+	if len(ids) <= maxIdentitiesPerCrash {
 		return ids
 	}
-	most := make([]Identity, 0, len(ids))
-	for _, known := range []bool{true, false} {
+	selected := make([]Identity, 0, len(ids))
+	for _, suspected := range []bool{true, false} {
 		for i := range ids {
 			id := ids[len(ids)-1-i]
-			if (l.suspects[id] != nil) == known {
-				most = append(most, id)
+			if (l.suspects[id] != nil) == suspected {
+				selected = append(selected, id)
 			}
 		}
 	}
-	return most[:maxEndedUnder]
+	return selected[:maxIdentitiesPerCrash]
 }
 
 // RecordSuccess records that the backend server beside this daemon completed a request. Crashes
 // and verdicts recorded for the request are cleared at all daemons.
 func (l *Tracker) RecordSuccess(id Identity) {
-	l.good.add(id, l.opts.Now())
-	if l.suspected.Load() == 0 {
+	l.successes.add(id, l.opts.Now())
+	if l.suspectCount.Load() == 0 {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := l.suspects[id]; s != nil && (len(s.crashes) > 0 || s.verdict != nil) {
-		l.clear(id, "a backend server completed it")
+		l.clearRequest(id, "a backend server completed it")
 	}
 }
 
@@ -187,7 +187,7 @@
 	if s == nil || len(s.crashes) == 0 && s.verdict == nil {
 		return false
 	}
-	l.clear(id, "lifted by an operator")
+	l.clearRequest(id, "lifted by an operator")
 	return true
 }
 
@@ -206,7 +206,7 @@
 
 // Stats returns the current numbers of quarantined and suspected requests.
 func (l *Tracker) Stats() Stats {
-	return Stats{Quarantined: len(l.Verdicts()), Suspected: int(l.suspected.Load())}
+	return Stats{Quarantined: len(l.Verdicts()), Suspected: int(l.suspectCount.Load())}
 }
 
 // Add adopts a verdict that was read from the platform's directory or reported by another
@@ -214,7 +214,7 @@
 func (l *Tracker) Add(v Verdict) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.adopt(v, l.opts.Now())
+	l.adoptVerdict(v, l.opts.Now())
 }
 
 // Watch returns a channel that is closed when crashes, verdicts or clearings change next.
--- a/quarantine/ledger_test.go
+++ b/quarantine/tracker_test.go
@@ -9,51 +9,52 @@
 	"pgregory.net/rapid"
 )
 
-// daemons simulates the trackers of a fleet, which exchange all their notes and share one clock.
-type daemons struct {
-	now     time.Time
-	ledgers []*Tracker
+// simDaemons simulates the trackers of a fleet, which exchange all their notes and share one
+// clock.
+type simDaemons struct {
+	now      time.Time
+	trackers []*Tracker
 }
 
-func newDaemons(n int) *daemons {
-	d := &daemons{now: time.Unix(1_800_000_000, 0)}
+func newSimDaemons(n int) *simDaemons {
+	d := &simDaemons{now: time.Unix(1_800_000_000, 0)}
 	for range n {
 		d.add()
 	}
 	return d
 }
 
-func (d *daemons) add() *Tracker {
+func (d *simDaemons) add() *Tracker {
 	o := DefaultOptions()
 	o.Now = func() time.Time { return d.now }
 	l := New(o)
-	d.ledgers = append(d.ledgers, l)
+	d.trackers = append(d.trackers, l)
 	return l
 }
 
-// pass advances the clock and expires old state.
-func (d *daemons) pass(t time.Duration) {
+// advance advances the clock and expires old state.
+func (d *simDaemons) advance(t time.Duration) {
 	d.now = d.now.Add(t)
-	for _, l := range d.ledgers {
+	for _, l := range d.trackers {
 		l.Expire()
 	}
 }
 
-// tell passes the notes of each daemon to all others.
-func (d *daemons) tell() {
+// exchangeNotes passes the notes of each daemon to all others.
+func (d *simDaemons) exchangeNotes() {
 	var all []PeerNotes
-	for i, l := range d.ledgers {
+	for i, l := range d.trackers {
 		all = append(all, PeerNotes{Host: string(rune('a' + i)), Boot: 1, Notes: l.Notes(nil)})
 	}
-	for i, l := range d.ledgers {
+	for i, l := range d.trackers {
 		l.Observe(append(append([]PeerNotes(nil), all[:i]...), all[i+1:]...))
 	}
 }
 
-// refusing returns the number of daemons that have a request in quarantine.
-func (d *daemons) refusing(id Identity) int {
+// quarantining returns the number of daemons that have a request in quarantine.
+func (d *simDaemons) quarantining(id Identity) int {
 	n := 0
-	for _, l := range d.ledgers {
+	for _, l := range d.trackers {
 		if l.QuarantinedFor(id) > 0 {
 			n++
 		}
@@ -66,22 +67,22 @@
 	return id
 }
 
-var deadly = identity(1_000_000)
+var crashingRequest = identity(1_000_000)
 
 // A request crashes three servers, each of which also processes two other requests. All daemons
 // must quarantine that request and none of the others. Notes that are received twice count
 // once.
-func TestLedger_ThirdCrashIsKnownToAll(t *testing.T) {
-	d := newDaemons(8)
+func TestTracker_QuarantinesAfterThirdCrash(t *testing.T) {
+	d := newSimDaemons(8)
 	for crash := range 3 {
-		must.Eq(t, 0, d.refusing(deadly))
-		d.ledgers[crash].RecordCrash([]Identity{identity(2 * crash), deadly, identity(2*crash + 1)})
-		d.tell()
-		d.tell()
+		must.Eq(t, 0, d.quarantining(crashingRequest))
+		d.trackers[crash].RecordCrash([]Identity{identity(2 * crash), crashingRequest, identity(2*crash + 1)})
+		d.exchangeNotes()
+		d.exchangeNotes()
 	}
-	must.Eq(t, len(d.ledgers), d.refusing(deadly))
+	must.Eq(t, len(d.trackers), d.quarantining(crashingRequest))
 	for i := range 6 {
-		must.Eq(t, 0, d.refusing(identity(i)))
+		must.Eq(t, 0, d.quarantining(identity(i)))
 	}
 }
 
@@ -89,115 +90,115 @@
 // reason while a popular lookup is in progress at each of them. The other two servers complete
 // it. A verdict would reject its callers for minutes, so a daemon whose server completed the
 // request recently clears it at all daemons.
-func TestLedger_PopularRequestIsNoCulprit(t *testing.T) {
+func TestTracker_ClearsPopularRequest(t *testing.T) {
 	popular := identity(7)
-	d := newDaemons(8)
-	for _, l := range d.ledgers {
+	d := newSimDaemons(8)
+	for _, l := range d.trackers {
 		l.RecordSuccess(popular)
 	}
-	d.pass(DefaultOptions().GoodFor + time.Second)
-	d.ledgers[6].RecordSuccess(popular)
+	d.advance(DefaultOptions().SuccessTTL + time.Second)
+	d.trackers[6].RecordSuccess(popular)
 	for i := range 6 {
-		d.ledgers[i].RecordCrash([]Identity{popular, identity(100 + i)})
+		d.trackers[i].RecordCrash([]Identity{popular, identity(100 + i)})
 	}
-	d.tell()
-	d.tell()
-	must.Eq(t, 0, d.refusing(popular))
+	d.exchangeNotes()
+	d.exchangeNotes()
+	must.Eq(t, 0, d.quarantining(popular))
 	// It stays out of quarantine while more servers crash.
-	d.ledgers[7].RecordSuccess(popular)
-	d.ledgers[0].RecordCrash([]Identity{popular})
-	d.tell()
-	must.Eq(t, 0, d.refusing(popular))
+	d.trackers[7].RecordSuccess(popular)
+	d.trackers[0].RecordCrash([]Identity{popular})
+	d.exchangeNotes()
+	must.Eq(t, 0, d.quarantining(popular))
 }
 
 // A request that crashed three servers is accepted again when its verdict ends. During the
 // probation that follows, a single crash suffices for a verdict of twice the duration. After a
 // probation without crashes, one crash is not enough any more.
-func TestLedger_ProbationAfterAVerdict(t *testing.T) {
-	d := newDaemons(4)
+func TestTracker_ProbationAfterVerdict(t *testing.T) {
+	d := newSimDaemons(4)
 	for i := range 3 {
-		d.ledgers[i].RecordCrash([]Identity{deadly})
-	}
-	d.tell()
-	hold := DefaultOptions().Hold
-	d.pass(hold + time.Second)
-	must.Eq(t, 0, d.refusing(deadly))
-	d.ledgers[3].RecordCrash([]Identity{deadly})
-	d.tell()
-	must.Eq(t, 4, d.refusing(deadly))
-	d.pass(2*hold - time.Second)
-	must.Eq(t, 4, d.refusing(deadly))
-	d.pass(2*hold + 2*time.Second)
-	d.ledgers[3].RecordCrash([]Identity{deadly})
-	d.tell()
-	must.Eq(t, 0, d.refusing(deadly))
+		d.trackers[i].RecordCrash([]Identity{crashingRequest})
+	}
+	d.exchangeNotes()
+	duration := DefaultOptions().Duration
+	d.advance(duration + time.Second)
+	must.Eq(t, 0, d.quarantining(crashingRequest))
+	d.trackers[3].RecordCrash([]Identity{crashingRequest})
+	d.exchangeNotes()
+	must.Eq(t, 4, d.quarantining(crashingRequest))
+	d.advance(2*duration - time.Second)
+	must.Eq(t, 4, d.quarantining(crashingRequest))
+	d.advance(2*duration + 2*time.Second)
+	d.trackers[3].RecordCrash([]Identity{crashingRequest})
+	d.exchangeNotes()
+	must.Eq(t, 0, d.quarantining(crashingRequest))
 }
 
 // A verdict that an operator lifts at one daemon must end at all daemons. A daemon that starts
 // later and receives the crashes and the clearing together must not quarantine the request
 // again.
-func TestLedger_LiftHoldsEverywhere(t *testing.T) {
-	d := newDaemons(5)
+func TestTracker_LiftAppliesToAllDaemons(t *testing.T) {
+	d := newSimDaemons(5)
 	for i := range 3 {
-		d.ledgers[i].RecordCrash([]Identity{deadly})
+		d.trackers[i].RecordCrash([]Identity{crashingRequest})
 	}
-	d.tell()
-	must.True(t, d.ledgers[4].Lift(deadly))
-	d.tell()
-	must.Eq(t, 0, d.refusing(deadly))
+	d.exchangeNotes()
+	must.True(t, d.trackers[4].Lift(crashingRequest))
+	d.exchangeNotes()
+	must.Eq(t, 0, d.quarantining(crashingRequest))
 	d.add()
-	d.tell()
-	must.Eq(t, 0, d.refusing(deadly))
-	must.False(t, d.ledgers[4].Lift(deadly))
+	d.exchangeNotes()
+	must.Eq(t, 0, d.quarantining(crashingRequest))
+	must.False(t, d.trackers[4].Lift(crashingRequest))
 }
 
 // A verdict that a starting daemon reads from the platform's directory must be in force at once,
 // until its own end and for MaxDuration at most.
-func TestLedger_VerdictFromTheDirectory(t *testing.T) {
-	d := newDaemons(1)
-	l := d.ledgers[0]
-	b, err := EncodeEntry(Verdict{Identity: deadly, Until: d.now.Add(time.Minute), Duration: 10 * time.Minute})
+func TestTracker_AddsVerdictFromDirectory(t *testing.T) {
+	d := newSimDaemons(1)
+	l := d.trackers[0]
+	b, err := EncodeEntry(Verdict{Identity: crashingRequest, Until: d.now.Add(time.Minute), Duration: 10 * time.Minute})
 	must.NoError(t, err)
 	v, ok := DecodeEntry(b)
 	must.True(t, ok)
 	l.Add(v)
-	must.Eq(t, time.Minute, l.QuarantinedFor(deadly))
+	must.Eq(t, time.Minute, l.QuarantinedFor(crashingRequest))
 	l.Add(Verdict{Identity: identity(1), Until: d.now.Add(1000 * time.Hour), Duration: 1000 * time.Hour})
-	must.Eq(t, DefaultOptions().MaxHold, l.QuarantinedFor(identity(1)))
-	d.pass(2 * time.Minute)
-	must.Eq(t, 0, l.QuarantinedFor(deadly))
+	must.Eq(t, DefaultOptions().MaxDuration, l.QuarantinedFor(identity(1)))
+	d.advance(2 * time.Minute)
+	must.Eq(t, 0, l.QuarantinedFor(crashingRequest))
 	_, ok = DecodeEntry([]byte("no entry"))
 	must.False(t, ok)
 }
 
 // Guards against unbounded memory and notes when a caller sends ever new crashing requests. A
 // verdict in force must not be evicted by them.
-func TestLedger_StaysBounded(t *testing.T) {
-	d := newDaemons(3)
+func TestTracker_MemoryAndNotesAreBounded(t *testing.T) {
+	d := newSimDaemons(3)
 	for i := range 3 {
-		d.ledgers[i].RecordCrash([]Identity{deadly})
+		d.trackers[i].RecordCrash([]Identity{crashingRequest})
 	}
-	d.tell()
+	d.exchangeNotes()
 	o := DefaultOptions()
 	for i := range 200 {
 		ids := make([]Identity, 100)
 		for j := range ids {
 			ids[j] = identity(100*i + j)
 		}
-		d.ledgers[i%3].RecordCrash(ids)
-		d.tell()
+		d.trackers[i%3].RecordCrash(ids)
+		d.exchangeNotes()
 	}
-	must.Eq(t, 3, d.refusing(deadly))
-	for _, l := range d.ledgers {
+	must.Eq(t, 3, d.quarantining(crashingRequest))
+	for _, l := range d.trackers {
 		must.LessEq(t, o.MaxSuspects, len(l.suspects))
 		size := 0
 		for _, n := range l.Notes(nil) {
 			size += len(n)
 		}
-		must.LessEq(t, maxEndedNotes*(maxEndedUnder*len(Identity{})+16), size)
+		must.LessEq(t, maxCrashNotes*(maxIdentitiesPerCrash*len(Identity{})+16), size)
 	}
-	d.pass(3 * o.Window)
-	for _, l := range d.ledgers {
+	d.advance(3 * o.Window)
+	for _, l := range d.trackers {
 		must.MapLen(t, 0, l.seen)
 		must.LessEq(t, 1, len(l.suspects))
 	}
@@ -205,7 +206,7 @@
 
 // Two requests that differ in any field must have different identities, even if the
 // concatenations of their fields are equal.
-func TestIdentityOf_TellsRequestsApart(t *testing.T) {
+func TestIdentityOf_DistinguishesRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) Request {
 			s := rapid.StringMatching("[ab]{0,2}")
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -10,23 +10,23 @@
 	"github.com/crocuscross/crocuscross/rollout/rolloutpb"
 )
 
-// ErrBadReport is returned for a report that no gate can have sent.
-var ErrBadReport = errors.New("invalid rollout report")
+// ErrInvalidReport is returned for a report that no gate can have sent.
+var ErrInvalidReport = errors.New("invalid rollout report")
 
-var outcomes = map[Outcome]rolloutpb.Outcome{
+var outcomeMessages = map[Outcome]rolloutpb.Outcome{
 	Undecided:  rolloutpb.Outcome_OUTCOME_UNSPECIFIED,
 	Succeeded:  rolloutpb.Outcome_OUTCOME_SUCCEEDED,
 	RolledBack: rolloutpb.Outcome_OUTCOME_ROLLED_BACK,
 }
 
-var modes = map[Mode]rolloutpb.Mode{
+var modeMessages = map[Mode]rolloutpb.Mode{
 	Open:    rolloutpb.Mode_MODE_OPEN,
 	Closed:  rolloutpb.Mode_MODE_CLOSED,
 	Limited: rolloutpb.Mode_MODE_LIMITED,
 }
 
-// keyOf returns the key of a value in m, the zero key if m does not contain the value.
-func keyOf[K, V comparable](m map[K]V, value V) K {
+// keyFor returns the key of a value in m, the zero key if m does not contain the value.
+func keyFor[K, V comparable](m map[K]V, value V) K {
 	for k, v := range m {
 		if v == value {
 			return k
@@ -40,19 +40,19 @@
 func EncodeReport(o Order, r Report) *rolloutpb.Report {
 	m := &rolloutpb.Report{
 		Host: r.Server.Host, Boot: r.Server.Boot, Life: r.Server.Instance, Service: o.Service, Order: o.Offset,
-		NewVersion: r.NewVersion, OrderAgeMs: uint32(max(r.OrderAge.Milliseconds(), 0)), Outcome: outcomes[r.Outcome],
-		Admitted: r.Admitted, InFlight: uint32(r.InFlight), Mode: modes[r.Mode],
+		NewVersion: r.NewVersion, OrderAgeMs: uint32(max(r.OrderAge.Milliseconds(), 0)), Outcome: outcomeMessages[r.Outcome],
+		Admitted: r.Admitted, InFlight: uint32(r.InFlight), Mode: modeMessages[r.Mode],
 	}
-	for route, c := range r.Tally {
+	for route, c := range r.Routes {
 		m.Routes = append(m.Routes, &rolloutpb.RouteCounts{
-			Route: route, Answered: uint32(c.Answered), Failed: uint32(c.Failed), Latencies: c.trimmed(),
+			Route: route, Answered: uint32(c.Answered), Failed: uint32(c.Failed), Latencies: c.trimmedLatencies(),
 		})
 	}
 	return m
 }
 
-// trimmed returns the latency buckets without the trailing empty ones.
-func (c *Counts) trimmed() []uint32 {
+// trimmedLatencies returns the latency buckets without the trailing empty ones.
+func (c *Counts) trimmedLatencies() []uint32 {
 	n := latencyBuckets
 	for n > 0 && c.Latencies[n-1] == 0 {
 		n--
@@ -60,25 +60,25 @@
 	return append([]uint32(nil), c.Latencies[:n]...)
 }
 
-// DecodeReport converts a message to a report. The error is ErrBadReport if the message has too
-// many routes or latency buckets.
+// DecodeReport converts a message to a report. The error is ErrInvalidReport if the message has
+// too many routes or latency buckets.
 func DecodeReport(m *rolloutpb.Report) (Report, error) {
 	r := Report{
 		Server:     ServerID{Host: m.GetHost(), Boot: m.GetBoot(), Instance: m.GetLife()},
 		NewVersion: m.GetNewVersion(), OrderAge: time.Duration(m.GetOrderAgeMs()) * time.Millisecond,
-		Outcome: keyOf(outcomes, m.GetOutcome()), Mode: keyOf(modes, m.GetMode()),
-		Admitted: m.GetAdmitted(), InFlight: int(m.GetInFlight()), Tally: make(Tally, len(m.GetRoutes())),
+		Outcome: keyFor(outcomeMessages, m.GetOutcome()), Mode: keyFor(modeMessages, m.GetMode()),
+		Admitted: m.GetAdmitted(), InFlight: int(m.GetInFlight()), Routes: make(RouteCounts, len(m.GetRoutes())),
 	}
 	if len(m.GetRoutes()) > maxRoutes+1 {
-		return r, errors.Wrapf(ErrBadReport, "%d routes, more than allowed", len(m.GetRoutes()))
+		return r, errors.Wrapf(ErrInvalidReport, "%d routes, more than allowed", len(m.GetRoutes()))
 	}
 	for _, route := range m.GetRoutes() {
 		if len(route.GetLatencies()) > latencyBuckets {
-			return r, errors.Wrapf(ErrBadReport, "%d latency buckets, more than allowed", len(route.GetLatencies()))
+			return r, errors.Wrapf(ErrInvalidReport, "%d latency buckets, more than allowed", len(route.GetLatencies()))
 		}
 		c := &Counts{Answered: uint64(route.GetAnswered()), Failed: uint64(route.GetFailed())}
 		copy(c.Latencies[:], route.GetLatencies())
-		r.Tally[route.GetRoute()] = c
+		r.Routes[route.GetRoute()] = c
 	}
 	return r, nil
 }
@@ -86,8 +86,8 @@
 // EncodePermit converts a permit to its message.
 func EncodePermit(p Permit) *rolloutpb.Permit {
 	return &rolloutpb.Permit{
-		Mode: modes[p.Mode], AdmitUpTo: p.AdmitUpTo, LeaseMs: uint32(p.Lease.Milliseconds()),
-		Outcome: outcomes[p.Outcome], Recorded: p.Recorded,
+		Mode: modeMessages[p.Mode], AdmitUpTo: p.AdmitUpTo, LeaseMs: uint32(p.Lease.Milliseconds()),
+		Outcome: outcomeMessages[p.Outcome], Recorded: p.Recorded,
 	}
 }
 
@@ -95,8 +95,8 @@
 // therefore expires at once, so that it opens no gate.
 func DecodePermit(m *rolloutpb.Permit) Permit {
 	p := Permit{
-		Mode: keyOf(modes, m.GetMode()), AdmitUpTo: m.GetAdmitUpTo(), Lease: time.Duration(m.GetLeaseMs()) * time.Millisecond,
-		Outcome: keyOf(outcomes, m.GetOutcome()), Recorded: m.GetRecorded(),
+		Mode: keyFor(modeMessages, m.GetMode()), AdmitUpTo: m.GetAdmitUpTo(), Lease: time.Duration(m.GetLeaseMs()) * time.Millisecond,
+		Outcome: keyFor(outcomeMessages, m.GetOutcome()), Recorded: m.GetRecorded(),
 	}
 	if p.Mode == 0 {
 		p.Lease = 0
@@ -117,28 +117,28 @@
 	if e.Order.Offset == o.Offset {
 		return e.Order.Service == o.Service
 	}
-	renamed := e.Order
-	renamed.Offset = o.Offset
-	return renamed == o && eventlog.Epoch(e.Order.Offset) < eventlog.Epoch(o.Offset)
+	moved := e.Order
+	moved.Offset = o.Offset
+	return moved == o && eventlog.Epoch(e.Order.Offset) < eventlog.Epoch(o.Offset)
 }
 
 // EncodeEntry serializes an outcome as an entry of the platform's directory.
 func EncodeEntry(e RecordedOutcome) ([]byte, error) {
 	return proto.Marshal(&rolloutpb.Entry{Ended: &rolloutpb.Ended{
-		Service: e.Order.Service, Order: e.Order.Offset, Outcome: outcomes[e.Outcome],
+		Service: e.Order.Service, Order: e.Order.Offset, Outcome: outcomeMessages[e.Outcome],
 		ToVersion: e.Order.ToVersion, DurationMs: e.Order.Duration.Milliseconds(),
 	}})
 }
 
-// DecodeEntry parses an entry of the platform's directory. ok is false for entries of other
-// kinds, which the directory holds as well.
+// DecodeEntry parses an entry of the platform's directory. The second result is false for
+// entries of other kinds, which the directory holds as well.
 func DecodeEntry(value []byte) (RecordedOutcome, bool) {
 	var m rolloutpb.Entry
 	if proto.Unmarshal(value, &m) != nil || m.GetEnded() == nil {
 		return RecordedOutcome{}, false
 	}
 	ended := m.GetEnded()
-	e := RecordedOutcome{Outcome: keyOf(outcomes, ended.GetOutcome()), Order: Order{
+	e := RecordedOutcome{Outcome: keyFor(outcomeMessages, ended.GetOutcome()), Order: Order{
 		Service: ended.GetService(), ToVersion: ended.GetToVersion(), Offset: ended.GetOrder(),
 		Duration: time.Duration(ended.GetDurationMs()) * time.Millisecond,
 	}}
--- a/rollout/tally.go
+++ b/rollout/counts.go
@@ -29,7 +29,7 @@
 // Counts holds the results of the calls on one route.
 type Counts struct {
 	// Answered and Failed count the calls that ended with these results. Calls with the result
-	// GivenUp are not counted.
+	// Inconclusive are not counted.
 	Answered, Failed uint64
 	// Latencies counts answered calls by latency bucket. Answers of servers that are slow
 	// because they started recently are left out.
@@ -44,9 +44,9 @@
 	}
 }
 
-// less returns the difference between c and an earlier state o of the same counts, c itself if
+// minus returns the difference between c and an earlier state o of the same counts, c itself if
 // o is nil.
-func (c *Counts) less(o *Counts) *Counts {
+func (c *Counts) minus(o *Counts) *Counts {
 	if o == nil {
 		return c
 	}
@@ -59,11 +59,11 @@
 	return &n
 }
 
-// ended returns the number of calls that were answered or failed.
-func (c *Counts) ended() uint64 { return c.Answered + c.Failed }
+// total returns the number of calls that were answered or failed.
+func (c *Counts) total() uint64 { return c.Answered + c.Failed }
 
-// timed returns the number of latencies in bucket from and all above it.
-func (c *Counts) timed(from int) uint64 {
+// latenciesFrom returns the number of latencies in bucket from and all above it.
+func (c *Counts) latenciesFrom(from int) uint64 {
 	var n uint64
 	for _, count := range c.Latencies[from:] {
 		n += uint64(count)
@@ -71,9 +71,9 @@
 	return n
 }
 
-// median returns the index of the bucket with the median latency.
-func (c *Counts) median() int {
-	half := c.timed(0) / 2
+// medianBucket returns the index of the bucket with the median latency.
+func (c *Counts) medianBucket() int {
+	half := c.latenciesFrom(0) / 2
 	var n uint64
 	for i, count := range c.Latencies {
 		if n += uint64(count); n > half {
@@ -83,11 +83,11 @@
 	return latencyBuckets - 1
 }
 
-// Tally holds the counts of one or several servers by route.
-type Tally map[string]*Counts
+// RouteCounts holds the counts of one or several servers by route.
+type RouteCounts map[string]*Counts
 
 // add adds the counts of o to t.
-func (t Tally) add(o Tally) {
+func (t RouteCounts) add(o RouteCounts) {
 	for route, c := range o {
 		if t[route] == nil {
 			t[route] = &Counts{}
@@ -96,11 +96,11 @@
 	}
 }
 
-// less returns the difference between t and an earlier state o of the same counts.
-func (t Tally) less(o Tally) Tally {
-	n := make(Tally, len(t))
+// minus returns the difference between t and an earlier state o of the same counts.
+func (t RouteCounts) minus(o RouteCounts) RouteCounts {
+	n := make(RouteCounts, len(t))
 	for route, c := range t {
-		n[route] = c.less(o[route])
+		n[route] = c.minus(o[route])
 	}
 	return n
 }
@@ -108,7 +108,7 @@
 // Result is the result of a call that a gate admitted.
 type Result uint8
 
-// The results. GivenUp calls give no information about the server, for example since the
+// The results. Inconclusive calls give no information about the server, for example since the
 // caller canceled them.
 const (
 	Answered Result = iota
@@ -118,27 +118,27 @@
 
 // recorder counts the results of calls by route. It is safe for concurrent use.
 type recorder struct {
-	mu    sync.Mutex
-	tally Tally
+	mu     sync.Mutex
+	routes RouteCounts
 }
 
-// ended counts a call that has ended. The latency is counted only if warm is true.
-func (r *recorder) ended(route string, result Result, latency time.Duration, warm bool) {
+// record counts a call that has ended. The latency is counted only if warm is true.
+func (r *recorder) record(route string, result Result, latency time.Duration, warm bool) {
 	if result == Inconclusive {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.tally == nil {
-		r.tally = make(Tally)
+	if r.routes == nil {
+		r.routes = make(RouteCounts)
 	}
-	if r.tally[route] == nil && len(r.tally) >= maxRoutes {
+	if r.routes[route] == nil && len(r.routes) >= maxRoutes {
 		route = otherRoutes
 	}
-	c := r.tally[route]
+	c := r.routes[route]
 	if c == nil {
 		c = &Counts{}
-		r.tally[route] = c
+		r.routes[route] = c
 	}
 	if result == Failed {
 		c.Failed++
@@ -150,11 +150,11 @@
 	}
 }
 
-// copy returns a copy of the current counts.
-func (r *recorder) copy() Tally {
+// snapshot returns a snapshot of the current counts.
+func (r *recorder) snapshot() RouteCounts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := make(Tally, len(r.tally))
-	t.add(r.tally)
+	t := make(RouteCounts, len(r.routes))
+	t.add(r.routes)
 	return t
 }
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -12,49 +12,49 @@
 	// duration: the share MaxShare of the service's calls, plus Slack calls.
 	MaxShare float64
 	Slack    int
-	Judge    Judge
+	Analyzer Analyzer
 	Logger   *slog.Logger
 }
 
 // DefaultOptions returns options by which a bad version receives at most a tenth of the calls
 // plus 50.
 func DefaultOptions() Options {
-	return Options{MaxShare: 0.1, Slack: 50, Judge: DefaultJudge(), Logger: slog.New(slog.DiscardHandler)}
+	return Options{MaxShare: 0.1, Slack: 50, Analyzer: DefaultAnalyzer(), Logger: slog.New(slog.DiscardHandler)}
 }
 
 const (
 	// permitLease is how long a permit is valid: long enough that a few reports may be lost,
 	// and short enough that an isolated gate of the new version closes well within the time
 	// in which a bad version has to be rolled back.
-	lease = time.Second
+	permitLease = time.Second
 	// gateTimeout is how long a server counts as alive after the last report of its gate.
-	silence = 1500 * time.Millisecond
+	gateTimeout = 1500 * time.Millisecond
 	// rolloutRetention is how long a rollout is kept after the last report of any of its gates.
-	forgetAfter = 10 * time.Second
+	rolloutRetention = 10 * time.Second
 	// evaluateInterval is the minimum time between two evaluations of a rollout.
-	evaluateGap = 200 * time.Millisecond
+	evaluateInterval = 200 * time.Millisecond
 	// recentWindow is the minimum period of the recent results, which are evaluated beside the
 	// results since the order: otherwise the earlier good answers of a version that turns bad
 	// after a while would hide its failures.
-	window = 1500 * time.Millisecond
+	recentWindow = 1500 * time.Millisecond
 
 	// trialShare and trialSlackShare are the fractions of MaxShare and Slack that are granted
 	// to the trial. The rest covers calls in flight and the move at the end.
-	trialShare = 0.9
-	spentShare = 0.6
+	trialShare      = 0.9
+	trialSlackShare = 0.6
 	// trialTurns is the number of servers that are on trial one after the other during an
 	// order, if the bound is too low for two at a time. More than one is needed since faults
 	// of a single host must not cause a rollback, and few since each server needs some time
 	// under load for its faults to show.
-	turns = 4
+	trialTurns = 4
 	// minTrialCalls is the number of trial calls that are needed before the gates of the new
 	// version open. For services with few calls, the fraction minTrialShare of the calls that
 	// the bound allows is enough.
-	enoughCalls = 60
-	enoughShare = 0.25
+	minTrialCalls = 60
+	minTrialShare = 0.25
 	// minGrant is the number of calls that a permit for a server on trial grants at least, as
 	// long as the bound allows them.
-	firstGrant = 8
+	minGrant = 8
 )
 
 // Decider decides about the rollouts that gates report to it. Any daemon can do this, and
@@ -66,12 +66,12 @@
 
 	mu sync.Mutex
 	// rollouts holds the rollout of the latest order by service.
-	rollouts map[string]*active
+	rollouts map[string]*activeRollout
 }
 
 // NewDecider returns a decider without rollouts.
 func NewDecider(opts Options) *Decider {
-	return &Decider{opts: opts, rollouts: make(map[string]*active)}
+	return &Decider{opts: opts, rollouts: make(map[string]*activeRollout)}
 }
 
 // Report processes the report of a gate on an order and returns the gate's next permit. A newer
@@ -81,25 +81,25 @@
 	defer d.mu.Unlock()
 	c := d.rollouts[o.Service]
 	if c == nil || c.order.Offset < o.Offset {
-		c = newActive(o, d.opts, now)
+		c = newActiveRollout(o, d.opts, now)
 		d.rollouts[o.Service] = c
 		d.opts.Logger.Info("rollout: decides", "service", o.Service, "to_version", o.ToVersion, "order", o.Offset, "duration", o.Duration)
 	}
 	if c.order.Offset > o.Offset {
 		return SupersededPermit(r)
 	}
-	c.take(r, now)
+	c.addReport(r, now)
 	c.evaluate(now)
-	return c.permit(r, now)
+	return c.permitFor(r, now)
 }
 
-// SupersededPermit returns the permit for a gate whose order was replaced by a newer one that its
-// daemon has not received yet.
-func SupersededPermit(r Report) Permit { return Permit{Mode: safeMode(r), Lease: lease} }
+// SupersededPermit returns the permit for a gate whose order was replaced by a newer one that
+// its daemon has not received yet.
+func SupersededPermit(r Report) Permit { return Permit{Mode: modeBeforeOrder(r), Lease: permitLease} }
 
-// safeMode returns the mode in which calls go to the servers that received them before the
-// order.
-func safeMode(r Report) Mode {
+// modeBeforeOrder returns the mode in which calls go to the servers that received them before
+// the order.
+func modeBeforeOrder(r Report) Mode {
 	if r.NewVersion {
 		return Closed
 	}
@@ -127,7 +127,7 @@
 		switch {
 		case due:
 			tasks = append(tasks, t)
-		case now.Sub(c.heard) > forgetAfter:
+		case now.Sub(c.lastReport) > rolloutRetention:
 			delete(d.rollouts, service)
 		}
 	}
@@ -144,10 +144,10 @@
 // Loaded passes the result of a Load task, Undecided if no outcome is recorded. Until then no
 // calls are granted to the new version.
 func (d *Decider) Loaded(o Order, outcome Outcome) {
-	d.with(o, func(c *active) {
+	d.withRollout(o, func(c *activeRollout) {
 		c.loaded = true
 		if outcome != Undecided {
-			c.end(outcome, "as recorded")
+			c.end(outcome, "recorded earlier")
 		}
 	})
 }
@@ -155,14 +155,14 @@
 // Recorded confirms that an outcome was recorded and reported to the operator. Undecided
 // confirms that the operator was informed of a rollout in progress.
 func (d *Decider) Recorded(o Order, outcome Outcome) {
-	d.with(o, func(c *active) {
-		c.told = true
-		c.toldOutcome = outcome
+	d.withRollout(o, func(c *activeRollout) {
+		c.published = true
+		c.publishedOutcome = outcome
 	})
 }
 
-// with calls f with the rollout of an order, if that is the latest order of its service.
-func (d *Decider) with(o Order, f func(*active)) {
+// withRollout calls f with the rollout of an order, if that is the latest order of its service.
+func (d *Decider) withRollout(o Order, f func(*activeRollout)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if c := d.rollouts[o.Service]; c != nil && c.order.Offset == o.Offset {
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -41,7 +41,7 @@
 	if w == nil {
 		return nil, nil
 	}
-	if !w.take(g.now()) {
+	if !w.admit(g.now()) {
 		return nil, errWithheld
 	}
 	w.inFlight.Add(1)
@@ -58,7 +58,7 @@
 		return
 	}
 	c.w.inFlight.Add(-1)
-	c.w.recorder.ended(route, result, latency, warm)
+	c.w.recorder.record(route, result, latency, warm)
 }
 
 // Tracker holds the permit and the call results of one run of a backend server in one rollout.
@@ -75,25 +75,25 @@
 	recorder recorder
 	admitted atomic.Int64
 	inFlight atomic.Int64
-	permit   atomic.Pointer[held]
+	permit   atomic.Pointer[leasedPermit]
 	// outcome holds an Outcome.
 	outcome atomic.Uint32
 }
 
-// held is a permit with its expiry time.
-type held struct {
+// leasedPermit is a permit with its expiry time.
+type leasedPermit struct {
 	mode  Mode
 	limit int64
 	until time.Time
 }
 
-// SetPermit stores the answer to a report. Its lease starts at sent, the time at which the report
-// was sent. The first outcome other than Undecided is final.
+// SetPermit stores the answer to a report. Its lease starts at sent, the time at which the
+// report was sent. The first outcome other than Undecided is final.
 func (w *Tracker) SetPermit(p Permit, sent time.Time) {
 	if p.Outcome != Undecided {
 		w.outcome.CompareAndSwap(uint32(Undecided), uint32(p.Outcome))
 	}
-	w.permit.Store(&held{p.Mode, int64(p.AdmitUpTo), sent.Add(p.Lease)})
+	w.permit.Store(&leasedPermit{p.Mode, int64(p.AdmitUpTo), sent.Add(p.Lease)})
 }
 
 // Outcome returns the outcome of the rollout as known to this daemon.
@@ -112,17 +112,17 @@
 		}
 		return Closed
 	case RolledBack:
-		return safeMode(Report{NewVersion: w.NewVersion})
+		return modeBeforeOrder(Report{NewVersion: w.NewVersion})
 	}
 	h := w.permit.Load()
 	if h == nil || !now.Before(h.until) {
-		return safeMode(Report{NewVersion: w.NewVersion})
+		return modeBeforeOrder(Report{NewVersion: w.NewVersion})
 	}
 	return h.mode
 }
 
-// take reports whether a call may be forwarded to the server, and counts it if so.
-func (w *Tracker) take(now time.Time) bool {
+// admit reports whether a call may be forwarded to the server, and counts it if so.
+func (w *Tracker) admit(now time.Time) bool {
 	switch w.modeAt(now) {
 	case Closed:
 		return false
@@ -141,6 +141,6 @@
 func (w *Tracker) Report(now time.Time) Report {
 	return Report{
 		Server: w.Server, NewVersion: w.NewVersion, OrderAge: now.Sub(w.OrderKnownAt), Outcome: w.Outcome(), Mode: w.modeAt(now),
-		Admitted: uint64(max(w.admitted.Load(), 0)), InFlight: int(w.inFlight.Load()), Tally: w.recorder.copy(),
+		Admitted: uint64(max(w.admitted.Load(), 0)), InFlight: int(w.inFlight.Load()), Routes: w.recorder.snapshot(),
 	}
 }
--- a/rollout/helper_test.go
+++ b/rollout/helper_test.go
@@ -9,71 +9,72 @@
 )
 
 const (
-	// simStep is the step of the simulated time, newsLag the time until senders receive a
+	// simStep is the step of the simulated time, modeDelay the time until senders receive a
 	// change of a gate's mode.
-	simStep = 25 * time.Millisecond
-	newsLag = 300 * time.Millisecond
-	// startAfter is the time from the order until the new servers have started.
-	startAfter = 500 * time.Millisecond
+	simStep   = 25 * time.Millisecond
+	modeDelay = 300 * time.Millisecond
+	// startDelay is the time from the order until the new servers have started.
+	startDelay = 500 * time.Millisecond
 )
 
 // behavior describes the faults of the servers of a version.
 type behavior struct {
-	// failing is the share of calls that fail, slow the share that take slowBy times as long.
-	failing, slow, slowBy float64
+	// failShare is the share of calls that fail, slowShare the share that take slowFactor
+	// times as long.
+	failShare, slowShare, slowFactor float64
 	// from is the time from the order until the faults begin.
 	from time.Duration
 	// route is the only route with faults, empty for all routes.
 	route string
-	// above is the load in calls per second from which a server has faults.
-	above float64
+	// minLoad is the load in calls per second from which a server has faults.
+	minLoad float64
 }
 
-// strikes reports whether the faults apply to a call.
-func (b behavior) strikes(age time.Duration, route string, rate float64) bool {
-	return age >= b.from && (b.route == "" || b.route == route) && rate >= b.above
+// affects reports whether the faults apply to a call.
+func (b behavior) affects(age time.Duration, route string, rate float64) bool {
+	return age >= b.from && (b.route == "" || b.route == route) && rate >= b.minLoad
 }
 
 // simRoute is a kind of call.
 type simRoute struct {
 	name string
-	// share is the share of all calls, time the usual latency, and failing the share of calls
-	// that fail regardless of the version.
-	share   float64
-	time    time.Duration
-	failing float64
+	// share is the share of all calls, time the usual latency, and failShare the share of
+	// calls that fail regardless of the version.
+	share     float64
+	time      time.Duration
+	failShare float64
 }
 
 // simServer is a backend server with its gate.
 type simServer struct {
 	tracker *Tracker
 	gate    *Gate
-	// lone describes faults of this server in addition to those of its version.
-	lone behavior
+	// ownFaults describes faults of this server in addition to those of its version.
+	ownFaults behavior
 	// recent holds the times of the calls in the last second, to compute the load.
 	recent []time.Time
 	// open is the state of the gate as known to senders, changed the time since which the
 	// actual state differs from it.
 	open    bool
 	changed time.Time
-	// nextRep is the time from the order until the next report.
-	nextRep time.Duration
+	// nextReport is the time from the order until the next report.
+	nextReport time.Duration
 }
 
 // sim simulates a rollout with servers of two versions, senders that choose among the gates
 // which are open as far as they know, and the actual Gate and Decider, connected by reports.
 type sim struct {
-	t       *testing.T
-	rng     *rand.Rand
-	now     time.Time
-	begun   time.Time
-	order   Order
-	opts    Options
-	decider *Decider
-	old     []*simServer
-	fresh   []*simServer
-	routes  []simRoute
-	rate    func(age time.Duration) float64
+	t          *testing.T
+	rng        *rand.Rand
+	now        time.Time
+	begun      time.Time
+	order      Order
+	opts       Options
+	decider    *Decider
+	oldServers []*simServer
+	newServers []*simServer
+	routes     []simRoute
+	rate       func(age time.Duration) float64
 	// version and oldVersion are the behaviors of the new and the old servers.
 	version, oldVersion behavior
 	// reports tells whether the decider can be reached at a time after the order.
@@ -82,21 +83,21 @@
 	store func(age time.Duration) bool
 
 	recorded Outcome
-	// told holds the time at which the operator received each outcome.
-	told map[Outcome]time.Duration
-	// debt is the number of calls that are due, with a fraction.
-	debt float64
+	// reportedAt holds the time at which the operator received each outcome.
+	reportedAt map[Outcome]time.Duration
+	// dueCalls is the number of calls that are due, with a fraction.
+	dueCalls float64
 	// calls and exposed count the calls to the service and to the new version until the end
 	// of the order's duration, bad the bad answers of the new version.
 	calls, exposed, bad int
 	// fiftieth is the time of the 50th bad answer, last that of the last call to the new
 	// version, and served that of the last call to any server.
 	fiftieth, last, served time.Duration
-	// refused counts the calls that no gate admitted.
-	refused int
+	// rejected counts the calls that no gate admitted.
+	rejected int
 }
 
-func newSim(t *testing.T, seed uint64, old, fresh int, rate float64) *sim {
+func newSim(t *testing.T, seed uint64, oldCount, newCount int, rate float64) *sim {
 	s := &sim{
 		t: t, rng: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1000, 0),
 		order: Order{Service: "signs", ToVersion: "v2", Duration: 12 * time.Second, Offset: 7},
@@ -104,18 +105,18 @@
 		routes: []simRoute{
 			{"lookup", 0.6, 100 * time.Millisecond, 0.01}, {"hold", 0.37, 130 * time.Millisecond, 0.002}, {"rare", 0.03, 80 * time.Millisecond, 0.002},
 		},
-		rate:    func(time.Duration) float64 { return rate },
-		reports: func(time.Duration) bool { return true },
-		store:   func(time.Duration) bool { return true },
-		told:    map[Outcome]time.Duration{},
+		rate:       func(time.Duration) float64 { return rate },
+		reports:    func(time.Duration) bool { return true },
+		store:      func(time.Duration) bool { return true },
+		reportedAt: map[Outcome]time.Duration{},
 	}
 	s.begun = s.now
 	s.decider = NewDecider(s.opts)
-	for i := range old {
-		s.old = append(s.old, s.server(fmt.Sprintf("old-%d", i), false))
+	for i := range oldCount {
+		s.oldServers = append(s.oldServers, s.server(fmt.Sprintf("old-%d", i), false))
 	}
-	for i := range fresh {
-		s.fresh = append(s.fresh, s.server(fmt.Sprintf("new-%d", i), true))
+	for i := range newCount {
+		s.newServers = append(s.newServers, s.server(fmt.Sprintf("new-%d", i), true))
 	}
 	return s
 }
@@ -125,7 +126,7 @@
 	v.gate = NewGate(func() time.Time { return s.now })
 	v.tracker = &Tracker{Order: s.order, Server: ServerID{Host: host, Boot: 1}, NewVersion: newVersion, OrderKnownAt: s.begun}
 	v.gate.SetTracker(v.tracker)
-	v.nextRep = time.Duration(s.rng.Int64N(int64(250 * time.Millisecond)))
+	v.nextReport = time.Duration(s.rng.Int64N(int64(250 * time.Millisecond)))
 	return v
 }
 
@@ -142,11 +143,11 @@
 	s.now = s.now.Add(simStep)
 	if s.reports(s.age()) {
 		s.report()
-		s.work()
+		s.runTasks()
 	}
-	s.news()
-	s.debt += s.rate(s.age()) * simStep.Seconds()
-	for ; s.debt >= 1; s.debt-- {
+	s.deliverModes()
+	s.dueCalls += s.rate(s.age()) * simStep.Seconds()
+	for ; s.dueCalls >= 1; s.dueCalls-- {
 		s.call()
 	}
 }
@@ -154,29 +155,31 @@
 // report sends the reports that are due.
 func (s *sim) report() {
 	for _, v := range s.all() {
-		if s.age() < v.nextRep || v.tracker.NewVersion && s.age() < startAfter {
+		if s.age() < v.nextReport || v.tracker.NewVersion && s.age() < startDelay {
 			continue
 		}
-		v.nextRep = s.age() + 250*time.Millisecond
+		v.nextReport = s.age() + 250*time.Millisecond
 		if !v.tracker.NewVersion && s.order.Duration-s.age() > 4*time.Second {
-			v.nextRep += 250 * time.Millisecond
+			v.nextReport += 250 * time.Millisecond
 		}
 		v.tracker.SetPermit(s.decider.Report(s.order, v.tracker.Report(s.now), s.now), s.now)
 	}
 }
 
-func (s *sim) all() []*simServer { return append(append([]*simServer(nil), s.old...), s.fresh...) }
+func (s *sim) all() []*simServer {
+	return append(append([]*simServer(nil), s.oldServers...), s.newServers...)
+}
 
-// work performs the decider's tasks.
-func (s *sim) work() {
+// runTasks performs the decider's tasks.
+func (s *sim) runTasks() {
 	for _, task := range s.decider.Tasks(s.now) {
 		switch {
 		case !s.store(s.age()):
 		case task.Load:
 			s.decider.Loaded(task.Order, s.recorded)
 		default:
-			if _, ok := s.told[task.Outcome]; !ok {
-				s.told[task.Outcome] = s.age()
+			if _, ok := s.reportedAt[task.Outcome]; !ok {
+				s.reportedAt[task.Outcome] = s.age()
 			}
 			if task.Outcome != Undecided {
 				s.recorded = task.Outcome
@@ -186,17 +189,17 @@
 	}
 }
 
-// news passes changes of the gates' modes to the senders after newsLag.
-func (s *sim) news() {
+// deliverModes passes changes of the gates' modes to the senders after modeDelay.
+func (s *sim) deliverModes() {
 	for _, v := range s.all() {
-		is := v.tracker.Mode(s.now) != Closed && (!v.tracker.NewVersion || s.age() >= startAfter)
+		open := v.tracker.Mode(s.now) != Closed && (!v.tracker.NewVersion || s.age() >= startDelay)
 		switch {
-		case is == v.open:
+		case open == v.open:
 			v.changed = time.Time{}
 		case v.changed.IsZero():
 			v.changed = s.now
-		case s.now.Sub(v.changed) >= newsLag:
-			v.open, v.changed = is, time.Time{}
+		case s.now.Sub(v.changed) >= modeDelay:
+			v.open, v.changed = open, time.Time{}
 		}
 	}
 }
@@ -206,7 +209,7 @@
 	var open []*simServer
 	for _, v := range s.all() {
 		// Old servers are stopped once the operator has received the success.
-		if at, ok := s.told[Succeeded]; v.open && !(ok && !v.tracker.NewVersion && s.age() >= at) {
+		if at, ok := s.reportedAt[Succeeded]; v.open && !(ok && !v.tracker.NewVersion && s.age() >= at) {
 			open = append(open, v)
 		}
 	}
@@ -222,35 +225,35 @@
 		}
 		open = slices.Delete(open, i, i+1)
 	}
-	s.refused++
+	s.rejected++
 }
 
 // serve processes a call at a server.
 func (s *sim) serve(v *simServer, c *Call) {
-	route := s.draw()
+	route := s.drawRoute()
 	for len(v.recent) > 0 && s.now.Sub(v.recent[0]) > time.Second {
 		v.recent = v.recent[1:]
 	}
 	v.recent = append(v.recent, s.now)
 	result, took := Answered, time.Duration(float64(route.time)*(0.8+0.6*s.rng.Float64()))
-	failing := s.rng.Float64() < route.failing
-	of := s.oldVersion
+	failed := s.rng.Float64() < route.failShare
+	versionFaults := s.oldVersion
 	if v.tracker.NewVersion {
-		of = s.version
+		versionFaults = s.version
 	}
 	bad := false
-	for _, b := range []behavior{of, v.lone} {
-		if !b.strikes(s.age(), route.name, float64(len(v.recent))) {
+	for _, b := range []behavior{versionFaults, v.ownFaults} {
+		if !b.affects(s.age(), route.name, float64(len(v.recent))) {
 			continue
 		}
-		if s.rng.Float64() < b.failing {
-			failing, bad = true, true
+		if s.rng.Float64() < b.failShare {
+			failed, bad = true, true
 		}
-		if s.rng.Float64() < b.slow {
-			took, bad = time.Duration(float64(took)*b.slowBy), true
+		if s.rng.Float64() < b.slowShare {
+			took, bad = time.Duration(float64(took)*b.slowFactor), true
 		}
 	}
-	if failing {
+	if failed {
 		result = Failed
 	}
 	c.End(route.name, result, took, true)
@@ -278,8 +281,8 @@
 	}
 }
 
-// draw returns a random route according to the shares.
-func (s *sim) draw() simRoute {
+// drawRoute returns a random route according to the shares.
+func (s *sim) drawRoute() simRoute {
 	x := s.rng.Float64()
 	for _, r := range s.routes {
 		if x -= r.share; x < 0 {
--- a/rollout/role.go
+++ b/rollout/role.go
@@ -6,29 +6,29 @@
 	// orderWait is how long a server stays closed after its start if most other servers have
 	// another version and no order for its version is known. The order may not have arrived
 	// yet, and without it the server would receive its full share of the calls at once.
-	unknownPatience = 3 * time.Second
+	orderWait = 3 * time.Second
 	// inServiceAge is how long before the order a server of the target version must have been
 	// seen to count as in service already. Such a server is not a canary, and withholding
 	// calls from it would leave the service without servers.
-	inServiceAfter = 10 * time.Second
+	inServiceAge = 10 * time.Second
 	// stopWait is how long a server of the old version stays closed after the rollout has
 	// succeeded. The operator stops it in this time without draining it, and calls that it
 	// is processing then are lost. A server that still runs afterwards is not going to be
 	// stopped.
-	stopPatience = 10 * time.Second
+	stopWait = 10 * time.Second
 )
 
-// PeerCounts counts the other live servers of a service by version. Servers whose version is unknown
-// are not counted.
+// PeerCounts counts the other live servers of a service by version. Servers whose version is
+// unknown are not counted.
 type PeerCounts struct {
 	// Same counts the servers with the version of the server beside the daemon, Other those
 	// with another version, and Target those with the version that traffic is to move to.
 	Same, Other, Target int
 }
 
-// mostAreOther reports whether the local server's version is in the minority: at least two other
+// inMinority reports whether the local server's version is in the minority: at least two other
 // servers, and more than share the local version, have a different one.
-func (p PeerCounts) mostAreOther() bool { return p.Other > 1 && p.Same < p.Other }
+func (p PeerCounts) inMinority() bool { return p.Other > 1 && p.Same < p.Other }
 
 // LocalServer describes the backend server beside a daemon and its service.
 type LocalServer struct {
@@ -46,7 +46,7 @@
 	Peers func() PeerCounts
 }
 
-// Role is the part of a server in the rollout of its service.
+// Role determines how the rollout of its service affects a server.
 type Role uint8
 
 // The roles. An Unaffected server receives calls as it would without an order.
@@ -79,20 +79,20 @@
 // is known.
 func RoleOf(o *Order, outcome Outcome, l LocalServer, now time.Time) Role {
 	if o == nil {
-		if l.Version != "" && now.Sub(l.FirstSeen) < unknownPatience && l.Peers().mostAreOther() {
+		if l.Version != "" && now.Sub(l.FirstSeen) < orderWait && l.Peers().inMinority() {
 			return Pending
 		}
 		return Unaffected
 	}
 	stable := l.Version != o.ToVersion
 	switch {
-	case l.Version == "" && outcome != Succeeded && now.Sub(l.FirstSeen) < unknownPatience && l.Peers().Target > 0:
+	case l.Version == "" && outcome != Succeeded && now.Sub(l.FirstSeen) < orderWait && l.Peers().Target > 0:
 		// The daemon has restarted and does not know the version yet: the server may be one of
 		// those with the target version.
 		return Pending
 	case stable && l.Unproven && l.Peers().Other > 0:
 		return Pending
-	case outcome == Succeeded && stable && now.Sub(l.OutcomeKnownAt) < stopPatience:
+	case outcome == Succeeded && stable && now.Sub(l.OutcomeKnownAt) < stopWait:
 		return Stable
 	case outcome == Succeeded, outcome == RolledBack && stable:
 		return Unaffected
@@ -100,9 +100,9 @@
 		return Stable
 	case outcome == RolledBack:
 		return Canary
-	case l.OrderKnownAt.Sub(l.FirstSeen) > inServiceAfter:
+	case l.OrderKnownAt.Sub(l.FirstSeen) > inServiceAge:
 		return Unaffected
-	case now.Sub(l.FirstSeen) > unknownPatience && l.Peers().Other == 0:
+	case now.Sub(l.FirstSeen) > orderWait && l.Peers().Other == 0:
 		// No server of another version is left to receive the calls.
 		return Unaffected
 	}
--- a/rollout/role_test.go
+++ b/rollout/role_test.go
@@ -9,11 +9,11 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-func counted(p PeerCounts) func() PeerCounts { return func() PeerCounts { return p } }
+func peersFunc(p PeerCounts) func() PeerCounts { return func() PeerCounts { return p } }
 
 // Guards against servers of a new version that receive their full share of the calls before the
 // order is known, and against withholding calls from servers that no others can replace.
-func TestPartOf(t *testing.T) {
+func TestRoleOf(t *testing.T) {
 	start := time.Unix(1000, 0)
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	order := &Order{Service: "signs", ToVersion: "v2", Duration: 12 * time.Second, Offset: 3}
@@ -24,19 +24,19 @@
 		now     float64
 		want    Role
 	}{
-		"no order":                            {nil, 0, LocalServer{Version: "v1", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
-		"no order, in the minority":           {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 1, Pending},
-		"order not received in time":          {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: counted(PeerCounts{Same: 2, Other: 8})}, 4, Unaffected},
-		"no order, version unknown":           {nil, 0, LocalServer{FirstSeen: at(0), Peers: counted(PeerCounts{Other: 8})}, 1, Unaffected},
-		"new version":                         {order, 0, LocalServer{Version: "v2", FirstSeen: at(1), OrderKnownAt: at(1), Peers: counted(PeerCounts{Other: 8})}, 2, Canary},
+		"no order":                            {nil, 0, LocalServer{Version: "v1", FirstSeen: at(0), Peers: peersFunc(PeerCounts{Same: 8})}, 1, Unaffected},
+		"no order, in the minority":           {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: peersFunc(PeerCounts{Same: 2, Other: 8})}, 1, Pending},
+		"order not received in time":          {nil, 0, LocalServer{Version: "v2", FirstSeen: at(0), Peers: peersFunc(PeerCounts{Same: 2, Other: 8})}, 4, Unaffected},
+		"no order, version unknown":           {nil, 0, LocalServer{FirstSeen: at(0), Peers: peersFunc(PeerCounts{Other: 8})}, 1, Unaffected},
+		"new version":                         {order, 0, LocalServer{Version: "v2", FirstSeen: at(1), OrderKnownAt: at(1), Peers: peersFunc(PeerCounts{Other: 8})}, 2, Canary},
 		"old version":                         {order, 0, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 2, Stable},
 		"version unknown, no peer has target": {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0)}, 2, Stable},
-		"version unknown":                     {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
-		"version unknown, rolled back":        {order, RolledBack, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
-		"version unknown for too long":        {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: counted(PeerCounts{Other: 8, Target: 4})}, 5, Stable},
+		"version unknown":                     {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: peersFunc(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
+		"version unknown, rolled back":        {order, RolledBack, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: peersFunc(PeerCounts{Other: 8, Target: 4})}, 2, Pending},
+		"version unknown for too long":        {order, 0, LocalServer{FirstSeen: at(1), OrderKnownAt: at(0), Peers: peersFunc(PeerCounts{Other: 8, Target: 4})}, 5, Stable},
 		"no other server left":                {order, 0, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 4, Unaffected},
-		"in service before the order":         {order, 0, LocalServer{Version: "v2", FirstSeen: at(-60), OrderKnownAt: at(0), Peers: counted(PeerCounts{Same: 8})}, 1, Unaffected},
-		"earlier order not finished":          {order, 0, LocalServer{Version: "v0", FirstSeen: at(-5), OrderKnownAt: at(0), Unproven: true, Peers: counted(PeerCounts{Other: 8})}, 2, Pending},
+		"in service before the order":         {order, 0, LocalServer{Version: "v2", FirstSeen: at(-60), OrderKnownAt: at(0), Peers: peersFunc(PeerCounts{Same: 8})}, 1, Unaffected},
+		"earlier order not finished":          {order, 0, LocalServer{Version: "v0", FirstSeen: at(-5), OrderKnownAt: at(0), Unproven: true, Peers: peersFunc(PeerCounts{Other: 8})}, 2, Pending},
 		"rolled back":                         {order, RolledBack, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0)}, 60, Canary},
 		"rolled back, old version":            {order, RolledBack, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0)}, 60, Unaffected},
 		"succeeded":                           {order, Succeeded, LocalServer{Version: "v2", FirstSeen: at(0), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 12, Unaffected},
@@ -44,7 +44,7 @@
 		"succeeded, old version still runs":   {order, Succeeded, LocalServer{Version: "v1", FirstSeen: at(-60), OrderKnownAt: at(0), OutcomeKnownAt: at(11)}, 30, Unaffected},
 	} {
 		if c.local.Peers == nil {
-			c.local.Peers = counted(PeerCounts{})
+			c.local.Peers = peersFunc(PeerCounts{})
 		}
 		must.Eq(t, c.want, RoleOf(c.order, c.outcome, c.local, at(c.now)), must.Sprint(name))
 	}
@@ -79,9 +79,9 @@
 // Guards against data lost by encoding and decoding reports, permits and directory entries.
 func TestReport_Codec(t *testing.T) {
 	w := &Tracker{Order: Order{Service: "signs", Offset: 7}, Server: ServerID{"h", 1, 2}, NewVersion: true, OrderKnownAt: time.Unix(1000, 0)}
-	w.recorder.ended("r", Answered, 120*time.Millisecond, true)
-	w.recorder.ended("r", Failed, 0, true)
-	w.recorder.ended("r", Inconclusive, 0, true)
+	w.recorder.record("r", Answered, 120*time.Millisecond, true)
+	w.recorder.record("r", Failed, 0, true)
+	w.recorder.record("r", Inconclusive, 0, true)
 	w.SetPermit(Permit{Mode: Limited, AdmitUpTo: 9, Lease: time.Second}, time.Unix(1000, 0))
 	r := w.Report(time.Unix(1000, 5e8))
 	got, err := DecodeReport(EncodeReport(w.Order, r))
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -90,8 +90,8 @@
 	// Admitted counts the calls admitted so far, InFlight those that have not ended.
 	Admitted uint64
 	InFlight int
-	// Tally counts the results of the calls by route.
-	Tally Tally
+	// Routes counts the results of the calls by route.
+	Routes RouteCounts
 }
 
 // Permit is the answer to a report. It sets the mode of the gate until it expires.
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -14,23 +14,23 @@
 
 // badVersions holds the behaviors of bad versions by name.
 var badVersions = map[string]behavior{
-	"fails always":          {failing: 1},
-	"fails one in five":     {failing: 0.2},
-	"fails one in twelve":   {failing: 0.08},
-	"one in three slow":     {slow: 0.33, slowBy: 5},
-	"all slow":              {slow: 1, slowBy: 4},
-	"fails later":           {failing: 0.3, from: 5 * time.Second},
-	"slow later":            {slow: 0.5, slowBy: 4, from: 5 * time.Second},
-	"fails under load":      {failing: 0.3, above: 15},
-	"one route fails":       {failing: 0.5, route: "hold"},
-	"a rare route fails":    {failing: 1, route: "rare"},
-	"a rare route is slow":  {slow: 1, slowBy: 5, route: "rare"},
-	"one route, from later": {failing: 0.5, route: "lookup", from: 4 * time.Second},
+	"fails always":          {failShare: 1},
+	"fails one in five":     {failShare: 0.2},
+	"fails one in twelve":   {failShare: 0.08},
+	"one in three slow":     {slowShare: 0.33, slowFactor: 5},
+	"all slow":              {slowShare: 1, slowFactor: 4},
+	"fails later":           {failShare: 0.3, from: 5 * time.Second},
+	"slow later":            {slowShare: 0.5, slowFactor: 4, from: 5 * time.Second},
+	"fails under load":      {failShare: 0.3, minLoad: 15},
+	"one route fails":       {failShare: 0.5, route: "hold"},
+	"a rare route fails":    {failShare: 1, route: "rare"},
+	"a rare route is slow":  {slowShare: 1, slowFactor: 5, route: "rare"},
+	"one route, from later": {failShare: 0.5, route: "lookup", from: 4 * time.Second},
 }
 
-// keepsBound checks both bounds on the calls that reach a bad version: their number, and the
+// checkBounds checks both bounds on the calls that reach a bad version: their number, and the
 // time for which it receives calls after its 50th bad answer.
-func (s *sim) keepsBound(t *testing.T, text string) {
+func (s *sim) checkBounds(t *testing.T, text string) {
 	t.Helper()
 	bound := s.opts.MaxShare*float64(s.calls) + float64(s.opts.Slack)
 	must.LessEq(t, bound, float64(s.exposed), must.Sprintf("%s: %d of %d calls reached the bad version", text, s.exposed, s.calls))
@@ -39,27 +39,27 @@
 	}
 }
 
-// tooRare holds the bad versions with so few bad answers that a service of nine servers does not
-// produce enough of them to be detected in time.
-var tooRare = map[string]bool{"fails one in twelve": true, "a rare route fails": true, "a rare route is slow": true}
+// tooRareToDetect holds the bad versions with so few bad answers that a service of nine servers
+// does not produce enough of them for a detection in time.
+var tooRareToDetect = map[string]bool{"fails one in twelve": true, "a rare route fails": true, "a rare route is slow": true}
 
 // Guards against a bad version that keeps receiving calls, whatever its fault.
-func TestDecider_BadVersionIsTakenBack(t *testing.T) {
+func TestDecider_RollsBackBadVersion(t *testing.T) {
 	for name, b := range badVersions {
 		t.Run(name, func(t *testing.T) {
-			for _, size := range []struct{ old, fresh, seeds int }{{9, 9, 5}, {72, 20, 1}, {72, 72, 1}} {
-				if size.old == 9 && tooRare[name] {
+			for _, size := range []struct{ old, new, seeds int }{{9, 9, 5}, {72, 20, 1}, {72, 72, 1}} {
+				if size.old == 9 && tooRareToDetect[name] {
 					continue
 				}
 				for seed := range size.seeds {
-					s := newSim(t, uint64(seed), size.old, size.fresh, 25*float64(size.old))
+					s := newSim(t, uint64(seed), size.old, size.new, 25*float64(size.old))
 					s.version = b
 					s.run()
-					text := fmt.Sprintf("%d and %d servers, seed %d", size.old, size.fresh, seed)
-					s.keepsBound(t, text)
+					text := fmt.Sprintf("%d and %d servers, seed %d", size.old, size.new, seed)
+					s.checkBounds(t, text)
 					must.Eq(t, RolledBack, s.recorded, must.Sprint(text))
-					must.LessEq(t, s.calls/1000, s.refused, must.Sprint(text))
-					t.Logf("%s: told at %v, %d of %d calls, %d bad", text, s.told[RolledBack], s.exposed, s.calls, s.bad)
+					must.LessEq(t, s.calls/1000, s.rejected, must.Sprint(text))
+					t.Logf("%s: reported at %v, %d of %d calls, %d bad", text, s.reportedAt[RolledBack], s.exposed, s.calls, s.bad)
 				}
 			}
 		})
@@ -68,7 +68,7 @@
 
 // Guards against a good version whose rollout is not finished in time, or is rolled back for
 // faults of single hosts or of the whole service.
-func TestDecider_GoodVersionFinishes(t *testing.T) {
+func TestDecider_GoodVersionSucceeds(t *testing.T) {
 	for name, change := range map[string]func(*sim){
 		"calm": func(*sim) {},
 		"burst": func(s *sim) {
@@ -80,14 +80,16 @@
 				return rate(age)
 			}
 		},
-		"one host slow":           func(s *sim) { s.fresh[0].lone = behavior{slow: 1, slowBy: 5} },
-		"one server fails":        func(s *sim) { s.fresh[1].lone = behavior{failing: 0.4} },
-		"the whole service fails": func(s *sim) { s.oldVersion, s.version = behavior{failing: 0.3}, behavior{failing: 0.3} },
-		"the whole service slow":  func(s *sim) { s.oldVersion, s.version = behavior{slow: 1, slowBy: 5}, behavior{slow: 1, slowBy: 5} },
+		"one host slow":           func(s *sim) { s.newServers[0].ownFaults = behavior{slowShare: 1, slowFactor: 5} },
+		"one server fails":        func(s *sim) { s.newServers[1].ownFaults = behavior{failShare: 0.4} },
+		"the whole service fails": func(s *sim) { s.oldVersion, s.version = behavior{failShare: 0.3}, behavior{failShare: 0.3} },
+		"the whole service slow": func(s *sim) {
+			s.oldVersion, s.version = behavior{slowShare: 1, slowFactor: 5}, behavior{slowShare: 1, slowFactor: 5}
+		},
 		"decider lost": func(s *sim) {
 			next := s.reports
 			s.reports = func(age time.Duration) bool {
-				if age > 3*time.Second && s.decider.Status(s.now) != nil && s.told[Undecided] != 0 {
+				if age > 3*time.Second && s.decider.Status(s.now) != nil && s.reportedAt[Undecided] != 0 {
 					s.decider = NewDecider(s.opts)
 					s.reports = next
 				}
@@ -96,19 +98,19 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			for _, size := range []struct{ old, fresh, seeds int }{{3, 3, 5}, {9, 9, 5}, {72, 72, 1}} {
+			for _, size := range []struct{ old, new, seeds int }{{3, 3, 5}, {9, 9, 5}, {72, 72, 1}} {
 				if size.old == 3 && strings.HasPrefix(name, "one ") {
 					// With two servers on trial, a single bad one may make both look bad.
 					continue
 				}
 				for seed := range size.seeds {
-					s := newSim(t, uint64(seed), size.old, size.fresh, 25*float64(size.old))
+					s := newSim(t, uint64(seed), size.old, size.new, 25*float64(size.old))
 					change(s)
 					s.run()
-					text := fmt.Sprintf("%d and %d servers, seed %d", size.old, size.fresh, seed)
+					text := fmt.Sprintf("%d and %d servers, seed %d", size.old, size.new, seed)
 					must.Eq(t, Succeeded, s.recorded, must.Sprint(text))
-					must.Less(t, s.order.Duration-200*time.Millisecond, s.told[Succeeded], must.Sprint(text))
-					must.LessEq(t, s.calls/1000, s.refused, must.Sprint(text))
+					must.Less(t, s.order.Duration-200*time.Millisecond, s.reportedAt[Succeeded], must.Sprint(text))
+					must.LessEq(t, s.calls/1000, s.rejected, must.Sprint(text))
 					must.Greater(t, s.order.Duration+5*time.Second, s.served, must.Sprint(text))
 				}
 			}
@@ -118,17 +120,17 @@
 
 // Guards against a trial that spreads the calls over so many servers that a version which fails
 // under load does not fail in the trial.
-func TestDecider_ServerOnTrialHasItsLaterLoad(t *testing.T) {
+func TestDecider_TrialLoadMatchesLoadAfterMove(t *testing.T) {
 	s := newSim(t, 0x26a5, 11, 26, 198)
 	s.version = badVersions["fails under load"]
 	s.run()
 	must.Eq(t, RolledBack, s.recorded)
-	s.keepsBound(t, "11 and 26 servers")
+	s.checkBounds(t, "11 and 26 servers")
 }
 
 // Guards against moving the traffic to a version that has received hardly any calls, because the
 // store was unavailable at first and no decider was available later.
-func TestDecider_MovesNothingUnseen(t *testing.T) {
+func TestDecider_NoMoveWithoutEnoughCalls(t *testing.T) {
 	s := newSim(t, 1, 11, 2, 247.5)
 	s.version = badVersions["fails one in five"]
 	s.store = func(age time.Duration) bool { return age > 6*time.Second }
@@ -142,7 +144,7 @@
 	}
 	s.run()
 	must.Eq(t, RolledBack, s.recorded)
-	s.keepsBound(t, "11 and 2 servers")
+	s.checkBounds(t, "11 and 2 servers")
 }
 
 // Guards against more calls to a bad version than the bounds allow when, at any moment, the
@@ -150,7 +152,7 @@
 func TestDecider_ExposureIsBounded(t *testing.T) {
 	var names []string
 	for name := range badVersions {
-		if !tooRare[name] {
+		if !tooRareToDetect[name] {
 			names = append(names, name)
 		}
 	}
@@ -159,25 +161,25 @@
 		old := rapid.IntRange(9, 30).Draw(rt, "old")
 		// With nine old servers, the server on trial has four fifths of its load after the move:
 		// at least 18 calls per second.
-		s := newSim(t, rapid.Uint64().Draw(rt, "seed"), old, rapid.IntRange(2, 30).Draw(rt, "fresh"),
+		s := newSim(t, rapid.Uint64().Draw(rt, "seed"), old, rapid.IntRange(2, 30).Draw(rt, "new"),
 			rapid.Float64Range(22, 30).Draw(rt, "rate")*float64(old))
 		s.version = badVersions[rapid.SampledFrom(names).Draw(rt, "version")]
 		s.version.from = min(s.version.from, 4*time.Second)
-		away := rapid.IntRange(0, 14000).Draw(rt, "store away at, ms")
-		back := away + rapid.IntRange(0, 6000).Draw(rt, "store away for, ms")
+		outage := rapid.IntRange(0, 14000).Draw(rt, "store unavailable at, ms")
+		restored := outage + rapid.IntRange(0, 6000).Draw(rt, "store unavailable for, ms")
 		s.store = func(age time.Duration) bool {
-			return int(age.Milliseconds()) < away || int(age.Milliseconds()) > back
+			return int(age.Milliseconds()) < outage || int(age.Milliseconds()) > restored
 		}
-		cut := rapid.IntRange(0, 14000).Draw(rt, "decider lost at, ms")
-		silent := rapid.IntRange(0, 3000).Draw(rt, "and none for, ms")
+		lostAt := rapid.IntRange(0, 14000).Draw(rt, "decider lost at, ms")
+		lostFor := rapid.IntRange(0, 3000).Draw(rt, "no decider for, ms")
 		lost := false
 		s.reports = func(age time.Duration) bool {
 			ms := int(age.Milliseconds())
-			if ms >= cut && !lost {
+			if ms >= lostAt && !lost {
 				lost = true
 				s.decider = NewDecider(s.opts)
 			}
-			return ms < cut || ms > cut+silent
+			return ms < lostAt || ms > lostAt+lostFor
 		}
 		s.run()
 		bound := s.opts.MaxShare*float64(s.calls) + float64(s.opts.Slack)
@@ -193,19 +195,19 @@
 // Guards against a version that fails only near its load after the move. A server on trial
 // reaches that load too late for the fault to be detected in time.
 func TestDecider_FailsNearTheLoadOfLater(t *testing.T) {
-	for fresh, seeds := range map[int][]uint64{
+	for newServers, seeds := range map[int][]uint64{
 		9:  {41, 161, 268, 353},
 		28: {41, 138, 161, 172, 268, 345, 353, 386, 389},
 	} {
 		for _, seed := range seeds {
-			t.Run(fmt.Sprintf("%d new servers, seed %d", fresh, seed), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d new servers, seed %d", newServers, seed), func(t *testing.T) {
 				rnd := rand.New(rand.NewPCG(seed, 3))
-				s := newSim(t, seed, 9, fresh, 22*9)
+				s := newSim(t, seed, 9, newServers, 22*9)
 				s.version = badVersions["fails under load"]
-				away := rnd.IntN(5000)
-				s.store = func(age time.Duration) bool { return int(age.Milliseconds()) > away }
+				outage := rnd.IntN(5000)
+				s.store = func(age time.Duration) bool { return int(age.Milliseconds()) > outage }
 				s.run()
-				s.keepsBound(t, t.Name())
+				s.checkBounds(t, t.Name())
 			})
 		}
 	}
