--- a/quarantine/notes.go
+++ b/quarantine/notes.go
@@ -76,22 +76,22 @@
 // Notes returns the serialized notes that this daemon publishes, the most urgent first: its
 // latest crash, its clearings, the given verdicts, which it carries for daemons that start
 // later, and its earlier crashes.
-func (l *Tracker) Notes(carried []Verdict) [][]byte {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *Tracker) Notes(carried []Verdict) [][]byte {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var notes []*quarantinepb.Note
 	add := func(list []ownNote) {
 		for _, n := range list {
 			notes = append(notes, n.note)
 		}
 	}
-	latest := min(len(l.own.crashes), 1)
-	add(l.own.crashes[:latest])
-	add(l.own.clearings)
+	latest := min(len(t.own.crashes), 1)
+	add(t.own.crashes[:latest])
+	add(t.own.clearings)
 	for _, v := range carried {
 		notes = append(notes, &quarantinepb.Note{Verdict: encodeVerdict(v)})
 	}
-	add(l.own.crashes[latest:])
+	add(t.own.crashes[latest:])
 	encoded := make([][]byte, 0, len(notes))
 	for _, n := range notes {
 		if b, err := proto.Marshal(n); err == nil {
@@ -111,10 +111,10 @@
 // Observe processes the notes of other daemons. Notes that were processed before change
 // nothing, and notes that cannot be decoded are skipped. Clearings are applied last, since a
 // daemon that starts receives crashes and their clearings together and in any order.
-func (l *Tracker) Observe(all []PeerNotes) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.opts.Now()
+func (t *Tracker) Observe(all []PeerNotes) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.opts.Now()
 	var clearings []*quarantinepb.Clearing
 	for _, peer := range all {
 		for _, b := range peer.Notes {
@@ -123,32 +123,32 @@
 				continue
 			}
 			if v, ok := decodeVerdict(n.GetVerdict()); ok {
-				l.adoptVerdict(v, now)
+				t.adoptVerdict(v, now)
 				continue
 			}
 			from := noteID{peer.Host, peer.Boot, n.GetSeq()}
-			if _, ok := l.seen[from]; ok {
+			if _, ok := t.seen[from]; ok {
 				continue
 			}
-			l.seen[from] = now
-			l.observeCrash(n, from, now)
+			t.seen[from] = now
+			t.observeCrash(n, from, now)
 			clearings = append(clearings, n.GetClearing())
 		}
 	}
 	for _, c := range clearings {
 		if id, ok := IdentityFrom(c.GetIdentity()); ok {
-			l.applyClearing(id, time.Unix(c.GetUntilUnix(), 0), now)
+			t.applyClearing(id, time.Unix(c.GetUntilUnix(), 0), now)
 		}
 	}
-	l.notify()
+	t.notify()
 }
 
 // observeCrash counts the crash in a note for each of its requests.
-func (l *Tracker) observeCrash(n *quarantinepb.Note, from noteID, now time.Time) {
+func (t *Tracker) observeCrash(n *quarantinepb.Note, from noteID, now time.Time) {
 	const size = len(Identity{})
 	for b := n.GetEndedUnder(); len(b) >= size; b = b[size:] {
 		id, _ := IdentityFrom(b[:size])
-		l.countCrash(id, from, now)
+		t.countCrash(id, from, now)
 	}
 }
 
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -102,8 +102,8 @@
 }
 
 // QuarantinedFor returns the remaining time of a request in quarantine, 0 if it is not quarantined.
-func (l *Tracker) QuarantinedFor(id Identity) time.Duration {
-	quarantined := l.quarantined.Load()
+func (t *Tracker) QuarantinedFor(id Identity) time.Duration {
+	quarantined := t.quarantined.Load()
 	if quarantined == nil {
 		return 0
 	}
@@ -111,17 +111,17 @@
 	if !ok {
 		return 0
 	}
-	return max(until.Sub(l.opts.Now()), 0)
+	return max(until.Sub(t.opts.Now()), 0)
 }
 
 // Crashes returns the number of recorded server crashes during which a request was running.
-func (l *Tracker) Crashes(id Identity) int {
-	if l.suspectCount.Load() == 0 {
+func (t *Tracker) Crashes(id Identity) int {
+	if t.suspectCount.Load() == 0 {
 		return 0
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s := l.suspects[id]; s != nil {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.suspects[id]; s != nil {
 		return len(s.crashes)
 	}
 	return 0
@@ -130,25 +130,25 @@
 // RecordCrash records that the backend server beside this daemon crashed while it was processing
 // the given requests, which are sorted by start, the latest last. Requests that the server
 // completed within Options.SuccessTTL are not counted.
-func (l *Tracker) RecordCrash(ids []Identity) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	now := l.opts.Now()
-	ids = l.selectForNote(l.successes.without(ids, now))
+func (t *Tracker) RecordCrash(ids []Identity) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.opts.Now()
+	ids = t.selectForNote(t.successes.without(ids, now))
 	if len(ids) == 0 {
 		return
 	}
-	seq := l.own.addCrash(ids, now)
+	seq := t.own.addCrash(ids, now)
 	for _, id := range ids {
-		l.countCrash(id, noteID{seq: seq}, now)
+		t.countCrash(id, noteID{seq: seq}, now)
 	}
-	l.notify()
+	t.notify()
 }
 
 // selectForNote returns at most maxIdentitiesPerCrash of the requests that were running in a
 // crash: those that are already suspects first, then the others, each the latest first. A
 // server may process any number of calls, and the note on a crash has to be short.
-func (l *Tracker) selectForNote(ids []Identity) []Identity {
+func (t *Tracker) selectForNote(ids []Identity) []Identity {
 	if len(ids) <= maxIdentitiesPerCrash {
 		return ids
 	}
@@ -156,7 +156,7 @@
 	for _, suspected := range []bool{true, false} {
 		for i := range ids {
 			id := ids[len(ids)-1-i]
-			if (l.suspects[id] != nil) == suspected {
+			if (t.suspects[id] != nil) == suspected {
 				selected = append(selected, id)
 			}
 		}
@@ -166,36 +166,36 @@
 
 // RecordSuccess records that the backend server beside this daemon completed a request. Crashes
 // and verdicts recorded for the request are cleared at all daemons.
-func (l *Tracker) RecordSuccess(id Identity) {
-	l.successes.add(id, l.opts.Now())
-	if l.suspectCount.Load() == 0 {
+func (t *Tracker) RecordSuccess(id Identity) {
+	t.successes.add(id, t.opts.Now())
+	if t.suspectCount.Load() == 0 {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if s := l.suspects[id]; s != nil && (len(s.crashes) > 0 || s.verdict != nil) {
-		l.clearRequest(id, "a backend server completed it")
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if s := t.suspects[id]; s != nil && (len(s.crashes) > 0 || s.verdict != nil) {
+		t.clearRequest(id, "a backend server completed it")
 	}
 }
 
 // Lift clears the crashes and the verdict of a request at all daemons, and reports whether
 // this daemon had recorded any.
-func (l *Tracker) Lift(id Identity) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := l.suspects[id]
+func (t *Tracker) Lift(id Identity) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	s := t.suspects[id]
 	if s == nil || len(s.crashes) == 0 && s.verdict == nil {
 		return false
 	}
-	l.clearRequest(id, "lifted by an operator")
+	t.clearRequest(id, "lifted by an operator")
 	return true
 }
 
 // Verdicts returns the verdicts in force, in no particular order.
-func (l *Tracker) Verdicts() []Verdict {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.inForce(l.opts.Now())
+func (t *Tracker) Verdicts() []Verdict {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.inForce(t.opts.Now())
 }
 
 // Stats holds the numbers of tracked requests.
@@ -205,27 +205,27 @@
 }
 
 // Stats returns the current numbers of quarantined and suspected requests.
-func (l *Tracker) Stats() Stats {
-	return Stats{Quarantined: len(l.Verdicts()), Suspected: int(l.suspectCount.Load())}
+func (t *Tracker) Stats() Stats {
+	return Stats{Quarantined: len(t.Verdicts()), Suspected: int(t.suspectCount.Load())}
 }
 
 // Add adopts a verdict that was read from the platform's directory or reported by another
 // daemon's gate.
-func (l *Tracker) Add(v Verdict) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.adoptVerdict(v, l.opts.Now())
+func (t *Tracker) Add(v Verdict) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.adoptVerdict(v, t.opts.Now())
 }
 
 // Watch returns a channel that is closed when crashes, verdicts or clearings change next.
-func (l *Tracker) Watch() <-chan struct{} {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.changed
+func (t *Tracker) Watch() <-chan struct{} {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.changed
 }
 
 // notify wakes all watchers. The caller holds mu.
-func (l *Tracker) notify() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+func (t *Tracker) notify() {
+	close(t.changed)
+	t.changed = make(chan struct{})
 }
--- a/rollout/analyzer.go
+++ b/rollout/analyzer.go
@@ -79,26 +79,26 @@
 }
 
 // forSecondServer returns an analyzer for a second server after another one was found bad.
-func (j Analyzer) forSecondServer() Analyzer {
-	j.MaxPValue = j.MaxPValueSecondServer
-	return j
+func (a Analyzer) forSecondServer() Analyzer {
+	a.MaxPValue = a.MaxPValueSecondServer
+	return a
 }
 
 // forMove returns an analyzer that decides whether traffic may move to a version.
-func (j Analyzer) forMove() Analyzer {
-	j.MaxPValue = j.MaxPValueToMove
-	return j
+func (a Analyzer) forMove() Analyzer {
+	a.MaxPValue = a.MaxPValueToMove
+	return a
 }
 
 // FindRegression compares the counts of each server of the new version with the pooled counts of
 // the old version. It returns a finding and true if the new version is worse.
-func (j Analyzer) FindRegression(old RouteCounts, servers []RouteCounts) (Finding, bool) {
+func (a Analyzer) FindRegression(old RouteCounts, servers []RouteCounts) (Finding, bool) {
 	pooled := RouteCounts{}
 	for _, s := range servers {
 		pooled.add(s)
 	}
 	for _, slow := range []bool{false, true} {
-		if f, bad := j.compare(slow, old, pooled, servers); bad {
+		if f, bad := a.compare(slow, old, pooled, servers); bad {
 			return f, true
 		}
 	}
@@ -111,17 +111,17 @@
 // compare compares slow answers if slow is true, failed ones otherwise, on each route and on the
 // sum of all routes. The maximum p-value is divided by the number of these comparisons
 // (Bonferroni correction).
-func (j Analyzer) compare(slow bool, old, pooled RouteCounts, servers []RouteCounts) (Finding, bool) {
+func (a Analyzer) compare(slow bool, old, pooled RouteCounts, servers []RouteCounts) (Finding, bool) {
 	routes := slices.Sorted(maps.Keys(pooled))
-	maxPValue := j.MaxPValue / float64(len(routes)+1)
+	maxPValue := a.MaxPValue / float64(len(routes)+1)
 	var total Finding
 	sums := make([]serverSample, len(servers))
 	for _, route := range routes {
-		count := j.badCounter(slow, old[route])
+		count := a.badCounter(slow, old[route])
 		if count == nil {
 			continue
 		}
-		share := j.expectedShare(count(old[route]))
+		share := a.expectedShare(count(old[route]))
 		all := count(pooled[route])
 		f := Finding{Route: route, Slow: slow, Bad: all.bad, Total: all.total, Expected: share * float64(all.total)}
 		samples := make([]serverSample, len(servers))
@@ -129,21 +129,21 @@
 			samples[i] = serverSample{count(s[route]), share}
 			sums[i].merge(samples[i])
 		}
-		if j.isSignificant(f, samples, maxPValue) {
+		if a.isSignificant(f, samples, maxPValue) {
 			return f, true
 		}
 		total.Bad, total.Total, total.Expected = total.Bad+f.Bad, total.Total+f.Total, total.Expected+f.Expected
 	}
 	total.Route, total.Slow = allRoutes, slow
-	if float64(total.Bad)-total.Expected > j.MaxExcessBad {
+	if float64(total.Bad)-total.Expected > a.MaxExcessBad {
 		return total, true
 	}
-	return total, j.isSignificant(total, sums, maxPValue)
+	return total, a.isSignificant(total, sums, maxPValue)
 }
 
 // badCounter returns a function that counts the slow or the failed answers on a route. It
 // returns nil if the old version has too few latencies on the route to tell which answers are slow.
-func (j Analyzer) badCounter(slow bool, old *Counts) func(*Counts) sample {
+func (a Analyzer) badCounter(slow bool, old *Counts) func(*Counts) sample {
 	if !slow {
 		return func(c *Counts) sample {
 			if c == nil {
@@ -152,10 +152,10 @@
 			return sample{c.Failed, c.total()}
 		}
 	}
-	if old == nil || old.latenciesFrom(0) < j.MinLatencies {
+	if old == nil || old.latenciesFrom(0) < a.MinLatencies {
 		return nil
 	}
-	from := old.medianBucket() + int(math.Ceil(math.Log(j.SlowRatio)/math.Log(bucketRatio)))
+	from := old.medianBucket() + int(math.Ceil(math.Log(a.SlowRatio)/math.Log(bucketRatio)))
 	from = min(from, latencyBuckets-1)
 	return func(c *Counts) sample {
 		if c == nil {
@@ -168,10 +168,10 @@
 // expectedShare returns the share of bad answers to expect of a good version, given the sample
 // of the old version. The fewer answers the sample has, the further the result is above its
 // share of bad answers.
-func (j Analyzer) expectedShare(old sample) float64 {
+func (a Analyzer) expectedShare(old sample) float64 {
 	share := float64(old.bad+1) / float64(old.total+2)
 	deviation := math.Sqrt(share * (1 - share) / float64(old.total+1))
-	return min(max(j.MinBadShare, share*(1+serverVariation)+deviation+j.MinBadShare/2), 1)
+	return min(max(a.MinBadShare, share*(1+serverVariation)+deviation+a.MinBadShare/2), 1)
 }
 
 // serverSample is the sample of one server and the share of bad answers that is expected.
@@ -181,23 +181,23 @@
 }
 
 // merge adds the sample of another route and averages the expected shares by answers.
-func (l *serverSample) merge(o serverSample) {
-	expected := l.expected() + o.expected()
-	l.bad, l.total = l.bad+o.bad, l.total+o.total
-	if l.total > 0 {
-		l.expectedShare = expected / float64(l.total)
+func (s *serverSample) merge(o serverSample) {
+	expected := s.expected() + o.expected()
+	s.bad, s.total = s.bad+o.bad, s.total+o.total
+	if s.total > 0 {
+		s.expectedShare = expected / float64(s.total)
 	}
 }
 
 // expected returns the expected number of bad answers.
-func (l serverSample) expected() float64 { return l.expectedShare * float64(l.total) }
+func (s serverSample) expected() float64 { return s.expectedShare * float64(s.total) }
 
 // excess returns the number of bad answers beyond the expected ones.
-func (l serverSample) excess() float64 { return float64(l.bad) - l.expected() }
+func (s serverSample) excess() float64 { return float64(s.bad) - s.expected() }
 
 // isSignificant reports whether a finding is statistically significant and not due to the worst
 // server alone.
-func (j Analyzer) isSignificant(f Finding, servers []serverSample, maxPValue float64) bool {
+func (a Analyzer) isSignificant(f Finding, servers []serverSample, maxPValue float64) bool {
 	if f.Bad < minBadAnswers || f.Total == 0 || binomialTail(f.Bad, f.Total, f.Expected/float64(f.Total)) > maxPValue {
 		return false
 	}
@@ -205,7 +205,7 @@
 	bad, total := f.Bad-worst.bad, f.Total-worst.total
 	half := float64(worst.bad) / float64(worst.total) / 2
 	// The lower tail: the probability of this many bad answers or fewer at the other servers.
-	return 1-binomialTail(bad+1, total, half) > j.MinAgreement
+	return 1-binomialTail(bad+1, total, half) > a.MinAgreement
 }
 
 // binomialTail returns the upper tail of the binomial distribution: the probability of at least
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -22,7 +22,7 @@
 func NewGate(now func() time.Time) *Gate { return &Gate{now: now} }
 
 // SetTracker replaces the tracker of the gate. With nil the gate admits all calls.
-func (g *Gate) SetTracker(w *Tracker) { g.tracker.Store(w) }
+func (g *Gate) SetTracker(t *Tracker) { g.tracker.Store(t) }
 
 // Check returns an error if the gate is closed, so that Begin would reject a call. It counts
 // nothing and does not check the limit of mode Limited.
@@ -49,7 +49,7 @@
 }
 
 // Call is a call that a gate admitted. The methods of a nil Call do nothing.
-type Call struct{ w *Tracker }
+type Call struct{ tracker *Tracker }
 
 // End records the result of a call and the latency of the server. warm is false if the server
 // has started recently and is slow for that reason; its latency is not counted then.
@@ -57,8 +57,8 @@
 	if c == nil {
 		return
 	}
-	c.w.inFlight.Add(-1)
-	c.w.recorder.record(route, result, latency, warm)
+	c.tracker.inFlight.Add(-1)
+	c.tracker.recorder.record(route, result, latency, warm)
 }
 
 // Tracker holds the permit and the call results of one run of a backend server in one rollout.
@@ -89,58 +89,58 @@
 
 // SetPermit stores the answer to a report. Its lease starts at sent, the time at which the
 // report was sent. The first outcome other than Undecided is final.
-func (w *Tracker) SetPermit(p Permit, sent time.Time) {
+func (t *Tracker) SetPermit(p Permit, sent time.Time) {
 	if p.Outcome != Undecided {
-		w.outcome.CompareAndSwap(uint32(Undecided), uint32(p.Outcome))
+		t.outcome.CompareAndSwap(uint32(Undecided), uint32(p.Outcome))
 	}
-	w.permit.Store(&leasedPermit{p.Mode, int64(p.AdmitUpTo), sent.Add(p.Lease)})
+	t.permit.Store(&leasedPermit{p.Mode, int64(p.AdmitUpTo), sent.Add(p.Lease)})
 }
 
 // Outcome returns the outcome of the rollout as known to this daemon.
-func (w *Tracker) Outcome() Outcome { return Outcome(w.outcome.Load()) }
+func (t *Tracker) Outcome() Outcome { return Outcome(t.outcome.Load()) }
 
 // Mode returns the mode of the gate at a time.
-func (w *Tracker) Mode(now time.Time) Mode { return w.modeAt(now) }
+func (t *Tracker) Mode(now time.Time) Mode { return t.modeAt(now) }
 
 // modeAt returns the mode that follows from the outcome or, without one, from the permit. If
 // the permit has expired, calls go to the servers that received them before the order.
-func (w *Tracker) modeAt(now time.Time) Mode {
-	switch w.Outcome() {
+func (t *Tracker) modeAt(now time.Time) Mode {
+	switch t.Outcome() {
 	case Succeeded:
-		if w.NewVersion {
+		if t.NewVersion {
 			return Open
 		}
 		return Closed
 	case RolledBack:
-		return modeBeforeOrder(Report{NewVersion: w.NewVersion})
+		return modeBeforeOrder(Report{NewVersion: t.NewVersion})
 	}
-	h := w.permit.Load()
+	h := t.permit.Load()
 	if h == nil || !now.Before(h.until) {
-		return modeBeforeOrder(Report{NewVersion: w.NewVersion})
+		return modeBeforeOrder(Report{NewVersion: t.NewVersion})
 	}
 	return h.mode
 }
 
 // admit reports whether a call may be forwarded to the server, and counts it if so.
-func (w *Tracker) admit(now time.Time) bool {
-	switch w.modeAt(now) {
+func (t *Tracker) admit(now time.Time) bool {
+	switch t.modeAt(now) {
 	case Closed:
 		return false
 	case Open:
-		w.admitted.Add(1)
+		t.admitted.Add(1)
 		return true
 	}
-	if w.admitted.Add(1) <= w.permit.Load().limit {
+	if t.admitted.Add(1) <= t.permit.Load().limit {
 		return true
 	}
-	w.admitted.Add(-1)
+	t.admitted.Add(-1)
 	return false
 }
 
 // Report returns the report on the calls so far.
-func (w *Tracker) Report(now time.Time) Report {
+func (t *Tracker) Report(now time.Time) Report {
 	return Report{
-		Server: w.Server, NewVersion: w.NewVersion, OrderAge: now.Sub(w.OrderKnownAt), Outcome: w.Outcome(), Mode: w.modeAt(now),
-		Admitted: uint64(max(w.admitted.Load(), 0)), InFlight: int(w.inFlight.Load()), Routes: w.recorder.snapshot(),
+		Server: t.Server, NewVersion: t.NewVersion, OrderAge: now.Sub(t.OrderKnownAt), Outcome: t.Outcome(), Mode: t.modeAt(now),
+		Admitted: uint64(max(t.admitted.Load(), 0)), InFlight: int(t.inFlight.Load()), Routes: t.recorder.snapshot(),
 	}
 }
--- a/rollout/helper_test.go
+++ b/rollout/helper_test.go
@@ -67,7 +67,7 @@
 	t          *testing.T
 	rng        *rand.Rand
 	now        time.Time
-	begun      time.Time
+	orderedAt  time.Time
 	order      Order
 	opts       Options
 	decider    *Decider
@@ -110,7 +110,7 @@
 		store:      func(time.Duration) bool { return true },
 		reportedAt: map[Outcome]time.Duration{},
 	}
-	s.begun = s.now
+	s.orderedAt = s.now
 	s.decider = NewDecider(s.opts)
 	for i := range oldCount {
 		s.oldServers = append(s.oldServers, s.server(fmt.Sprintf("old-%d", i), false))
@@ -124,13 +124,13 @@
 func (s *sim) server(host string, newVersion bool) *simServer {
 	v := &simServer{open: !newVersion}
 	v.gate = NewGate(func() time.Time { return s.now })
-	v.tracker = &Tracker{Order: s.order, Server: ServerID{Host: host, Boot: 1}, NewVersion: newVersion, OrderKnownAt: s.begun}
+	v.tracker = &Tracker{Order: s.order, Server: ServerID{Host: host, Boot: 1}, NewVersion: newVersion, OrderKnownAt: s.orderedAt}
 	v.gate.SetTracker(v.tracker)
 	v.nextReport = time.Duration(s.rng.Int64N(int64(250 * time.Millisecond)))
 	return v
 }
 
-func (s *sim) age() time.Duration { return s.now.Sub(s.begun) }
+func (s *sim) age() time.Duration { return s.now.Sub(s.orderedAt) }
 
 // run simulates the duration of the order and some seconds after it.
 func (s *sim) run() {
