--- a/rollout/active.go
+++ b/rollout/active.go
@@ -34,7 +34,7 @@
 	granted, base uint64
 	// checkpoints are copies of the counts, taken once per recentWindow, the older first. The
 	// recent results are those since the older one.
-	checkpoints [2]RouteCounts
+	checkpoints [2]CountsByRoute
 	// suspect is set once this server alone was found bad.
 	suspect bool
 }
@@ -139,7 +139,7 @@
 	if now.Sub(c.lastCheckpoint) >= recentWindow {
 		c.lastCheckpoint = now
 		for _, s := range c.servers {
-			s.checkpoints = [2]RouteCounts{s.checkpoints[1], s.Routes}
+			s.checkpoints = [2]CountsByRoute{s.checkpoints[1], s.Routes}
 		}
 	}
 	c.moveTraffic(now)
@@ -150,8 +150,8 @@
 // fault, and the server receives no more trial calls. If a second server is found bad, the
 // version is.
 func (c *activeRollout) findRegression(now time.Time) (Finding, bool) {
-	old, oldRecent := RouteCounts{}, RouteCounts{}
-	var all, recent []RouteCounts
+	old, oldRecent := CountsByRoute{}, CountsByRoute{}
+	var all, recent []CountsByRoute
 	var newServers []*serverState
 	suspected := false
 	for _, s := range c.servers {
@@ -236,8 +236,8 @@
 // tooBadToMove reports whether the new version, without suspect servers, is too bad for the
 // traffic to move to it.
 func (c *activeRollout) tooBadToMove() bool {
-	old := RouteCounts{}
-	var counts []RouteCounts
+	old := CountsByRoute{}
+	var counts []CountsByRoute
 	for _, s := range c.servers {
 		switch {
 		case !s.NewVersion:
--- a/rollout/analyzer.go
+++ b/rollout/analyzer.go
@@ -92,8 +92,8 @@
 
 // FindRegression compares the counts of each server of the new version with the pooled counts of
 // the old version. It returns a finding and true if the new version is worse.
-func (a Analyzer) FindRegression(old RouteCounts, servers []RouteCounts) (Finding, bool) {
-	pooled := RouteCounts{}
+func (a Analyzer) FindRegression(old CountsByRoute, servers []CountsByRoute) (Finding, bool) {
+	pooled := CountsByRoute{}
 	for _, s := range servers {
 		pooled.add(s)
 	}
@@ -111,7 +111,7 @@
 // compare compares slow answers if slow is true, failed ones otherwise, on each route and on the
 // sum of all routes. The maximum p-value is divided by the number of these comparisons
 // (Bonferroni correction).
-func (a Analyzer) compare(slow bool, old, pooled RouteCounts, servers []RouteCounts) (Finding, bool) {
+func (a Analyzer) compare(slow bool, old, pooled CountsByRoute, servers []CountsByRoute) (Finding, bool) {
 	routes := slices.Sorted(maps.Keys(pooled))
 	maxPValue := a.MaxPValue / float64(len(routes)+1)
 	var total Finding
--- a/rollout/codec.go
+++ b/rollout/codec.go
@@ -67,7 +67,7 @@
 		Server:     ServerID{Host: m.GetHost(), Boot: m.GetBoot(), Instance: m.GetLife()},
 		NewVersion: m.GetNewVersion(), OrderAge: time.Duration(m.GetOrderAgeMs()) * time.Millisecond,
 		Outcome: keyFor(outcomeMessages, m.GetOutcome()), Mode: keyFor(modeMessages, m.GetMode()),
-		Admitted: m.GetAdmitted(), InFlight: int(m.GetInFlight()), Routes: make(RouteCounts, len(m.GetRoutes())),
+		Admitted: m.GetAdmitted(), InFlight: int(m.GetInFlight()), Routes: make(CountsByRoute, len(m.GetRoutes())),
 	}
 	if len(m.GetRoutes()) > maxRoutes+1 {
 		return r, errors.Wrapf(ErrInvalidReport, "%d routes, more than allowed", len(m.GetRoutes()))
--- a/rollout/counts.go
+++ b/rollout/counts.go
@@ -83,11 +83,11 @@
 	return latencyBuckets - 1
 }
 
-// RouteCounts holds the counts of one or several servers by route.
-type RouteCounts map[string]*Counts
+// CountsByRoute holds the counts of one or several servers by route.
+type CountsByRoute map[string]*Counts
 
 // add adds the counts of o to t.
-func (t RouteCounts) add(o RouteCounts) {
+func (t CountsByRoute) add(o CountsByRoute) {
 	for route, c := range o {
 		if t[route] == nil {
 			t[route] = &Counts{}
@@ -97,8 +97,8 @@
 }
 
 // minus returns the difference between t and an earlier state o of the same counts.
-func (t RouteCounts) minus(o RouteCounts) RouteCounts {
-	n := make(RouteCounts, len(t))
+func (t CountsByRoute) minus(o CountsByRoute) CountsByRoute {
+	n := make(CountsByRoute, len(t))
 	for route, c := range t {
 		n[route] = c.minus(o[route])
 	}
@@ -119,7 +119,7 @@
 // recorder counts the results of calls by route. It is safe for concurrent use.
 type recorder struct {
 	mu     sync.Mutex
-	routes RouteCounts
+	routes CountsByRoute
 }
 
 // record counts a call that has ended. The latency is counted only if warm is true.
@@ -130,7 +130,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.routes == nil {
-		r.routes = make(RouteCounts)
+		r.routes = make(CountsByRoute)
 	}
 	if r.routes[route] == nil && len(r.routes) >= maxRoutes {
 		route = otherRoutes
@@ -151,10 +151,10 @@
 }
 
 // snapshot returns a snapshot of the current counts.
-func (r *recorder) snapshot() RouteCounts {
+func (r *recorder) snapshot() CountsByRoute {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := make(RouteCounts, len(r.routes))
+	t := make(CountsByRoute, len(r.routes))
 	t.add(r.routes)
 	return t
 }
--- a/rollout/role_test.go
+++ b/rollout/role_test.go
@@ -52,7 +52,7 @@
 
 // Guards against a gate that keeps its mode without a decider. When its permit expires, calls
 // must go to the servers that received them before the order.
-func TestGate_PermitLapses(t *testing.T) {
+func TestGate_PermitExpires(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, newVersion := range []bool{true, false} {
 		g := NewGate(func() time.Time { return now })
@@ -95,16 +95,16 @@
 	e, ok := DecodeEntry(value)
 	must.True(t, ok)
 	must.Eq(t, ended, e)
-	renamed := ended.Order
-	renamed.Offset = eventlog.At(1, 3)
+	other := ended.Order
+	other.Offset = eventlog.At(1, 3)
 	must.True(t, e.Matches(ended.Order))
-	must.True(t, e.Matches(renamed), must.Sprint("the same order, appended again after a restore"))
-	must.False(t, RecordedOutcome{renamed, RolledBack}.Matches(ended.Order))
-	renamed.ToVersion = "v3"
-	must.False(t, e.Matches(renamed))
-	renamed = ended.Order
-	renamed.Offset++
-	must.False(t, e.Matches(renamed), must.Sprint("a repeated order in the same epoch"))
+	must.True(t, e.Matches(other), must.Sprint("the same order, appended again after a restore"))
+	must.False(t, RecordedOutcome{other, RolledBack}.Matches(ended.Order))
+	other.ToVersion = "v3"
+	must.False(t, e.Matches(other))
+	other = ended.Order
+	other.Offset++
+	must.False(t, e.Matches(other), must.Sprint("a repeated order in the same epoch"))
 	_, ok = DecodeEntry([]byte("\x0a\x04host"))
 	must.False(t, ok)
 }
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -91,7 +91,7 @@
 	Admitted uint64
 	InFlight int
 	// Routes counts the results of the calls by route.
-	Routes RouteCounts
+	Routes CountsByRoute
 }
 
 // Permit is the answer to a report. It sets the mode of the gate until it expires.
