--- a/quarantine/identity.go
+++ b/quarantine/identity.go
@@ -20,7 +20,7 @@
 // String returns the identity as 32 hexadecimal digits.
 func (i Identity) String() string { return hex.EncodeToString(i[:]) }
 
-// IsZero reports whether the identity is unknown.
+// IsZero reports whether i is the zero value, which stands for an unknown identity.
 func (i Identity) IsZero() bool { return i == Identity{} }
 
 // ParseIdentity parses the format returned by String.
--- a/rollout/active.go
+++ b/rollout/active.go
@@ -47,8 +47,8 @@
 	startedAt time.Time
 	// lastReport is when the latest report of any gate arrived.
 	lastReport time.Time
-	// loaded is set once the recorded outcome has been looked up, so that it is known whether
-	// the rollout had ended before.
+	// loaded is set once the recorded outcome of the order has been looked up. Before, an
+	// earlier decider may have ended the rollout already.
 	loaded  bool
 	outcome Outcome
 	// reason explains the outcome to operators.
@@ -73,7 +73,7 @@
 	return &activeRollout{order: o, opts: opts, startedAt: now, lastReport: now, servers: make(map[ServerID]*serverState), lastCheckpoint: now}
 }
 
-// addReport processes a report.
+// addReport stores a gate's report, and ends the rollout if the report contains an outcome.
 func (c *activeRollout) addReport(r Report, now time.Time) {
 	c.lastReport = now
 	if started := now.Add(-r.OrderAge); started.Before(c.startedAt) {
--- a/rollout/decider.go
+++ b/rollout/decider.go
@@ -106,7 +106,8 @@
 	return Open
 }
 
-// Task is an input or output operation that the caller has to perform for a rollout.
+// Task is an operation on the platform's directory or the operator's interface that the caller
+// of a Decider has to perform for a rollout.
 type Task struct {
 	Order Order
 	// Load asks the caller to look up the recorded outcome of the order and pass it to Loaded.
--- a/rollout/gate.go
+++ b/rollout/gate.go
@@ -99,7 +99,7 @@
 // Outcome returns the outcome of the rollout as known to this daemon.
 func (t *Tracker) Outcome() Outcome { return Outcome(t.outcome.Load()) }
 
-// Mode returns the mode of the gate at a time.
+// Mode returns the mode of the gate at the given time.
 func (t *Tracker) Mode(now time.Time) Mode { return t.modeAt(now) }
 
 // modeAt returns the mode that follows from the outcome or, without one, from the permit. If
--- a/rollout/helper_test.go
+++ b/rollout/helper_test.go
@@ -77,9 +77,9 @@
 	rate       func(age time.Duration) float64
 	// version and oldVersion are the behaviors of the new and the old servers.
 	version, oldVersion behavior
-	// reports tells whether the decider can be reached at a time after the order.
+	// reports returns whether the decider can be reached at a time after the order.
 	reports func(age time.Duration) bool
-	// store tells whether outcomes can be recorded at a time after the order.
+	// store returns whether outcomes can be recorded at a time after the order.
 	store func(age time.Duration) bool
 
 	recorded Outcome
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -76,7 +76,8 @@
 	Instance uint32
 }
 
-// Report is a gate's account of its backend server since the daemon received the order.
+// Report describes the calls that a gate has admitted to its backend server since the daemon
+// received the order.
 type Report struct {
 	Server ServerID
 	// NewVersion is true if the server has the version that traffic is to move to.
