--- a/backend/backend.go
+++ b/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend describes the backend servers that a daemon knows of.
+// Package backend describes the backend servers that a daemon knows.
 package backend
 
 import (
@@ -8,42 +8,48 @@
 	"time"
 )
 
-// ID names one backend server: the host it runs on, the life of the daemon
-// beside it, the service it offers and, where it announces one, its own life. What
-// was seen of a server says nothing of its successor on the host.
+// ID identifies one instance of a backend server. Statistics collected for one instance do not
+// apply to its successor on the same host.
 type ID struct {
-	Host     string
-	Boot     uint64
-	Service  string
+	// Host is the name of the host that the server runs on.
+	Host string
+	// Boot identifies the run of the daemon on that host; it changes when the daemon restarts.
+	Boot uint64
+	// Service is the name of the service that the server offers.
+	Service string
+	// Instance is a digest that identifies the run of the server itself, 0 if the server
+	// announces no ID of its own.
 	Instance uint32
 }
 
-// Server is one backend server, reached by way of the daemon on its host.
+// Server describes one backend server, which is reached through the daemon on its host.
 type Server struct {
 	ID
 	AvailabilityZone string
 	Region           string
-	// PeerAddr is where the daemon beside it listens for other daemons.
+	// PeerAddr is the address on which the daemon on the server's host accepts connections from
+	// other daemons.
 	PeerAddr netip.AddrPort
-	Slots    int
-	// Draining servers get no new calls.
+	// Slots is the number of calls that the server runs concurrently, as it announced.
+	Slots int
+	// Draining is set while the server must not receive new calls.
 	Draining bool
-	// Suspect servers' daemons have not answered of late; they are picked only
-	// when no other is left.
+	// Suspect is set while the daemon on the server's host does not answer probes. Such a server
+	// is picked only if no other one is left.
 	Suspect bool
-	// FirstSeen is when this process first heard of the server, by its monotonic
-	// clock, less the age announced then.
+	// FirstSeen is when the server first announced itself, by this process's monotonic clock:
+	// the time at which this process first received the announcement, less the age stated in it.
 	FirstSeen time.Time
 }
 
-// Set is an immutable collection of backend servers by service.
+// Set is an immutable collection of backend servers, grouped by service.
 type Set struct {
 	byService map[string][]*Server
 	n         int
 }
 
-// NewSet sorts servers by service, host and boot, so that equal input gives an
-// equal set.
+// NewSet returns a set of the servers. The servers of a service are sorted by host and boot, so
+// that equal input gives an equal set.
 func NewSet(servers []*Server) *Set {
 	s := &Set{byService: make(map[string][]*Server), n: len(servers)}
 	for _, b := range servers {
@@ -57,8 +63,8 @@
 	return s
 }
 
-// ForService returns the servers of a service, draining ones included. The caller must
-// not change the slice.
+// ForService returns the servers of a service, including draining ones. The caller must not
+// modify the slice.
 func (s *Set) ForService(service string) []*Server {
 	if s == nil {
 		return nil
@@ -66,7 +72,7 @@
 	return s.byService[service]
 }
 
-// Len returns the number of servers.
+// Len returns the number of servers of all services.
 func (s *Set) Len() int {
 	if s == nil {
 		return 0
--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -9,84 +9,97 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// Board holds the cells of one daemon. The comment on each names the only
-// writer.
+// Board holds the state cells of one daemon. Each cell has a single writer, which is named in
+// its comment.
 type Board struct {
-	// State is the latest folded configuration; written by distribute.
+	// State is the latest folded configuration. Written by the distribute controller.
 	State Cell[fold.State]
-	// Snapshot is what is in force; written by apply. It is nil until the
-	// daemon has reached its floor.
+	// Snapshot is the configuration in force, nil until the daemon has reached its floor.
+	// Written by the apply controller.
 	Snapshot Cell[snapshot.Snapshot]
-	// Floor is the version below which nothing may come into force; written by
-	// recover.
+	// Floor is the version below which no configuration may come into force. Written during
+	// recovery.
 	Floor Cell[Floor]
-	// Members is the table of daemons; written by membership.
+	// Members is the membership table of the daemons. Written by the members controller.
 	Members Cell[membership.View]
-	// Backends is the set of known backend servers; written by backends.
+	// Backends is the set of known backend servers. Written by the backends controller.
 	Backends Cell[backend.Set]
-	// Local is the backend server beside this daemon; written by announce.
+	// Local is the backend server on this daemon's host. Written by the announce controller.
 	Local Cell[LocalBackend]
-	// Withheld is whether a rollout keeps calls from the backend server beside this daemon;
-	// written by rollouts.
+	// Withheld is true while a rollout withholds calls from the local backend server. Written by
+	// the rollouts controller.
 	Withheld Cell[bool]
-	// Lifecycle is the daemon's phase; written by drain.
+	// Lifecycle is the daemon's current phase. Written by the drain controller.
 	Lifecycle Cell[Lifecycle]
-	// Source tells how reading the platform's log goes; written by distribute.
+	// Source is the status of configuration distribution. Written by the distribute controller.
 	Source Cell[Source]
 }
 
-// Floor is what a restarted daemon has learned of the version that its host had
-// in force before.
+// Floor is what recovery has found out about the version that this daemon's host had in force
+// before the daemon restarted.
 type Floor struct {
+	// Offset is the lowest configuration offset that may come into force.
 	Offset uint64
-	// Known is whether enough was heard to serve at or above Offset.
+	// Known is set once recovery has enough information to serve at or above Offset.
 	Known bool
-	// Reason tells why not.
+	// Reason describes the problem that recovery has run into, empty if there is none. While
+	// Known is not set, it says why.
 	Reason string
 }
 
-// LocalBackend is what the backend server beside the daemon announced.
+// LocalBackend is the announced state of the backend server on the daemon's host. Its zero value
+// means that no server is announced.
 type LocalBackend struct {
-	// ID names the server, empty for one that has no id. A server that starts again may
-	// have the ID that it had.
+	// ID is the server's own ID, empty if it has none. A restarted server may reuse its ID.
 	ID string
-	// StartUnixMs tells the lives of an ID apart: the start in Unix milliseconds by the server's
-	// clock, 0 while it is not known.
+	// StartUnixMs is when the server started, in Unix milliseconds by the server's clock, 0
+	// while that is unknown. It distinguishes the instances that share an ID.
 	StartUnixMs int64
-	Service     string
-	// Version of the server's program, empty where it does not tell it.
+	// Service is the name of the service that the server offers, empty if no server is
+	// announced.
+	Service string
+	// Version is the version of the server's program, empty if the server does not announce it.
 	Version string
-	// WarmAt is when the server will no longer be slow after its start.
+	// WarmAt is when the server is expected to be no longer slow from its start.
 	WarmAt time.Time
-	// URL of the backend server on loopback.
-	URL   string
+	// URL is the server's base URL, on loopback or at the address given in the settings.
+	URL string
+	// Slots is the number of calls that the server runs concurrently.
 	Slots int
-	// HealthURL is polled as a hint, if set.
+	// HealthURL is the URL of the server's health check, empty if the server does not announce
+	// one. It is only a hint.
 	HealthURL string
-	Draining  bool
-	// Sequence of the latest announcement of this life of a server with an id.
+	// Draining is set once the server has announced that it is draining.
+	Draining bool
+	// Sequence is the sequence number of this instance's latest announcement, for a server with
+	// an ID.
 	Sequence uint64
-	// FirstSeen is when it first announced itself in an unbroken run.
+	// FirstSeen is when this instance first announced itself. Renewals keep it unless the
+	// announcement has lapsed in between.
 	FirstSeen time.Time
-	// Expires is when the announcement lapses unless renewed.
+	// Expires is when the announcement lapses unless it is renewed.
 	Expires time.Time
 }
 
-// Phase is a step of a daemon's life.
+// Phase is a stage in the lifecycle of a daemon.
 type Phase uint8
 
-// The phases, in order.
+// The phases, in the order in which a daemon passes through them.
 const (
+	// Joining is the phase in which the daemon joins the fleet and recovers its configuration.
 	Joining Phase = iota + 1
+	// Serving is the phase of normal operation.
 	Serving
-	// Draining daemons take no more callers in. Their backend server still takes calls.
+	// Draining is the phase in which the daemon accepts no more callers. Its backend server
+	// still receives calls.
 	Draining
-	// Leaving daemons have the others send nothing more to the backend server.
+	// Leaving is the phase in which the daemon announces that its backend server must receive no
+	// more calls.
 	Leaving
 	Stopped
 )
 
-// String returns the name in lower case.
+// String returns the name of the phase in lower case, "unknown" for an invalid value.
 func (p Phase) String() string {
 	switch p {
 	case Joining:
@@ -103,25 +116,25 @@
 	return "unknown"
 }
 
-// Lifecycle is the phase with the time it began.
+// Lifecycle is the current phase of a daemon and the time at which it began.
 type Lifecycle struct {
 	Phase Phase
 	Since time.Time
-	// Reason tells who asked for a drain.
+	// Reason says who or what requested a drain. It is empty in every phase but Draining.
 	Reason string
 }
 
-// Source tells how this daemon last got configuration.
+// Source is the status of configuration distribution at this daemon.
 type Source struct {
-	// Reader is whether this daemon reads the log for its availability zone.
+	// Reader is set while this daemon reads the log on behalf of its availability zone.
 	Reader bool
-	// KnownOffset is the highest offset heard of anywhere.
+	// KnownOffset is the highest offset known from the log or from any daemon.
 	KnownOffset uint64
-	// LogError is the latest failure to read, empty if the last read went well.
+	// LogError is the error of the latest read of the log, empty if that read succeeded.
 	LogError string
-	// LogErrorSince is when reads began to fail.
+	// LogErrorSince is when reads of the log began to fail.
 	LogErrorSince time.Time
-	// StuckReason tells why the daemon must stay at its version (unknown rule, a log
-	// that went back), empty if it need not.
+	// StuckReason says why the daemon cannot move on from its version (a record with an unknown
+	// rule, a log that was restored from an older copy), empty if it can.
 	StuckReason string
 }
--- a/internal/controller/announce/announce.go
+++ b/internal/controller/announce/announce.go
@@ -1,6 +1,6 @@
-// Package announce takes announcements from the backend server beside the
-// daemon. An announcement lapses unless it is renewed, so that a backend server that
-// died without a word gets no more calls.
+// Package announce receives the announcements of the backend server on the daemon's host. An
+// announcement lapses unless it is renewed, so that a crashed backend server stops receiving
+// calls.
 package announce
 
 import (
@@ -21,12 +21,12 @@
 )
 
 const (
-	// Path of the announcement on the backend listener.
+	// Path is the HTTP path of the announcement on the backend listener.
 	Path = "/v1/announcement"
-	// TTL is how long an announcement holds without renewal.
+	// TTL is how long an announcement on Path is valid without renewal.
 	TTL = 5 * time.Second
 
-	// paramURL names the backend server that withdraws.
+	// paramURL is the query parameter with the URL of the server to withdraw.
 	paramURL = "url"
 
 	maxRequestBytes = 64 << 10
@@ -34,11 +34,12 @@
 	checkInterval   = 500 * time.Millisecond
 )
 
-// Announcement is the body of a PUT on Path.
+// Announcement is the JSON body of a PUT on Path.
 type Announcement struct {
 	Service string `json:"service"`
-	// URL of the backend server; the host must be a loopback address.
-	URL       string `json:"url"`
+	// URL is the base URL of the server; its host must be a loopback address.
+	URL string `json:"url"`
+	// Slots is the number of calls that the server runs concurrently.
 	Slots     int    `json:"slots"`
 	HealthURL string `json:"health_url,omitempty"`
 	Draining  bool   `json:"draining,omitempty"`
@@ -49,23 +50,24 @@
 	Board  *blackboard.Board
 	Logger *slog.Logger
 	Now    func() time.Time
-	// Address is where the backend server may be beside loopback, empty for
-	// nowhere else.
+	// Address is the only address outside loopback that a server may announce, as IP:port; empty
+	// allows none.
 	Address string
-	// ServerTTL is how long an announcement of a server with an id holds.
+	// ServerTTL is how long an announcement of a server with an ID is valid without renewal.
 	ServerTTL time.Duration
 
-	// Service of the backend server by the settings, empty where only its announcement
-	// tells.
+	// Service is the server's service according to the settings, empty if only the announcement
+	// states it.
 	Service string
-	// RejectionLogLimit bounds the log lines about announcements that are refused.
+	// RejectionLogLimit limits the log lines about rejected announcements.
 	RejectionLogLimit telemetry.LineLimit
 
-	// lives that have ended are guarded by the updates of the Local cell.
-	lives lives
+	// ended holds the instances that have ended. It is accessed only within updates of the Local
+	// cell, which are serialized.
+	ended endedInstances
 }
 
-// Handler returns the handler of the backend listener.
+// Handler returns the HTTP handler of the backend listener.
 func (c *Controller) Handler() http.Handler {
 	r := bunrouter.New()
 	r.PUT(Path, c.put)
@@ -75,7 +77,7 @@
 	return r
 }
 
-// Run drops an announcement that lapsed, until ctx is done.
+// Run removes announcements that have lapsed, until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	t := time.NewTicker(checkInterval)
 	defer t.Stop()
@@ -104,7 +106,7 @@
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&a); err != nil {
-		answer.Write(w, errkind.Wrap(errkind.BadRequest, err, "read announcement"))
+		answer.Write(w, errkind.Wrap(errkind.BadRequest, err, "decode announcement"))
 		return nil
 	}
 	if err := a.check(); err != nil {
@@ -112,13 +114,15 @@
 		return nil
 	}
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
-		return c.renewed(old, a)
+		return c.applyAnnouncement(old, a)
 	})
 	w.WriteHeader(http.StatusNoContent)
 	return nil
 }
 
-func (c *Controller) renewed(old *blackboard.LocalBackend, a Announcement) *blackboard.LocalBackend {
+// applyAnnouncement returns the server state after an announcement on Path. A renewal, which has
+// the same service and URL, keeps FirstSeen.
+func (c *Controller) applyAnnouncement(old *blackboard.LocalBackend, a Announcement) *blackboard.LocalBackend {
 	now := c.Now()
 	n := &blackboard.LocalBackend{
 		Service: a.Service, URL: a.URL, Slots: a.Slots, HealthURL: a.HealthURL, Draining: a.Draining,
@@ -132,13 +136,13 @@
 	return n
 }
 
-// withdraw ends the announcement of the URL given, or any without one. A backend
-// server that ends after its successor has announced itself would else take the
-// successor's announcement away.
+// withdraw removes the announcement with the URL in the request, or any announcement if the
+// request has no URL. Without the URL, a server that stops after its successor has announced
+// itself would remove the successor's announcement.
 func (c *Controller) withdraw(w http.ResponseWriter, r bunrouter.Request) error {
-	whose := r.URL.Query().Get(paramURL)
+	withdrawnURL := r.URL.Query().Get(paramURL)
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
-		if old == nil || old.Service == "" || whose != "" && whose != old.URL {
+		if old == nil || old.Service == "" || withdrawnURL != "" && withdrawnURL != old.URL {
 			return old
 		}
 		c.Logger.Info("announce: backend server left", "service", old.Service)
@@ -164,8 +168,8 @@
 	return checkURL("health_url", a.HealthURL)
 }
 
-// checkURL lets only loopback addresses through: the daemon must not be made to
-// send calls to another host, past that host's gate.
+// checkURL accepts only loopback addresses: the daemon must not be made to send calls to another
+// host, bypassing that host's gate.
 func checkURL(field, raw string) error {
 	u, err := url.Parse(raw)
 	if err != nil || u.Scheme != "http" {
--- a/internal/controller/announce/announce_test.go
+++ b/internal/controller/announce/announce_test.go
@@ -17,7 +17,7 @@
 
 const good = `{"service":"sign-feed","url":"http://127.0.0.1:9001","slots":10}`
 
-// fixture is a controller whose clock the test moves.
+// fixture is a controller with a clock that the test sets.
 type fixture struct {
 	*Controller
 	now time.Time
@@ -55,8 +55,8 @@
 	must.Eq(t, first, f.Board.Local.Load().FirstSeen)
 }
 
-// A backend server dies without a word. Its announcement lapses, so that no more
-// calls are sent to it.
+// A backend server crashes and cannot withdraw its announcement. The announcement must lapse, so
+// that the server receives no more calls.
 func TestController_UnrenewedAnnouncementLapses(t *testing.T) {
 	f := newFixture()
 	f.send(http.MethodPut, "", good)
@@ -68,8 +68,8 @@
 	must.Eq(t, "", f.service())
 }
 
-// A backend server is replaced on its host and ends after its successor has
-// announced itself. Its goodbye must not take the successor out of the routes.
+// A backend server is replaced on its host and stops after its successor has announced itself.
+// Its withdrawal must not remove the successor from the routes.
 func TestController_OldServerDoesNotWithdrawItsSuccessor(t *testing.T) {
 	f := newFixture()
 	f.send(http.MethodPut, "", strings.Replace(good, "9001", "9002", 1))
@@ -79,7 +79,7 @@
 	must.Eq(t, "", f.service())
 }
 
-func TestController_BadAnnouncementsAreRefused(t *testing.T) {
+func TestController_InvalidAnnouncementsAreRejected(t *testing.T) {
 	for name, body := range map[string]string{
 		"not JSON":      "x",
 		"unknown field": strings.Replace(good, "slots", "slot", 1),
--- a/internal/controller/announce/discover.go
+++ b/internal/controller/announce/discover.go
@@ -12,39 +12,41 @@
 )
 
 const (
-	// discoverTimeout bounds one question to the backend server, which answers at
-	// once unless it is full.
+	// discoverTimeout bounds one request to the server, which answers immediately unless it is
+	// at capacity.
 	discoverTimeout = 500 * time.Millisecond
-	// discoverTries is how often a server that does not answer is asked: by then it
-	// has announced itself, or is not there.
-	discoverTries = 3
-	// assumedSlots is how many calls the server is taken to run at once until it has
-	// announced itself, within a heartbeat.
+	// discoverAttempts is how often a server that does not answer is queried. After that many
+	// timeouts it has announced itself or is not running.
+	discoverAttempts = 3
+	// assumedSlots is the number of concurrent calls assumed for the server until it announces
+	// its own, which takes at most one heartbeat.
 	assumedSlots = 8
-	// maxHealthBytes bounds what is read of the answer.
+	// maxHealthBytes limits how much of the response body is read.
 	maxHealthBytes = 4 << 10
 )
 
-// Discoverer asks the backend server beside a daemon that has just started who it is.
-// A daemon that restarts while the server runs on would else leave it without calls
-// until its next announcement, which is up to 1.5 s away on the platform; with a fleet
-// that restarts as a whole nothing is served for so long.
+// Discoverer queries the ID of the backend server on the host of a daemon that has just started.
+// Without it, a daemon that restarts while the server keeps running would send the server no
+// calls until its next announcement, up to 1.5 s later on the platform; if the whole fleet
+// restarts, no calls are served for that long.
 type Discoverer struct {
 	Controller *Controller
-	// Service is the server's.
+	// Service is the service that the server offers.
 	Service string
-	// ServerIDHeader is the header field in which the server names itself.
+	// ServerIDHeader is the response header that contains the server's ID.
 	ServerIDHeader string
-	// HealthPath returns where the server answers 200 while it is healthy and does
-	// not leave; ok is false while that is not known.
+	// HealthPath returns the path on which the server answers 200 while it is healthy and not
+	// shutting down. ok is false while the path is unknown.
 	HealthPath func() (path string, ok bool)
-	// HealthPathChanged returns a channel that is closed when HealthPath may tell more.
+	// HealthPathChanged returns a channel that is closed when HealthPath may return something
+	// else.
 	HealthPathChanged func() <-chan struct{}
 }
 
-// Run asks until the server has answered or announced itself, and waits for ctx then.
+// Run queries the server until the server has answered or announced itself, or all attempts have
+// failed. Then it waits for ctx.
 func (d *Discoverer) Run(ctx context.Context) error {
-	for tries := 0; tries < discoverTries && ctx.Err() == nil && d.Controller.Board.Local.Load() == nil; {
+	for attempt := 0; attempt < discoverAttempts && ctx.Err() == nil && d.Controller.Board.Local.Load() == nil; {
 		changed := d.HealthPathChanged()
 		path, ok := d.HealthPath()
 		if !ok {
@@ -54,22 +56,23 @@
 			}
 			continue
 		}
-		tries++
-		id, err := d.ask(ctx, path)
+		attempt++
+		id, err := d.queryID(ctx, path)
 		if err != nil {
-			d.Controller.Logger.Info("announce: backend server not discovered", "address", d.Controller.Address, "try", tries, "error", err)
+			d.Controller.Logger.Info("announce: backend server not discovered", "address", d.Controller.Address, "try", attempt, "error", err)
 			continue
 		}
-		d.found(id)
+		d.addDiscovered(id)
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// direct reaches the server beside the daemon whatever proxy the environment names.
-var direct = &http.Transport{DisableKeepAlives: true}
+// directTransport connects to the server directly, even if the environment names a proxy.
+var directTransport = &http.Transport{DisableKeepAlives: true}
 
-func (d *Discoverer) ask(ctx context.Context, path string) (string, error) {
+// queryID requests the health path and returns the server's ID from the response.
+func (d *Discoverer) queryID(ctx context.Context, path string) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, discoverTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+d.Controller.Address+path, nil)
@@ -77,7 +80,7 @@
 		return "", err
 	}
 	req.Close = true
-	resp, err := direct.RoundTrip(req)
+	resp, err := directTransport.RoundTrip(req)
 	if err != nil {
 		return "", err
 	}
@@ -85,16 +88,17 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBytes))
 	id := resp.Header.Get(d.ServerIDHeader)
 	if resp.StatusCode != http.StatusOK || id == "" {
-		return "", errors.Newf("status %d, id %q", resp.StatusCode, id)
+		return "", errors.Newf("health check answered with status %d and server id %q", resp.StatusCode, id)
 	}
 	return id, nil
 }
 
-// found takes the server in, unless it has announced itself meanwhile.
-func (d *Discoverer) found(id string) {
+// addDiscovered adds the server, unless one has announced itself in the meantime or the one with
+// this ID has ended.
+func (d *Discoverer) addDiscovered(id string) {
 	c := d.Controller
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
-		if old != nil || c.lives.has(life{id: id}) {
+		if old != nil || c.ended.contains(instance{id: id}) {
 			return old
 		}
 		now := c.Now()
--- a/internal/controller/announce/discover_test.go
+++ b/internal/controller/announce/discover_test.go
@@ -15,18 +15,18 @@
 	"github.com/crocuscross/crocuscross/internal/blackboard"
 )
 
-// A daemon restarts while the backend server beside it runs on. It asks the server who
-// it is and has it in place before the next announcement, unless the server leaves;
-// what the server announces later counts more.
-func TestDiscover(t *testing.T) {
+// A daemon restarts while the backend server on its host keeps running. It must query the
+// server's ID and add it before the next announcement, unless the server is shutting down. A
+// later announcement takes precedence.
+func TestDiscoverer_FindsRunningServer(t *testing.T) {
 	for _, status := range []int{http.StatusOK, http.StatusServiceUnavailable} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			asked := make(chan struct{}, discoverTries)
+			queried := make(chan struct{}, discoverAttempts)
 			s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				must.Eq(t, "/health", r.URL.Path)
 				w.Header().Set("Id", "i-1")
 				w.WriteHeader(status)
-				asked <- struct{}{}
+				queried <- struct{}{}
 			}))
 			defer s.Close()
 			c := &Controller{
@@ -50,11 +50,11 @@
 				local := c.Board.Local.Load()
 				must.Eq(t, "i-1", local.ID)
 				must.Eq(t, "signs", local.Service)
-				next := c.registered(local, "i-1", ServerAnnouncement{Service: "signs", Address: c.Address, Slots: 3, State: stateDraining, Sequence: new(uint64(1))})
+				next := c.applyServerAnnouncement(local, "i-1", ServerAnnouncement{Service: "signs", Address: c.Address, Slots: 3, State: stateDraining, Sequence: new(uint64(1))})
 				must.True(t, next.Draining)
 			} else {
-				for range discoverTries {
-					<-asked
+				for range discoverAttempts {
+					<-queried
 				}
 				must.Nil(t, c.Board.Local.Load())
 			}
--- a/internal/controller/announce/servers.go
+++ b/internal/controller/announce/servers.go
@@ -17,89 +17,92 @@
 )
 
 const (
-	// ServersPath is where a backend server with an id of its own announces itself:
-	// PUT and DELETE of ServersPath/ID.
+	// ServersPath is the HTTP path for announcements of servers with an ID: PUT and DELETE on
+	// ServersPath/ID.
 	ServersPath = "/v1/backend-servers"
 	paramID     = "id"
 
 	maxID = 256
-	// maxBorn bounds the start of a life, in Unix milliseconds: the year 5138, beyond
-	// which a number is no time.
-	maxBorn = 100_000_000_000_000
+	// maxStartUnixMs bounds the start of an instance, in Unix milliseconds. It is in the year
+	// 5138; a greater number cannot be a time.
+	maxStartUnixMs = 100_000_000_000_000
 )
 
-// States of a backend server.
+// The states of a backend server.
 const (
 	stateReady    = "ready"
 	stateDraining = "draining"
 )
 
-// ServerAnnouncement is the body of a PUT on ServersPath/ID. Members that are not
-// listed are passed over. Other writers' announcements may lack any of them.
+// ServerAnnouncement is the JSON body of a PUT on ServersPath/ID. Unknown members are ignored.
+// Announcements by other clients may lack any member.
 type ServerAnnouncement struct {
 	Service string `json:"service"`
-	// Address is where the server takes calls, as IP:port.
+	// Address is where the server accepts calls, as IP:port.
 	Address string `json:"address"`
-	Slots   int    `json:"slots"`
-	// State is ready or draining.
+	// Slots is the number of calls that the server runs concurrently.
+	Slots int `json:"slots"`
+	// State is "ready" or "draining".
 	State string `json:"state"`
-	// AvailabilityZone is only checked: what counts is where the daemon is.
+	// AvailabilityZone is checked for its type but not used: the daemon's own zone applies.
 	AvailabilityZone string `json:"availability_zone"`
-	// Version of the server's program.
+	// Version is the version of the server's program.
 	Version string `json:"version"`
-	// WarmUpMs is how much longer the server is slow after its start. Rollouts do not hold
-	// that against its version; the choice of a server goes by what is seen of it.
+	// WarmUpMs is how much longer the server is slow after its start, in milliseconds. Rollouts
+	// do not count this slowness against the server's version; the choice of a server depends on
+	// its measured performance.
 	WarmUpMs float64 `json:"warm_up_ms"`
-	// Sequence rises with each announcement of one life of the server.
+	// Sequence increases with each announcement of an instance. It is nil if the member is
+	// missing.
 	Sequence *uint64 `json:"sequence"`
-	// StartUnixMs is the start of this life in Unix milliseconds, 0 where the server does not
-	// tell it. A server may start again under the id that it had.
+	// StartUnixMs is the start of the instance in Unix milliseconds, 0 if the server does not
+	// state it. A restarted server may reuse its ID.
 	StartUnixMs int64 `json:"born"`
 }
 
-// withdrawal is the body of a DELETE on ServersPath/ID; it may be empty.
+// withdrawal is the JSON body of a DELETE on ServersPath/ID, which may be empty.
 type withdrawal struct {
-	// Born is the start of the life that ends, 0 for the one that is known.
-	Born int64 `json:"born"`
+	// StartUnixMs is the start of the instance that ends, 0 for the known instance.
+	StartUnixMs int64 `json:"born"`
 }
 
-// register takes an announcement. It is acknowledged once the gate acts on it: a
-// server that is told that its leaving is known counts on no further calls.
+// register handles a PUT. It responds only once the gate acts on the announcement: a server that
+// receives the response to its draining announcement expects no further calls.
 func (c *Controller) register(w http.ResponseWriter, r bunrouter.Request) error {
 	id := r.Param(paramID)
 	var a ServerAnnouncement
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&a); err != nil {
-		c.refuse(w, id, errkind.Wrap(errkind.BadRequest, err, "read announcement"))
+		c.reject(w, id, errkind.Wrap(errkind.BadRequest, err, "decode announcement"))
 		return nil
 	}
 	if err := c.checkServer(id, a); err != nil {
-		c.refuse(w, id, err)
+		c.reject(w, id, err)
 		return nil
 	}
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
-		return c.registered(old, id, a)
+		return c.applyServerAnnouncement(old, id, a)
 	})
 	w.WriteHeader(http.StatusOK)
 	return nil
 }
 
-// refuse answers an announcement that names no server to use. What is known stays.
-func (c *Controller) refuse(w http.ResponseWriter, id string, err error) {
+// reject answers an invalid request. The known server stays as it is.
+func (c *Controller) reject(w http.ResponseWriter, id string, err error) {
 	if c.RejectionLogLimit.Allow() {
-		c.Logger.Warn("announce: announcement refused", "id", id[:min(len(id), maxID)], "error", err)
+		c.Logger.Warn("announce: announcement rejected", "id", id[:min(len(id), maxID)], "error", err)
 	}
 	answer.Write(w, err)
 }
 
-// registered returns the backend server after an announcement. One of a life that has
-// left or been replaced changes nothing, nor does an older one than was seen: a late
-// ready must not take a draining back, nor a server that has crashed the place of its
-// successor at the same address or under the same id.
-func (c *Controller) registered(old *blackboard.LocalBackend, id string, a ServerAnnouncement) *blackboard.LocalBackend {
+// applyServerAnnouncement returns the server state after an announcement. Announcements of an
+// instance that has ended, and those that are not newer than the latest one, change nothing: a
+// late "ready" must not undo a drain, and a crashed server must not replace its successor at the
+// same address or with the same ID.
+func (c *Controller) applyServerAnnouncement(old *blackboard.LocalBackend, id string, a ServerAnnouncement) *blackboard.LocalBackend {
 	sequence := *a.Sequence
-	same := sameLife(old, id, a.StartUnixMs)
-	if c.lives.has(life{id, a.StartUnixMs}) || isEarlierLife(old, id, a.StartUnixMs) || same && sequence <= old.Sequence {
-		c.Logger.Info("announce: late announcement passed over", "id", id, "born", a.StartUnixMs, "sequence", sequence, "state", a.State)
+	same := isSameInstance(old, id, a.StartUnixMs)
+	if c.ended.contains(instance{id, a.StartUnixMs}) || isEarlierInstance(old, id, a.StartUnixMs) || same && sequence <= old.Sequence {
+		c.Logger.Info("announce: late announcement ignored", "id", id, "born", a.StartUnixMs, "sequence", sequence, "state", a.State)
 		return old
 	}
 	now := c.Now()
@@ -112,81 +115,82 @@
 		n.FirstSeen = old.FirstSeen
 		n.StartUnixMs = max(old.StartUnixMs, a.StartUnixMs)
 	} else {
-		c.replace(old)
+		c.markEnded(old)
 		c.Logger.Info("announce: backend server announced itself", "id", id, "born", a.StartUnixMs, "service", a.Service,
 			"slots", a.Slots, "sequence", sequence, "state", a.State)
 	}
 	if n.Draining && (!same || !old.Draining) {
-		c.Logger.Info("announce: backend server drains", "id", id, "service", a.Service, "sequence", sequence)
+		c.Logger.Info("announce: backend server is draining", "id", id, "service", a.Service, "sequence", sequence)
 	}
 	return n
 }
 
-// sameLife reports whether an announcement is of the life that is known. One of the two
-// may lack its start: a server found by a question has not told it yet.
-func sameLife(old *blackboard.LocalBackend, id string, born int64) bool {
-	return old != nil && old.ID == id && (old.StartUnixMs == born || old.StartUnixMs == 0 || born == 0)
+// isSameInstance reports whether an announcement is from the known instance. One of the two may
+// lack a start: a discovered server has not stated it yet.
+func isSameInstance(old *blackboard.LocalBackend, id string, startUnixMs int64) bool {
+	return old != nil && old.ID == id && (old.StartUnixMs == startUnixMs || old.StartUnixMs == 0 || startUnixMs == 0)
 }
 
-func isEarlierLife(old *blackboard.LocalBackend, id string, born int64) bool {
-	return old != nil && old.ID == id && born != 0 && born < old.StartUnixMs
+// isEarlierInstance reports whether an announcement is from an instance that started before the
+// known one with the same ID.
+func isEarlierInstance(old *blackboard.LocalBackend, id string, startUnixMs int64) bool {
+	return old != nil && old.ID == id && startUnixMs != 0 && startUnixMs < old.StartUnixMs
 }
 
-// replace notes that another life has taken the place of a known one.
-func (c *Controller) replace(old *blackboard.LocalBackend) {
+// markEnded records that another instance has replaced a known one, if there was one.
+func (c *Controller) markEnded(old *blackboard.LocalBackend) {
 	if old != nil {
-		c.lives.end(life{old.ID, old.StartUnixMs}, c.Now())
+		c.ended.add(instance{old.ID, old.StartUnixMs}, c.Now())
 	}
 }
 
-// deregister takes the word of a server that leaves.
+// deregister handles a DELETE, which a server sends when it shuts down.
 func (c *Controller) deregister(w http.ResponseWriter, r bunrouter.Request) error {
 	id := r.Param(paramID)
-	born, err := withdrawnLife(w, r.Request)
+	startUnixMs, err := decodeWithdrawal(w, r.Request)
 	if err != nil {
-		c.refuse(w, id, err)
+		c.reject(w, id, err)
 		return nil
 	}
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
-		return c.deregistered(old, life{id, born})
+		return c.applyWithdrawal(old, instance{id, startUnixMs})
 	})
 	w.WriteHeader(http.StatusOK)
 	return nil
 }
 
-// withdrawnLife returns the start of the life that a DELETE is about, 0 where it does
-// not say.
-func withdrawnLife(w http.ResponseWriter, r *http.Request) (int64, error) {
+// decodeWithdrawal returns the start of the instance that a DELETE names, 0 if it names none.
+func decodeWithdrawal(w http.ResponseWriter, r *http.Request) (int64, error) {
 	var d withdrawal
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&d)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return 0, errkind.Wrap(errkind.BadRequest, err, "read withdrawal")
+		return 0, errkind.Wrap(errkind.BadRequest, err, "decode withdrawal")
 	}
-	return d.Born, checkBorn(d.Born)
+	return d.StartUnixMs, checkStart(d.StartUnixMs)
 }
 
-// deregistered returns the backend server after one has left: none, or the one that is
-// known where the word is of another life.
-func (c *Controller) deregistered(old *blackboard.LocalBackend, l life) *blackboard.LocalBackend {
-	if old == nil || old.ID != l.id || isEarlierLife(old, l.id, l.born) {
-		c.lives.end(l, c.Now())
+// applyWithdrawal returns the server state after a withdrawal: empty, or the known state if the
+// withdrawal is from another instance.
+func (c *Controller) applyWithdrawal(old *blackboard.LocalBackend, l instance) *blackboard.LocalBackend {
+	if old == nil || old.ID != l.id || isEarlierInstance(old, l.id, l.startUnixMs) {
+		c.ended.add(l, c.Now())
 		return old
 	}
-	l.born = max(l.born, old.StartUnixMs)
-	c.lives.end(l, c.Now())
-	c.Logger.Info("announce: backend server left", "id", l.id, "born", l.born, "service", old.Service)
+	l.startUnixMs = max(l.startUnixMs, old.StartUnixMs)
+	c.ended.add(l, c.Now())
+	c.Logger.Info("announce: backend server left", "id", l.id, "born", l.startUnixMs, "service", old.Service)
 	return &blackboard.LocalBackend{}
 }
 
-// HandleServerMismatch notes that another server than the one announced answers at its address.
-// Nothing is sent there until that one has announced itself.
+// HandleServerMismatch records that the server at the announced address is not the one with the
+// given ID. No calls are sent there until that other server has announced itself.
 func (c *Controller) HandleServerMismatch(id string) {
 	c.Board.Local.Update(func(old *blackboard.LocalBackend) *blackboard.LocalBackend {
 		if old == nil || old.ID != id {
 			return old
 		}
-		c.replace(old)
-		c.Logger.Warn("announce: another backend server has the address", "id", id, "service", old.Service)
+		c.markEnded(old)
+		c.Logger.Warn("announce: another backend server uses the address", "id", id, "service", old.Service)
 		return &blackboard.LocalBackend{}
 	})
 }
@@ -194,10 +198,10 @@
 func (c *Controller) checkServer(id string, a ServerAnnouncement) error {
 	switch {
 	case id == "" || len(id) > maxID:
-		return errkind.Newf(errkind.BadRequest, "the id must have 1 to %d bytes", maxID)
+		return errkind.Newf(errkind.BadRequest, "id must have 1 to %d bytes", maxID)
 	case a.Service == "":
 		return errkind.New(errkind.BadRequest, "service is empty")
-	case !c.knowsService(id, a.Service):
+	case !c.isKnownService(id, a.Service):
 		return errkind.Newf(errkind.BadRequest, "service %q is not in the configuration in force", a.Service)
 	case a.Sequence == nil:
 		return errkind.New(errkind.BadRequest, "sequence is missing")
@@ -210,24 +214,24 @@
 	case a.WarmUpMs < 0 || a.WarmUpMs > float64(time.Hour/time.Millisecond):
 		return errkind.Newf(errkind.BadRequest, "warm_up_ms is out of range: %g", a.WarmUpMs)
 	}
-	if err := checkBorn(a.StartUnixMs); err != nil {
+	if err := checkStart(a.StartUnixMs); err != nil {
 		return err
 	}
 	return c.checkAddress(a.Address)
 }
 
-func checkBorn(born int64) error {
-	if born < 0 || born > maxBorn {
-		return errkind.Newf(errkind.BadRequest, "born is out of range: %d", born)
+func checkStart(startUnixMs int64) error {
+	if startUnixMs < 0 || startUnixMs > maxStartUnixMs {
+		return errkind.Newf(errkind.BadRequest, "born is out of range: %d", startUnixMs)
 	}
 	return nil
 }
 
-// knowsService reports whether an announcement may name a service: one of the
-// configuration in force, this host's own, or that of the server which is known already.
-// Without the check an announcement with a made-up service would take the place of the
-// server that is there, and that one's own would be passed over from then on.
-func (c *Controller) knowsService(id, service string) bool {
+// isKnownService reports whether an announcement may name a service: one in the configuration in
+// force, the one in this host's settings, or that of the known server. Without this check, an
+// announcement with a nonexistent service would replace the running server, whose own
+// announcements would then be ignored.
+func (c *Controller) isKnownService(id, service string) bool {
 	if local := c.Board.Local.Load(); local != nil && local.ID == id && local.Service == service {
 		return true
 	}
@@ -238,9 +242,8 @@
 	return snap.Document().HasService(service)
 }
 
-// checkAddress lets through only the address that the settings name and loopback
-// ones: the daemon must not be made to send calls to another host, past that host's
-// gate.
+// checkAddress accepts only the address in the settings and loopback addresses: the daemon must
+// not be made to send calls to another host, bypassing that host's gate.
 func (c *Controller) checkAddress(address string) error {
 	if address == c.Address && address != "" {
 		return nil
--- a/internal/controller/apply/apply.go
+++ b/internal/controller/apply/apply.go
@@ -1,5 +1,5 @@
-// Package apply puts configuration in force: it derives a snapshot from the
-// folded state and the known backend servers and swaps it in.
+// Package apply puts configuration into force: it builds a snapshot from the folded state and
+// the known backend servers and publishes it on the blackboard.
 package apply
 
 import (
@@ -16,15 +16,16 @@
 type Controller struct {
 	Board  *blackboard.Board
 	Logger *slog.Logger
-	// OnInForce is told of each new version and when it came into force.
+	// OnInForce is called with the offset of each new version and the time at which it came into
+	// force.
 	OnInForce func(offset uint64, at time.Time)
 }
 
 // Run reconciles until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
-		// The channels are taken before the values are used, so that a change
-		// in between wakes the next round.
+		// The channels are obtained before the values are used, so that a change in between
+		// causes another round.
 		st, stateChanged := c.Board.State.Watch()
 		_, backendsChanged := c.Board.Backends.Watch()
 		floor, floorChanged := c.Board.Floor.Watch()
@@ -39,9 +40,9 @@
 	}
 }
 
-// reconcile brings the snapshot up to the state. Until the floor is known
-// nothing comes into force: a restarted daemon would otherwise serve an older
-// version than its host had before, and callers would see a contract revert.
+// reconcile updates the snapshot from the state. Nothing comes into force until the floor is
+// known: a restarted daemon would otherwise serve an older version than its host did before, and
+// callers would see a contract revert.
 func (c *Controller) reconcile(st *fold.State, floor *blackboard.Floor) {
 	if st == nil || floor == nil || !floor.Known || st.Offset < floor.Offset {
 		return
--- a/internal/controller/backends/backends.go
+++ b/internal/controller/backends/backends.go
@@ -1,5 +1,4 @@
-// Package backends derives the known backend servers from the table of
-// daemons.
+// Package backends derives the known backend servers from the membership table.
 package backends
 
 import (
@@ -13,7 +12,7 @@
 // Controller owns the Backends cell.
 type Controller struct {
 	Board *blackboard.Board
-	// OnChange is told of each new set.
+	// OnChange is called with each new set.
 	OnChange func(*backend.Set)
 }
 
@@ -34,9 +33,9 @@
 	}
 }
 
-// Derive returns the backend servers of all members that work may be sent to.
-// A suspect member's servers stay, marked as such: a region that is cut off for
-// a moment must not empty the routes.
+// Derive returns the backend servers of all members that are alive or suspect. The servers of
+// suspect members are kept and marked as suspect: a region that is briefly unreachable must not
+// leave its routes without servers.
 func Derive(view *membership.View) *backend.Set {
 	var servers []*backend.Server
 	for _, m := range view.Live() {
--- a/internal/controller/checkpoints/checkpoints.go
+++ b/internal/controller/checkpoints/checkpoints.go
@@ -1,5 +1,5 @@
-// Package checkpoints has the folded configuration written to the platform's
-// log before the records that made it expire.
+// Package checkpoints writes the folded configuration to the platform's log before the records
+// that it was built from expire.
 package checkpoints
 
 import (
@@ -12,23 +12,25 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// emptyWait is how long to wait while there is nothing to write.
-const emptyWait = 10 * time.Second
+// idleInterval is how long to wait while there is nothing to write.
+const idleInterval = 10 * time.Second
 
-// Checkpointer decides whether a checkpoint is due and writes it; checkpoint.Checkpointer
-// is one.
+// Checkpointer writes a checkpoint if one is due. Package checkpoint implements it.
 type Checkpointer interface {
+	// Step writes a checkpoint of st if this daemon has to write one. Live lists the hosts whose
+	// daemons may write checkpoints. Step returns how long to wait before the next call, also
+	// with an error.
 	Step(ctx context.Context, st *fold.State, live []string) (next time.Duration, err error)
 }
 
-// Controller drives a Keeper from the blackboard. It writes no cell.
+// Controller runs a Checkpointer on the state from the blackboard. It writes no cell.
 type Controller struct {
 	Board        *blackboard.Board
 	Checkpointer Checkpointer
 	Logger       *slog.Logger
 }
 
-// Run takes steps until ctx is done.
+// Run calls the Checkpointer until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
 		t := time.NewTimer(c.step(ctx))
@@ -41,20 +43,22 @@
 	}
 }
 
+// step calls the Checkpointer once and returns how long to wait before the next call.
 func (c *Controller) step(ctx context.Context) time.Duration {
 	st, view := c.Board.State.Load(), c.Board.Members.Load()
 	if st == nil || st.Offset == 0 || view == nil {
-		return emptyWait
+		return idleInterval
 	}
-	next, err := c.Checkpointer.Step(ctx, st, hosts(view))
+	next, err := c.Checkpointer.Step(ctx, st, eligibleHosts(view))
 	if err != nil {
 		c.Logger.Info("checkpoints: step failed", "error", err)
 	}
 	return next
 }
 
-// hosts returns the names of the daemons that may write.
-func hosts(view *membership.View) []string {
+// eligibleHosts returns the hosts whose daemons may write checkpoints: those alive and not
+// draining.
+func eligibleHosts(view *membership.View) []string {
 	var names []string
 	for _, m := range view.Members {
 		if m.Liveness == membership.Alive && !m.Draining {
--- a/internal/controller/contacts/contacts.go
+++ b/internal/controller/contacts/contacts.go
@@ -1,6 +1,5 @@
-// Package contacts keeps a few daemons' addresses in a directory of the platform,
-// so that a daemon whose contacts in the settings have all been replaced still
-// finds the fleet.
+// Package contacts stores the addresses of some daemons in a directory of the platform, so that
+// a daemon can find the fleet even if all the contacts in its settings have been replaced.
 package contacts
 
 import (
@@ -23,78 +22,83 @@
 )
 
 const (
-	// RefreshInterval is how often a daemon that reads the log for its
-	// availability zone appends its address. At two readers in each of eight
-	// zones that is one append in 37 seconds for the whole fleet, also when a
-	// third of it restarts at once.
+	// RefreshInterval is how often a daemon that reads the log for its availability zone appends
+	// its address. With two readers in each of eight zones, the whole fleet appends once in 37
+	// seconds, even if a third of it restarts at once.
 	RefreshInterval = 10 * time.Minute
-	// checkInterval is how often it is looked whether an append is due.
+	// checkInterval is the mean time between checks whether an append is due.
 	checkInterval = 30 * time.Second
-	// TailRecords is how many of the latest records are looked at for contacts where the
-	// directory is a stream of a log.
+	// TailRecords is how many of the latest records are searched for contacts if the directory
+	// is a stream of a log.
 	TailRecords = 64
-	// maxNear and maxAway bound the contacts taken from the directory: of the own
-	// availability zone, and of each other one. A start asks three neighbours, some of which
-	// may have gone, and nobody elsewhere if they know the other zones.
-	maxNear = 8
-	maxAway = 2
-	// enoughNear is how many entries of its availability zone a start leaves alone, not
-	// adding its own: of those that start at once the first few put theirs, in place of all.
-	enoughNear = 8
-	// alonePatience is how long a start may know nobody before it adds its own all the same.
-	alonePatience = time.Second
-	// readerSettles is how long a daemon has read the log for its zone before it puts its
-	// entry: a fleet that starts has every daemon take itself for a reader for a moment.
-	readerSettles = 5 * time.Second
-	// retryAfter is about the wait before the first entry is put again. Until it is
-	// there, daemons that start later cannot find this one.
-	retryAfter = 300 * time.Millisecond
-	// restoreSpread is about the wait before an entry is put again that the directory may have
-	// lost: all that have one put it.
-	restoreSpread = time.Second
+	// maxSameZone and maxPerOtherZone limit the contacts taken from the directory: those in the
+	// daemon's own availability zone, and those in each other zone. A starting daemon contacts
+	// three daemons in its zone, some of which may be gone, and none elsewhere if those three
+	// know the other zones.
+	maxSameZone     = 8
+	maxPerOtherZone = 2
+	// enoughSameZone is the number of entries from its own availability zone with which a
+	// starting daemon does not add its own: if many daemons start at once, the first few add
+	// theirs instead of all.
+	enoughSameZone = 8
+	// aloneTimeout is how long a starting daemon may know no other member before it adds its
+	// entry even so.
+	aloneTimeout = time.Second
+	// readerSettleTime is how long a daemon must have read the log for its zone before it puts
+	// its entry: when a fleet starts, every daemon is briefly a reader.
+	readerSettleTime = 5 * time.Second
+	// retryInterval is the mean wait before a failed put is retried. Until the entry is stored,
+	// daemons that start later cannot find this one.
+	retryInterval = 300 * time.Millisecond
+	// restoreDelay is the mean wait before the entry is put again after the directory may have
+	// lost it. All daemons that have an entry put theirs then.
+	restoreDelay = time.Second
 )
 
-// Options holds what a Controller works with.
+// Options configures a Controller.
 type Options struct {
 	Board            *blackboard.Board
 	Directory        eventlog.Directory
 	Host             string
 	AvailabilityZone string
 	PeerAddr         netip.AddrPort
-	// DirectoryPersists is whether the directory keeps one entry for each host for good. A daemon then
-	// puts its address as it starts, if that is not there and few others are, and when it
-	// has become a reader: some that are alive are always found. Without it only readers
-	// put theirs, again and again, which suits a directory that forgets.
+	// DirectoryPersists is set if the directory keeps one entry for each host permanently. A
+	// daemon then puts its address at startup, if it is missing and there are few others, and
+	// when it has become a reader, so that some live daemons can always be found. Otherwise only
+	// readers put their address, and repeat that, which suits a directory that drops old
+	// entries.
 	DirectoryPersists bool
-	// OnEntries is told of all entries of the directory when a start has read it: others'
-	// are among them, and one read has to do for all. It may be nil.
+	// OnEntries, if not nil, is called with all entries of the directory after each read. They
+	// include the entries of other components, so that one read at startup is enough for all of
+	// them.
 	OnEntries func(values [][]byte)
 	Logger    *slog.Logger
 	Now       func() time.Time
 }
 
-// Controller appends this daemon's address and finds those of others.
+// Controller stores this daemon's address and finds those of others.
 type Controller struct {
 	opts Options
-	last time.Time
-	// listed is closed with the first answer about the directory, or the first failure.
+	// lastAppend is when the address was last appended, successfully or not.
+	lastAppend time.Time
+	// listed is closed after the first read of the directory, successful or not.
 	listed     chan struct{}
 	listedOnce sync.Once
-	// present is whether the directory has this daemon's entry, crowded whether it has
-	// enough others of the availability zone.
-	present, crowded atomic.Bool
-	restores         *blackboard.RestoreWatcher
+	// hasOwnEntry is whether the directory has this daemon's entry, hasEnoughOthers whether it
+	// has enough others from the availability zone.
+	hasOwnEntry, hasEnoughOthers atomic.Bool
+	restoreWatcher               *blackboard.RestoreWatcher
 }
 
-// New returns a controller that has appended nothing yet.
+// New returns a controller that has stored nothing yet.
 func New(opts Options) *Controller {
-	return &Controller{opts: opts, listed: make(chan struct{}), restores: blackboard.NewRestoreWatcher(opts.Board)}
+	return &Controller{opts: opts, listed: make(chan struct{}), restoreWatcher: blackboard.NewRestoreWatcher(opts.Board)}
 }
 
-// Run appends when it is due, until ctx is done.
+// Run stores the address whenever that is due, until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	if c.opts.DirectoryPersists {
-		return c.keepEntry(ctx)
+		return c.maintainEntry(ctx)
 	}
 	for loop.SleepJittered(ctx, checkInterval) {
 		c.reconcile(ctx)
@@ -102,47 +106,49 @@
 	return nil
 }
 
-// reconcile appends the address if this daemon is a reader and has not done so
-// of late. An append whose outcome is unknown counts: a second record does no
-// harm, but a log that is slow must not be asked more often for it.
+// reconcile appends the address if this daemon is a reader and has not done so within
+// RefreshInterval. An append with an unknown outcome counts as done: a second record does no
+// harm, but a slow log must not receive more requests because of it.
 func (c *Controller) reconcile(ctx context.Context) {
 	source := c.opts.Board.Source.Load()
 	now := c.opts.Now()
-	if source == nil || !source.Reader || !c.last.IsZero() && now.Sub(c.last) < RefreshInterval {
+	if source == nil || !source.Reader || !c.lastAppend.IsZero() && now.Sub(c.lastAppend) < RefreshInterval {
 		return
 	}
-	c.last = now
+	c.lastAppend = now
 	if err := c.put(ctx); err != nil {
 		c.opts.Logger.Info("contacts: own address not appended", "error", err)
 	}
 }
 
-// keepEntry puts the entry at the start where the directory needs it, and once more
-// daemons are likely to look for it: when this one reads the log for its zone.
-func (c *Controller) keepEntry(ctx context.Context) error {
+// maintainEntry puts the entry at startup if the directory needs it, or else when this daemon
+// starts to read the log for its zone, because more daemons are then likely to look for it. It
+// puts the entry again after each restore of the log.
+func (c *Controller) maintainEntry(ctx context.Context) error {
 	select {
 	case <-c.listed:
 	case <-ctx.Done():
 		return nil
 	}
-	if !c.present.Load() && (!c.crowded.Load() || c.staysAlone(ctx)) {
-		c.putUntilDone(ctx)
+	if !c.hasOwnEntry.Load() && (!c.hasEnoughOthers.Load() || c.remainsAlone(ctx)) {
+		c.putWithRetry(ctx)
 	}
-	for !c.present.Load() && c.awaitReader(ctx) {
-		c.putUntilDone(ctx)
+	for !c.hasOwnEntry.Load() && c.awaitReader(ctx) {
+		c.putWithRetry(ctx)
 	}
-	for c.restores.Wait(ctx) {
-		loop.SleepJittered(ctx, restoreSpread)
-		c.putUntilDone(ctx)
+	for c.restoreWatcher.Wait(ctx) {
+		loop.SleepJittered(ctx, restoreDelay)
+		c.putWithRetry(ctx)
 	}
 	return nil
 }
 
-// staysAlone reports whether this daemon knows no other one after a while. The entries that
-// there are are then of hosts that are gone, as where all have moved to other addresses;
-// those that start now would never find each other if each left it at these.
-func (c *Controller) staysAlone(ctx context.Context) bool {
-	patience, cancel := context.WithTimeout(ctx, alonePatience)
+// remainsAlone reports whether this daemon still knows no other one after aloneTimeout. The
+// existing entries then belong to hosts that are gone, for example because all hosts have moved
+// to other addresses. Daemons that start now would never find each other if none of them added
+// its entry.
+func (c *Controller) remainsAlone(ctx context.Context) bool {
+	timeout, cancel := context.WithTimeout(ctx, aloneTimeout)
 	defer cancel()
 	for {
 		view, changed := c.opts.Board.Members.Watch()
@@ -151,19 +157,19 @@
 		}
 		select {
 		case <-changed:
-		case <-patience.Done():
+		case <-timeout.Done():
 			return ctx.Err() == nil
 		}
 	}
 }
 
-// awaitReader returns once this daemon has been a reader for readerSettles, or false where
-// ctx is done.
+// awaitReader returns true once this daemon has been a reader for readerSettleTime. It returns
+// false if ctx is done first.
 func (c *Controller) awaitReader(ctx context.Context) bool {
 	for ctx.Err() == nil {
 		source, changed := c.opts.Board.Source.Watch()
 		if source != nil && source.Reader {
-			if !loop.Sleep(ctx, readerSettles) {
+			if !loop.Sleep(ctx, readerSettleTime) {
 				return false
 			}
 			if now := c.opts.Board.Source.Load(); now.Reader {
@@ -179,38 +185,39 @@
 	return false
 }
 
-// noteEntries looks in the directory for this daemon's entry and counts the neighbours'.
-func (c *Controller) noteEntries(values [][]byte) {
-	near, own := 0, c.contact()
+// inspectEntries looks for this daemon's entry and counts the other entries from its zone.
+func (c *Controller) inspectEntries(values [][]byte) {
+	sameZone, own := 0, c.contact()
 	for _, value := range values {
 		var m configpb.Contact
 		switch {
 		case proto.Unmarshal(value, &m) != nil:
 		case proto.Equal(&m, own):
-			c.present.Store(true)
+			c.hasOwnEntry.Store(true)
 		case m.GetHost() != c.opts.Host && m.GetAvailabilityZone() == c.opts.AvailabilityZone:
-			near++
+			sameZone++
 		}
 	}
-	c.crowded.Store(near >= enoughNear)
+	c.hasEnoughOthers.Store(sameZone >= enoughSameZone)
 }
 
+// contact returns this daemon's entry.
 func (c *Controller) contact() *configpb.Contact {
 	return &configpb.Contact{
 		Host: c.opts.Host, PeerAddr: c.opts.PeerAddr.String(), AvailabilityZone: c.opts.AvailabilityZone,
 	}
 }
 
-// putUntilDone puts the address until that is certain to be done.
-func (c *Controller) putUntilDone(ctx context.Context) {
+// putWithRetry puts the entry until that is known to have succeeded or ctx is done.
+func (c *Controller) putWithRetry(ctx context.Context) {
 	for ctx.Err() == nil {
 		err := c.put(ctx)
 		if err == nil {
-			c.present.Store(true)
+			c.hasOwnEntry.Store(true)
 			return
 		}
 		c.opts.Logger.Info("contacts: own address not appended", "error", err)
-		loop.SleepJittered(ctx, retryAfter)
+		loop.SleepJittered(ctx, retryInterval)
 	}
 }
 
@@ -222,32 +229,33 @@
 	return c.opts.Directory.Put(ctx, c.opts.Host, data)
 }
 
-// Find returns the addresses in the directory, the newest of each host, without this
-// daemon's own. Unreadable values are passed over.
+// Find returns the addresses in the directory, the newest of each host, without this daemon's
+// own. Unreadable values are skipped.
 func (c *Controller) Find(ctx context.Context) ([]membership.Contact, error) {
 	defer c.listedOnce.Do(func() { close(c.listed) })
 	values, err := c.opts.Directory.List(ctx)
 	if err != nil {
 		return nil, err
 	}
-	c.noteEntries(values)
+	c.inspectEntries(values)
 	if c.opts.OnEntries != nil {
 		c.opts.OnEntries(values)
 	}
 	if c.opts.DirectoryPersists {
-		// Entries of hosts that are gone for good are among them, in the order of
-		// their names: whoever takes the first few would never reach the others.
+		// The entries are sorted by name and include hosts that are gone for good: a daemon that
+		// tries only the first few would never reach the others.
 		rand.Shuffle(len(values), func(i, j int) { values[i], values[j] = values[j], values[i] })
 	}
-	return c.newest(values), nil
+	return c.selectContacts(values), nil
 }
 
-// newest returns the contacts among entries, the latest entry last: neighbours first, then
-// a few of each other availability zone. Of a host's entries the latest counts.
-func (c *Controller) newest(values [][]byte) []membership.Contact {
-	var near, away []membership.Contact
+// selectContacts returns the contacts among entries, which are in order from the oldest to the
+// newest: those in this daemon's availability zone first, then a few of each other zone. Only
+// the newest entry of a host counts.
+func (c *Controller) selectContacts(values [][]byte) []membership.Contact {
+	var sameZone, otherZones []membership.Contact
 	seen := map[string]bool{c.opts.Host: true}
-	of := map[string]int{}
+	perZone := map[string]int{}
 	for _, value := range slices.Backward(values) {
 		var m configpb.Contact
 		if proto.Unmarshal(value, &m) != nil || seen[m.GetHost()] {
@@ -260,13 +268,13 @@
 		}
 		zone := m.GetAvailabilityZone()
 		contact := membership.Contact{Addr: addr, AvailabilityZone: zone}
-		of[zone]++
+		perZone[zone]++
 		switch {
-		case zone == c.opts.AvailabilityZone && of[zone] <= maxNear:
-			near = append(near, contact)
-		case zone != c.opts.AvailabilityZone && of[zone] <= maxAway:
-			away = append(away, contact)
+		case zone == c.opts.AvailabilityZone && perZone[zone] <= maxSameZone:
+			sameZone = append(sameZone, contact)
+		case zone != c.opts.AvailabilityZone && perZone[zone] <= maxPerOtherZone:
+			otherZones = append(otherZones, contact)
 		}
 	}
-	return append(near, away...)
+	return append(sameZone, otherZones...)
 }
--- a/internal/controller/contacts/contacts_test.go
+++ b/internal/controller/contacts/contacts_test.go
@@ -14,7 +14,7 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// clock is a time that tests move.
+// clock is a clock that tests advance.
 type clock struct{ now time.Time }
 
 func (c *clock) Now() time.Time { return c.now }
@@ -36,12 +36,12 @@
 	return b.End - 1
 }
 
-func TestController_NewcomerFindsReaders(t *testing.T) {
+func TestController_NewDaemonFindsReaders(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions())
 	c := &clock{now: time.Unix(0, 0)}
 	newController(log, "a", 1, c).reconcile(t.Context())
 	newController(log, "b", 2, c).reconcile(t.Context())
-	// The host's replacement has another address; only the newest counts.
+	// The replacement of host a has another address; only the newest entry counts.
 	newController(log, "a", 3, c).reconcile(t.Context())
 	_, err := log.Stream(eventlog.StreamContacts).Append(t.Context(), []byte{0xff})
 	must.NoError(t, err)
@@ -50,8 +50,8 @@
 	must.Eq(t, []membership.Contact{{Addr: netip.MustParseAddrPort("127.0.0.1:3")}, {Addr: netip.MustParseAddrPort("127.0.0.1:2")}}, found)
 }
 
-// The platform takes a few hundred appends a second for everybody. A reader
-// appends once in an interval, also when the log refuses, and others never.
+// The platform accepts only a few hundred appends per second from all its users. A reader must
+// append once per RefreshInterval, even if the log rejects the append, and other daemons never.
 func TestController_AppendsAreRare(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions())
 	c := &clock{now: time.Unix(0, 0)}
--- a/internal/controller/contacts/keep_test.go
+++ b/internal/controller/contacts/entry_test.go
@@ -21,7 +21,7 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// directory is a directory in memory that keeps one entry for each host.
+// directory is an in-memory directory that keeps one entry for each host.
 type directory struct {
 	mu      sync.Mutex
 	entries map[string][]byte
@@ -55,7 +55,7 @@
 	return values, nil
 }
 
-// counts are the calls so far.
+// counts holds the number of calls so far.
 type counts struct{ puts, lists int }
 
 func (d *directory) counts() counts {
@@ -70,7 +70,7 @@
 	return d.entries[key] != nil
 }
 
-// newDirectory returns a directory with the entries of some hosts of zone a.
+// newDirectory returns a directory with the entries of a number of hosts in zone a.
 func newDirectory(t *testing.T, hosts int) *directory {
 	d := &directory{entries: map[string][]byte{}}
 	for i := range hosts {
@@ -82,9 +82,9 @@
 	return d
 }
 
-// keeper starts a controller that has listed the directory, beside a number of live
-// members, and returns it with its board.
-func keeper(t *testing.T, d *directory, live int) (*Controller, *blackboard.Board) {
+// startController starts a controller that has listed the directory and sees a number of live
+// members. It returns the controller and its board.
+func startController(t *testing.T, d *directory, live int) (*Controller, *blackboard.Board) {
 	board := &blackboard.Board{}
 	view := &membership.View{}
 	for i := range live {
@@ -102,63 +102,63 @@
 	return c, board
 }
 
-// Hosts restart beside living neighbours, hundreds a day. Each of them told the platform
-// its address again, though it was there; a call for every start. An entry that is there
-// is left alone, and so is a directory that has enough neighbours.
-func TestKeeper_StartPutsNothingThatIsThere(t *testing.T) {
+// Hundreds of hosts restart in a day next to live ones, and each start made a needless call to
+// the platform to put an entry that was already there. An existing entry must not be put again,
+// nor one added to a directory with enough entries from the zone.
+func TestController_StartPutsNoUnneededEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory(t, 1)
-		keeper(t, d, 3)
+		startController(t, d, 3)
 		time.Sleep(time.Minute)
 		must.Eq(t, 1, d.counts().puts)
-		keeper(t, d, 3)
+		startController(t, d, 3)
 		time.Sleep(time.Minute)
 		must.Eq(t, 1, d.counts().puts)
 
-		crowded := newDirectory(t, enoughNear)
-		keeper(t, crowded, 3)
+		crowded := newDirectory(t, enoughSameZone)
+		startController(t, crowded, 3)
 		time.Sleep(time.Minute)
 		must.Zero(t, crowded.counts().puts)
 		must.Eq(t, 1, crowded.counts().lists)
 	})
 }
 
-// All hosts move to other addresses at once. The directory is full of entries, of which
-// none answers. Hosts that leave it at these never find each other.
-func TestKeeper_AloneAmongOldEntriesPutsItsOwn(t *testing.T) {
+// All hosts move to other addresses at once. The directory is full of entries that no longer
+// answer. If no host adds its own entry, the hosts never find each other.
+func TestController_AloneAmongStaleEntriesPutsItsOwn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDirectory(t, enoughNear)
-		keeper(t, d, 1)
-		time.Sleep(2 * alonePatience)
+		d := newDirectory(t, enoughSameZone)
+		startController(t, d, 1)
+		time.Sleep(2 * aloneTimeout)
 		must.Eq(t, 1, d.counts().puts)
 	})
 }
 
-// The hosts whose entries were there leave one after the other over weeks, and those that
-// started later have none. Whoever reads the log for the zone puts its own, or a newcomer
-// finds nobody; a daemon that takes itself for a reader for a moment does not.
-func TestKeeper_ReaderPutsItsEntry(t *testing.T) {
+// The hosts with entries are removed one by one over weeks, and those that started later have
+// none. A daemon that reads the log for its zone must put its entry, or a new daemon finds
+// nobody; one that is a reader only briefly must not.
+func TestController_ReaderPutsItsEntry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDirectory(t, enoughNear)
-		_, board := keeper(t, d, 3)
+		d := newDirectory(t, enoughSameZone)
+		_, board := startController(t, d, 3)
 		board.Source.Store(&blackboard.Source{Reader: true})
-		time.Sleep(readerSettles / 2)
+		time.Sleep(readerSettleTime / 2)
 		board.Source.Store(&blackboard.Source{})
 		time.Sleep(time.Minute)
 		must.Zero(t, d.counts().puts)
 		board.Source.Store(&blackboard.Source{Reader: true})
-		time.Sleep(2 * readerSettles)
+		time.Sleep(2 * readerSettleTime)
 		must.Eq(t, 1, d.counts().puts)
 	})
 }
 
-// The store is away while a host starts. Nothing is known of the directory then, and the
-// entry must be there once the store is back.
-func TestKeeper_PutsWhenTheStoreReturns(t *testing.T) {
+// The store is unavailable while a host starts, so that the contents of the directory are
+// unknown. The entry must be put once the store is available again.
+func TestController_PutsWhenStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory(t, 0)
 		d.down = true
-		keeper(t, d, 3)
+		startController(t, d, 3)
 		time.Sleep(10 * time.Second)
 		d.mu.Lock()
 		d.down = false
@@ -168,11 +168,12 @@
 	})
 }
 
-// Guards against a daemon that nobody finds any more since the directory went back to a copy without it.
-func TestKeeper_PutsAgainAfterARestore(t *testing.T) {
+// Guards against a daemon that cannot be found because the directory was restored from a copy
+// without its entry.
+func TestController_PutsAgainAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory(t, 0)
-		_, board := keeper(t, d, 3)
+		_, board := startController(t, d, 3)
 		board.State.Store(fold.EmptyAt(eventlog.At(4, 0)))
 		time.Sleep(time.Minute)
 		must.Eq(t, 1, d.counts().puts)
@@ -182,7 +183,7 @@
 			d.mu.Unlock()
 			board.State.Store(fold.EmptyAt(eventlog.At(6+epoch, 3)))
 			board.State.Store(fold.EmptyAt(eventlog.At(6+epoch, 4)))
-			time.Sleep(2 * restoreSpread)
+			time.Sleep(2 * restoreDelay)
 			must.True(t, d.has("new"))
 			must.Eq(t, 2+int(epoch), d.counts().puts)
 		}
--- a/internal/controller/contacts/fuzz_test.go
+++ b/internal/controller/contacts/fuzz_test.go
@@ -13,9 +13,9 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// An entry of another writer stands among those of daemons. Whatever its bytes are, the
-// others hold, and it adds at most one address that can be read.
-func FuzzController_Newest(f *testing.F) {
+// The directory contains an entry of another writer. Whatever its bytes are, the other entries
+// must still be found, and it may add at most one address, which must be valid.
+func FuzzController_SelectContacts(f *testing.F) {
 	good, err := proto.Marshal(&configpb.Contact{Host: "b", PeerAddr: "127.0.0.1:2"})
 	must.NoError(f, err)
 	f.Add(good)
@@ -24,11 +24,11 @@
 	f.Add([]byte("\x0a\x01c\x12\x09127.0.0.1"))
 	c := New(Options{Host: "a", Logger: slog.New(slog.DiscardHandler)})
 	f.Fuzz(func(t *testing.T, other []byte) {
-		found := c.newest([][]byte{good, other})
+		found := c.selectContacts([][]byte{good, other})
 		must.LessEq(t, 2, len(found))
 		var m configpb.Contact
 		if proto.Unmarshal(other, &m) == nil && m.GetHost() == "b" {
-			return // A newer entry of the same host takes the place of the older.
+			return // A newer entry of the same host replaces the older one.
 		}
 		must.True(t, slices.Contains(found, membership.Contact{Addr: netip.MustParseAddrPort("127.0.0.1:2")}))
 	})
--- a/internal/controller/distribute/distribute.go
+++ b/internal/controller/distribute/distribute.go
@@ -1,5 +1,5 @@
-// Package distribute brings the platform's configuration records to the
-// blackboard, from the log or from other daemons.
+// Package distribute publishes the platform's configuration records on the blackboard. They come
+// from the log or from other daemons.
 package distribute
 
 import (
@@ -17,10 +17,11 @@
 	Spreader *spread.Spreader
 }
 
-// OnState is the spreader's callback for each new state.
+// OnState publishes a state. It is the spreader's callback for each new state.
 func (c *Controller) OnState(st *fold.State) { c.Board.State.Store(st) }
 
-// OnStatus is the spreader's callback for each change of its status.
+// OnStatus publishes the spreader's status. It is the spreader's callback for each change of
+// that status.
 func (c *Controller) OnStatus(st spread.Status) {
 	c.Board.Source.Store(&blackboard.Source{
 		Reader:        st.Reader,
@@ -31,13 +32,12 @@
 	})
 }
 
-// Run spreads, and keeps the spreader's view of the fleet up to date, until
-// ctx is done.
+// Run runs the spreader and passes it each new view of the fleet, until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
-	return loop.Run(ctx, c.Spreader.Run, c.followView)
+	return loop.Run(ctx, c.Spreader.Run, c.updateView)
 }
 
-func (c *Controller) followView(ctx context.Context) error {
+func (c *Controller) updateView(ctx context.Context) error {
 	for {
 		view, changed := c.Board.Members.Watch()
 		if view != nil {
--- a/internal/controller/drain/drain.go
+++ b/internal/controller/drain/drain.go
@@ -1,5 +1,5 @@
-// Package drain takes a daemon through its life's phases and lets it stop
-// without cutting off a request.
+// Package drain moves a daemon through the phases of its lifecycle and lets it stop without
+// interrupting requests.
 package drain
 
 import (
@@ -11,9 +11,10 @@
 	"github.com/crocuscross/crocuscross/internal/loop"
 )
 
+// pollInterval is how often Wait counts the requests in flight.
 const pollInterval = 20 * time.Millisecond
 
-// InFlightCounter counts work that must end before the daemon may stop.
+// InFlightCounter counts the requests that must end before the daemon may stop.
 type InFlightCounter interface {
 	InFlight() int
 }
@@ -22,20 +23,23 @@
 type Controller struct {
 	Board  *blackboard.Board
 	Logger *slog.Logger
-	// GracePeriod is how long a draining daemon goes on taking calls, until its callers have
-	// gone elsewhere and all others know that it drains.
+	// GracePeriod is how long a draining daemon keeps accepting calls, until its callers have
+	// moved to other daemons and all peers know of the drain.
 	GracePeriod time.Duration
-	// PeerNotice is the last part of Quiet, from when on the others are told to send no more
-	// calls to the backend server. Told at the start, they would leave it idle while its
-	// callers go: of three servers one was so for 3 s of each restart.
+	// PeerNotice is the last part of GracePeriod. When it begins, the daemon announces that its
+	// backend server must receive no more calls. An announcement at the start of the drain would
+	// leave the backend server idle while callers move away: with three servers, one was idle
+	// for 3 s of each restart.
 	PeerNotice time.Duration
-	Counters   []InFlightCounter
-	// RejectNewCalls makes the gate turn away new calls; it comes after Quiet.
+	// Counters count the requests that Wait waits for.
+	Counters []InFlightCounter
+	// RejectNewCalls makes the gate reject new calls. It is called at the end of GracePeriod.
 	RejectNewCalls func()
 }
 
-// Run tells the others of a drain and lets the gate refuse new calls once they know,
-// until ctx is done. Refusing at once would fail the calls that are on their way.
+// Run waits for a drain, announces it to the peers and, once they know of it, makes the gate
+// reject new calls. Rejecting calls at once would fail those that are already on their way. Run
+// returns early if ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	for {
 		l, changed := c.Board.Lifecycle.Watch()
@@ -49,7 +53,7 @@
 		}
 	}
 	if loop.Sleep(ctx, c.GracePeriod-c.PeerNotice) {
-		c.enter(blackboard.Leaving, "")
+		c.enterPhase(blackboard.Leaving, "")
 	}
 	if loop.Sleep(ctx, c.PeerNotice) {
 		c.RejectNewCalls()
@@ -57,18 +61,18 @@
 	return nil
 }
 
-// Joining marks the start: the daemon finds the others and recovers.
-func (c *Controller) Joining() { c.enter(blackboard.Joining, "") }
+// Joining enters the first phase: the daemon joins the fleet and recovers its configuration.
+func (c *Controller) Joining() { c.enterPhase(blackboard.Joining, "") }
 
-// Serving marks the end of the start.
-func (c *Controller) Serving() { c.enter(blackboard.Serving, "") }
+// Serving enters the phase that follows a completed startup.
+func (c *Controller) Serving() { c.enterPhase(blackboard.Serving, "") }
 
-// Drain begins a graceful shutdown of this host's share of the work; a second call
-// changes nothing. The daemon itself stays up and forwards callers' requests.
-func (c *Controller) Drain(reason string) { c.enter(blackboard.Draining, reason) }
+// Drain begins a graceful shutdown of this host's share of the work; further calls have no
+// effect. The daemon itself keeps running and forwards callers' requests.
+func (c *Controller) Drain(reason string) { c.enterPhase(blackboard.Draining, reason) }
 
-// enter moves to a later phase; an earlier or equal one is ignored.
-func (c *Controller) enter(p blackboard.Phase, reason string) {
+// enterPhase enters a later phase. An equal or earlier phase is ignored.
+func (c *Controller) enterPhase(p blackboard.Phase, reason string) {
 	c.Board.Lifecycle.Update(func(old *blackboard.Lifecycle) *blackboard.Lifecycle {
 		if old != nil && old.Phase >= p {
 			return old
@@ -78,17 +82,19 @@
 	})
 }
 
-// Draining reports whether the daemon drains or has stopped.
+// Draining reports whether the daemon is in phase Draining or a later one.
 func (c *Controller) Draining() bool {
 	l := c.Board.Lifecycle.Load()
 	return l != nil && l.Phase >= blackboard.Draining
 }
 
-// WaitGracePeriod blocks until the others know of the drain, or ctx is done.
+// WaitGracePeriod blocks for GracePeriod, after which the peers know of the drain, or until ctx
+// is done.
 func (c *Controller) WaitGracePeriod(ctx context.Context) { loop.Sleep(ctx, c.GracePeriod) }
 
-// Wait blocks until no request is in flight or ctx is done. It returns how many
-// still were. New requests must not come any more, or it may wait in vain.
+// Wait blocks until no request is in flight or ctx is done, and returns the number of requests
+// still in flight. The caller must have stopped new requests; otherwise Wait may block until ctx
+// is done.
 func (c *Controller) Wait(ctx context.Context) int {
 	t := time.NewTicker(pollInterval)
 	defer t.Stop()
--- a/internal/controller/drain/drain_test.go
+++ b/internal/controller/drain/drain_test.go
@@ -13,10 +13,10 @@
 	"github.com/crocuscross/crocuscross/internal/blackboard"
 )
 
-// A daemon is stopped. Its callers need 2 s to go elsewhere; told of the drain at once, the
-// other daemons would leave its backend server idle all that time. They are told 0.6 s
-// before its gate closes.
-func TestBackendServerTakesCallsWhileCallersLeave(t *testing.T) {
+// The callers of a stopping daemon need 2 s to move to other daemons. If its peers were notified
+// of the drain at once, its backend server would be idle for all of that time. They are notified
+// only 0.6 s before the gate closes.
+func TestController_BackendServesWhileCallersMoveAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := &blackboard.Board{}
 		var refused atomic.Pointer[time.Time]
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -1,5 +1,5 @@
-// Package members keeps the table of daemons on the blackboard and tells the
-// others of this daemon's backend server, phase and version in force.
+// Package members publishes the membership table on the blackboard and announces this daemon's
+// backend server, drain and version in force to the other daemons.
 package members
 
 import (
@@ -14,12 +14,13 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// publishGap is the least time between two views on the blackboard. Each is followed by new
-// backend servers, pools, plans and a fleet for quotas; while hosts restart in turn there is
-// news in every tick, and small hosts would spend their processor on views. The first news
-// after a pause is told at once. What waits does so for less than a third of the time that a
-// backend server goes on taking calls after it has been taken out.
-const publishGap = 200 * time.Millisecond
+// minPublishInterval is the minimum time between two views on the blackboard. Each view leads to
+// new backend servers, connection pools, load-balancing plans and quota fleets. While hosts
+// restart one after another, every tick brings changes, and small hosts would spend their CPU on
+// views. The first change after a pause is published immediately. A delayed change waits less
+// than a third of the time for which a backend server keeps accepting calls after it was taken
+// out.
+const minPublishInterval = 200 * time.Millisecond
 
 // Controller owns the Members cell.
 type Controller struct {
@@ -33,13 +34,13 @@
 	return loop.Run(ctx, c.publishView, c.publishLocal, c.publishOffset)
 }
 
-// publishView copies the table to the blackboard when it changes, at most once in
-// publishGap.
+// publishView copies the membership table to the blackboard when it changes, at most once per
+// minPublishInterval.
 func (c *Controller) publishView(ctx context.Context) error {
 	for {
 		changed := c.Membership.Watch()
 		c.Board.Members.Store(c.Membership.View())
-		if !loop.Sleep(ctx, publishGap) {
+		if !loop.Sleep(ctx, minPublishInterval) {
 			return nil
 		}
 		select {
@@ -50,14 +51,14 @@
 	}
 }
 
-// publishLocal announces the backend server beside the daemon and the drain.
+// publishLocal announces the local backend server and the drain to the other daemons.
 func (c *Controller) publishLocal(ctx context.Context) error {
-	var last announced
+	var last advertisement
 	for {
 		local, localChanged := c.Board.Local.Watch()
 		phase, phaseChanged := c.Board.Lifecycle.Watch()
 		withheld, withheldChanged := c.Board.Withheld.Watch()
-		next := announcedBy(local, phase, withheld)
+		next := advertisementOf(local, phase, withheld)
 		if next != last {
 			c.Membership.SetLocalState(next.announcements(local, c.Now()), next.hostDraining)
 			last = next
@@ -72,6 +73,7 @@
 	}
 }
 
+// publishOffset announces the offset of the configuration in force.
 func (c *Controller) publishOffset(ctx context.Context) error {
 	for {
 		snap, changed := c.Board.Snapshot.Watch()
@@ -86,55 +88,56 @@
 	}
 }
 
-// announced is what the others are told; a renewal that changes nothing of it
-// is not passed on.
-type announced struct {
+// advertisement is what is announced to the other daemons. A renewal by the backend server that
+// changes none of it is not passed on.
+type advertisement struct {
 	service      string
 	slots        int
 	draining     bool
 	hostDraining bool
-	life         uint32
+	instance     uint32
 	version      uint32
 }
 
-func announcedBy(local *blackboard.LocalBackend, phase *blackboard.Lifecycle, withheld *bool) announced {
-	var a announced
+func advertisementOf(local *blackboard.LocalBackend, phase *blackboard.Lifecycle, withheld *bool) advertisement {
+	var a advertisement
 	if local != nil {
-		a.service, a.slots, a.draining, a.life = local.Service, local.Slots, local.Draining, InstanceDigest(local)
+		a.service, a.slots, a.draining, a.instance = local.Service, local.Slots, local.Draining, InstanceDigest(local)
 		a.version = VersionDigest(local.Version)
-		// Who passes it over is spared a refusal.
+		// Announcing the server as draining spares other daemons a rejection.
 		a.draining = a.draining || withheld != nil && *withheld
 	}
 	a.hostDraining = phase != nil && phase.Phase >= blackboard.Leaving
 	return a
 }
 
-// digest returns a digest that is not 0.
-func digest(s string) uint32 { return uint32(xxhash.Sum64String(s)) | 1 }
+// nonzeroDigest returns a digest of s that is never 0.
+func nonzeroDigest(s string) uint32 { return uint32(xxhash.Sum64String(s)) | 1 }
 
-// VersionDigest returns what the others are told of a server's version, 0 for none.
+// VersionDigest returns the digest by which a server's version is announced, 0 for an empty
+// version.
 func VersionDigest(version string) uint32 {
 	if version == "" {
 		return 0
 	}
-	return digest(version)
+	return nonzeroDigest(version)
 }
 
-// InstanceDigest returns a digest of the life that a server with an id is in, 0 for one without.
-// The moment at which this daemon first saw it stands for its start, which the server may
-// tell later or never.
+// InstanceDigest returns a digest of the current instance of a server with an ID, 0 for a server
+// without one. The time at which this daemon first saw the instance stands for its start, which
+// the server may state later or never.
 func InstanceDigest(local *blackboard.LocalBackend) uint32 {
 	if local.ID == "" {
 		return 0
 	}
-	return digest(local.ID + "@" + strconv.FormatInt(local.FirstSeen.UnixNano(), 36))
+	return nonzeroDigest(local.ID + "@" + strconv.FormatInt(local.FirstSeen.UnixNano(), 36))
 }
 
-func (a announced) announcements(local *blackboard.LocalBackend, now time.Time) []membership.Announcement {
+func (a advertisement) announcements(local *blackboard.LocalBackend, now time.Time) []membership.Announcement {
 	if a.service == "" {
 		return nil
 	}
 	return []membership.Announcement{{
-		Service: a.service, Slots: a.slots, Draining: a.draining, Age: now.Sub(local.FirstSeen), Instance: a.life, Version: a.version,
+		Service: a.service, Slots: a.slots, Draining: a.draining, Age: now.Sub(local.FirstSeen), Instance: a.instance, Version: a.version,
 	}}
 }
--- a/internal/controller/members/members_test.go
+++ b/internal/controller/members/members_test.go
@@ -16,28 +16,30 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// silence is a network on which nothing comes.
-type silence struct{ closed chan struct{} }
+// silentNetwork is a network on which no packet arrives.
+type silentNetwork struct{ closed chan struct{} }
 
-func (s silence) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
+func (s silentNetwork) ReadFromUDPAddrPort([]byte) (int, netip.AddrPort, error) {
 	<-s.closed
 	return 0, netip.AddrPort{}, net.ErrClosed
 }
 
-func (s silence) WriteToUDPAddrPort(b []byte, _ netip.AddrPort) (int, error) { return len(b), nil }
+func (s silentNetwork) WriteToUDPAddrPort(b []byte, _ netip.AddrPort) (int, error) {
+	return len(b), nil
+}
 
-func (s silence) Close() error { close(s.closed); return nil }
+func (s silentNetwork) Close() error { close(s.closed); return nil }
 
-func (s silence) Sync(context.Context, netip.AddrPort, *memberpb.Table) (*memberpb.Table, error) {
+func (s silentNetwork) Sync(context.Context, netip.AddrPort, *memberpb.Table) (*memberpb.Table, error) {
 	return nil, io.EOF
 }
 
-// Hosts restart in turn, so that there is news of some member in every tick. What follows
-// each view took a narrow host's processor from its calls. The board gets few views, the
-// first at once and the last whatever comes after it.
-func TestController_NewsInEveryTickMakesFewViews(t *testing.T) {
+// Hosts restart one after another, so that some member changes in every tick. The work that
+// follows each view took the CPU of a small host away from its calls. The board must get few
+// views, the first immediately, and in the end the latest one.
+func TestController_FrequentChangesMakeFewViews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		network := silence{make(chan struct{})}
+		network := silentNetwork{make(chan struct{})}
 		o := membership.DefaultOptions()
 		o.Host, o.Boot, o.PeerAddr = "host", 1, netip.MustParseAddrPort("10.0.0.1:1")
 		o.Packets, o.Sync = network, network
@@ -50,14 +52,14 @@
 		done := make(chan struct{})
 		go func() { _ = m.Run(ctx); done <- struct{}{} }()
 		go func() { _ = c.publishView(ctx); done <- struct{}{} }()
-		// Between two ticks.
-		time.Sleep(10*publishGap + 10*time.Millisecond)
+		// Moves the test between two ticks.
+		time.Sleep(10*minPublishInterval + 10*time.Millisecond)
 
 		views := 0
 		announce := func(slots int) {
 			m.SetLocalState([]membership.Announcement{{Service: "signs", Slots: slots}}, false)
 			_, changed := c.Board.Members.Watch()
-			time.Sleep(publishGap / 4)
+			time.Sleep(minPublishInterval / 4)
 			select {
 			case <-changed:
 				views++
@@ -70,7 +72,7 @@
 			announce(slots)
 		}
 		must.LessEq(t, 12, views)
-		time.Sleep(2 * publishGap)
+		time.Sleep(2 * minPublishInterval)
 		must.Eq(t, 40, c.Board.Members.Load().Self.Announcements[0].Slots)
 		cancel()
 		<-done
--- a/internal/controller/quarantines/quarantines.go
+++ b/internal/controller/quarantines/quarantines.go
@@ -1,5 +1,5 @@
-// Package quarantines tells the fleet of requests under which backend servers ended, and
-// keeps the verdicts on them where they outlive daemons.
+// Package quarantines announces to the fleet during which requests backend servers crashed, and
+// stores the verdicts on these requests so that they outlive the daemons.
 package quarantines
 
 import (
@@ -19,98 +19,103 @@
 )
 
 const (
-	// carriers is how many daemons carry a verdict in their member records and put it into
-	// the platform's directory. A daemon that starts learns it from any of them, and two may
-	// be lost at once; if all told it, its news would grow with the square of the fleet.
-	carriers = 3
-	// expireInterval is how often the ledger forgets what no longer counts.
+	// verdictReplicas is how many daemons carry a verdict in their member records and put it
+	// into the platform's directory. A starting daemon receives it from any of them, and two may
+	// be lost at once. If all daemons carried it, the gossip about it would grow with the square
+	// of the fleet.
+	verdictReplicas = 3
+	// expireInterval is how often the tracker drops what has expired.
 	expireInterval = 5 * time.Second
-	// putTimeout bounds one write to the directory, putPause is about the wait before the
-	// next try.
-	putTimeout = 2 * time.Second
-	putPause   = time.Second
-	// keyPrefix is that of verdicts in the directory, whose other keys are hosts' names.
+	// putTimeout bounds one write to the directory. putRetryInterval is the mean wait before the
+	// next attempt.
+	putTimeout       = 2 * time.Second
+	putRetryInterval = time.Second
+	// keyPrefix is the prefix of the verdicts' keys in the directory, whose other keys are host
+	// names.
 	keyPrefix = "quarantine/"
 )
 
-// Options holds what a Controller works with.
+// Options configures a Controller.
 type Options struct {
 	Board      *blackboard.Board
 	Tracker    *quarantine.Tracker
 	Membership *membership.Membership
-	// Directory keeps verdicts through a loss of power everywhere.
+	// Directory stores verdicts, which thereby survive a power loss of the whole fleet.
 	Directory eventlog.Directory
 	Host      string
 	Logger    *slog.Logger
 	Now       func() time.Time
 }
 
-// Controller connects the ledger with the fleet and the platform.
+// Controller connects the tracker with the fleet and the platform.
 type Controller struct {
 	opts Options
-	// told is each member that has notes, as it was when they were last taken in.
-	told map[string]*membership.Member
-	// stored are the verdicts that this daemon has put into the directory. One goroutine uses
-	// them.
+	// observed holds each member with notes as it was when its notes were last processed, by
+	// host.
+	observed map[string]*membership.Member
+	// stored holds the ends of the verdicts that this daemon has put into the directory. Only
+	// one goroutine uses it.
 	stored map[quarantine.Identity]time.Time
-	// restored wakes it where the directory may have lost some.
+	// restored wakes that goroutine when the directory may have lost verdicts.
 	restored loop.Trigger
 }
 
-// New returns a controller.
+// New returns a controller that has processed and stored nothing yet.
 func New(opts Options) *Controller {
 	return &Controller{
-		opts: opts, told: make(map[string]*membership.Member), stored: make(map[quarantine.Identity]time.Time),
+		opts: opts, observed: make(map[string]*membership.Member), stored: make(map[quarantine.Identity]time.Time),
 		restored: loop.NewTrigger(),
 	}
 }
 
 // Run reconciles until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
-	return loop.Run(ctx, c.exchange, c.store, c.expire, c.watchRestores)
+	return loop.Run(ctx, c.exchangeNotes, c.storeVerdicts, c.expire, c.watchRestores)
 }
 
-// exchange takes in what the members tell, and tells them what this daemon knows.
-func (c *Controller) exchange(ctx context.Context) error {
+// exchangeNotes passes the members' notes to the tracker and announces those of this daemon.
+func (c *Controller) exchangeNotes(ctx context.Context) error {
 	for {
 		view, viewChanged := c.opts.Board.Members.Watch()
-		ledgerChanged := c.opts.Tracker.Watch()
+		trackerChanged := c.opts.Tracker.Watch()
 		if view != nil {
 			c.observe(view)
-			c.opts.Membership.SetNotes(c.opts.Tracker.Notes(c.carried(view)))
+			c.opts.Membership.SetNotes(c.opts.Tracker.Notes(c.assignedVerdicts(view)))
 		}
 		select {
 		case <-viewChanged:
-		case <-ledgerChanged:
+		case <-trackerChanged:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
+// observe passes the notes of members that have changed to the tracker.
 func (c *Controller) observe(view *membership.View) {
-	var news []quarantine.PeerNotes
+	var changed []quarantine.PeerNotes
 	for _, m := range view.Members {
 		if len(m.Notes) == 0 || m.Host == c.opts.Host {
-			delete(c.told, m.Host)
+			delete(c.observed, m.Host)
 			continue
 		}
-		if c.told[m.Host] == m {
+		if c.observed[m.Host] == m {
 			continue
 		}
-		c.told[m.Host] = m
-		news = append(news, quarantine.PeerNotes{Host: m.Host, Boot: m.Boot, Notes: m.Notes})
+		c.observed[m.Host] = m
+		changed = append(changed, quarantine.PeerNotes{Host: m.Host, Boot: m.Boot, Notes: m.Notes})
 	}
-	if len(news) > 0 {
-		c.opts.Tracker.Observe(news)
+	if len(changed) > 0 {
+		c.opts.Tracker.Observe(changed)
 	}
 }
 
-// carried returns the verdicts that this daemon carries for others.
-func (c *Controller) carried(view *membership.View) []quarantine.Verdict {
+// assignedVerdicts returns the verdicts that this daemon carries for the fleet, those that end
+// last first.
+func (c *Controller) assignedVerdicts(view *membership.View) []quarantine.Verdict {
 	var list []quarantine.Verdict
 	for _, v := range c.opts.Tracker.Verdicts() {
-		if c.carries(view, v.Identity) {
+		if c.isAssigned(view, v.Identity) {
 			list = append(list, v)
 		}
 	}
@@ -120,8 +125,9 @@
 	return list
 }
 
-// carries reports whether this daemon is among the first live ones by rendezvous hash.
-func (c *Controller) carries(view *membership.View, id quarantine.Identity) bool {
+// isAssigned reports whether this daemon is among the first verdictReplicas live ones by
+// rendezvous hash.
+func (c *Controller) isAssigned(view *membership.View, id quarantine.Identity) bool {
 	own := rank(c.opts.Host, id)
 	above := 0
 	for _, m := range view.Members {
@@ -129,27 +135,28 @@
 			above++
 		}
 	}
-	return above < carriers
+	return above < verdictReplicas
 }
 
+// rank returns the rendezvous hash of a host for a request.
 func rank(host string, id quarantine.Identity) uint64 {
 	return xxhash.Sum64String(string(id[:]) + host)
 }
 
-// store keeps the carried verdicts in the directory, and takes those out that have ended.
-func (c *Controller) store(ctx context.Context) error {
+// storeVerdicts puts the assigned verdicts into the directory and removes those that have ended.
+func (c *Controller) storeVerdicts(ctx context.Context) error {
 	for {
 		view, viewChanged := c.opts.Board.Members.Watch()
-		ledgerChanged := c.opts.Tracker.Watch()
-		if view != nil && !c.storeChanges(ctx, c.carried(view)) {
-			if !loop.SleepJittered(ctx, putPause) {
+		trackerChanged := c.opts.Tracker.Watch()
+		if view != nil && !c.syncDirectory(ctx, c.assignedVerdicts(view)) {
+			if !loop.SleepJittered(ctx, putRetryInterval) {
 				return nil
 			}
 			continue
 		}
 		select {
 		case <-viewChanged:
-		case <-ledgerChanged:
+		case <-trackerChanged:
 		case <-c.restored:
 			clear(c.stored)
 		case <-ctx.Done():
@@ -158,7 +165,8 @@
 	}
 }
 
-// watchRestores has the verdicts stored again that the directory may have lost.
+// watchRestores makes storeVerdicts put the verdicts again that a restored directory may have
+// lost.
 func (c *Controller) watchRestores(ctx context.Context) error {
 	for restores := blackboard.NewRestoreWatcher(c.opts.Board); restores.Wait(ctx); {
 		c.restored.Set()
@@ -166,10 +174,11 @@
 	return nil
 }
 
-// storeChanges reports whether the directory has been brought to the carried verdicts.
-func (c *Controller) storeChanges(ctx context.Context, carried []quarantine.Verdict) bool {
+// syncDirectory brings the directory to the given verdicts and reports whether all writes
+// succeeded.
+func (c *Controller) syncDirectory(ctx context.Context, assigned []quarantine.Verdict) bool {
 	done := true
-	for _, v := range carried {
+	for _, v := range assigned {
 		if c.stored[v.Identity].Equal(v.Until) {
 			continue
 		}
@@ -193,17 +202,19 @@
 	return done
 }
 
+// put sets the value of a verdict, or removes the verdict if the value is empty. It reports
+// whether the write succeeded.
 func (c *Controller) put(ctx context.Context, id quarantine.Identity, value []byte) bool {
 	ctx, cancel := context.WithTimeout(ctx, putTimeout)
 	defer cancel()
 	err := c.opts.Directory.Put(ctx, keyPrefix+id.String(), value)
 	if err != nil {
-		c.opts.Logger.Info("quarantine: directory not written", "identity", id.String(), "error", err)
+		c.opts.Logger.Info("quarantine: directory write failed", "identity", id.String(), "error", err)
 	}
 	return err == nil
 }
 
-// expire has the ledger forget what no longer counts.
+// expire makes the tracker drop what has expired, until ctx is done.
 func (c *Controller) expire(ctx context.Context) error {
 	for loop.Sleep(ctx, expireInterval) {
 		c.opts.Tracker.Expire()
@@ -211,7 +222,7 @@
 	return nil
 }
 
-// AddEntries takes in the verdicts among the entries of the directory.
+// AddEntries adds the verdicts among the directory's entries to the tracker.
 func (c *Controller) AddEntries(values [][]byte) {
 	for _, value := range values {
 		if v, ok := quarantine.DecodeEntry(value); ok {
--- a/internal/controller/rollouts/decide.go
+++ b/internal/controller/rollouts/decide.go
@@ -14,7 +14,7 @@
 	"github.com/crocuscross/crocuscross/rollout/rolloutpb"
 )
 
-// Serve answers the report of another daemon's gate.
+// Serve answers a report of another daemon's gate with a permit.
 func (c *Controller) Serve(m *rolloutpb.Report) (*rolloutpb.Permit, error) {
 	p, err := c.decide(m)
 	if err != nil {
@@ -23,13 +23,14 @@
 	return rollout.EncodePermit(p), nil
 }
 
-// Status returns how the rollouts stand that this daemon decides about.
+// Status returns the status of the rollouts that this daemon decides on.
 func (c *Controller) Status() []rollout.Status { return c.opts.Decider.Status(c.opts.Now()) }
 
-// errUnknownOrder means that this daemon has not heard of an order yet. The gate keeps its
+// errUnknownOrder means that this daemon has not received an order yet. The gate keeps its
 // permit until that lapses.
-var errUnknownOrder = errors.New("the order of the rollout is not known here")
+var errUnknownOrder = errors.New("the order of the rollout is not known to this daemon")
 
+// decide returns the permit that answers a report.
 func (c *Controller) decide(m *rolloutpb.Report) (rollout.Permit, error) {
 	r, err := rollout.DecodeReport(m)
 	if err != nil {
@@ -43,23 +44,23 @@
 		return rollout.SupersededPermit(r), nil
 	}
 	p := c.opts.Decider.Report(*o, r, c.opts.Now())
-	c.asked.Set()
+	c.reportReceived.Set()
 	return p, nil
 }
 
-// work does what the decider asks for, until ctx is done.
-func (c *Controller) work(ctx context.Context) error {
+// runTasks executes the decider's tasks until ctx is done.
+func (c *Controller) runTasks(ctx context.Context) error {
 	for {
-		if c.opts.Decider.Idle() && !c.restored.Load() && !c.asked.Wait(ctx) {
+		if c.opts.Decider.Idle() && !c.recordAgain.Load() && !c.reportReceived.Wait(ctx) {
 			return nil
 		}
 		pause := taskInterval
-		again := c.restored.Swap(false)
-		for _, t := range c.tasks(again) {
-			if err := c.do(ctx, t); err != nil {
-				c.restored.CompareAndSwap(false, again)
+		again := c.recordAgain.Swap(false)
+		for _, t := range c.pendingTasks(again) {
+			if err := c.runTask(ctx, t); err != nil {
+				c.recordAgain.CompareAndSwap(false, again)
 				c.opts.Logger.Info("rollout: not recorded yet", "service", t.Order.Service, "order", t.Order.Offset, "load", t.Load, "error", err)
-				pause = taskPause
+				pause = taskRetryInterval
 			}
 		}
 		if !loop.Sleep(ctx, pause) {
@@ -68,7 +69,8 @@
 	}
 }
 
-func (c *Controller) do(ctx context.Context, t rollout.Task) error {
+// runTask loads an outcome, or records one and reports it to the operator.
+func (c *Controller) runTask(ctx context.Context, t rollout.Task) error {
 	ctx, cancel := context.WithTimeout(ctx, taskTimeout)
 	defer cancel()
 	if t.Load {
@@ -88,7 +90,7 @@
 			return err
 		}
 	}
-	c.opts.Logger.Info("rollout: told", "service", t.Order.Service, "order", t.Order.Offset, "outcome", t.Outcome.String())
+	c.opts.Logger.Info("rollout: status reported", "service", t.Order.Service, "order", t.Order.Offset, "outcome", t.Outcome.String())
 	c.opts.Decider.Recorded(t.Order, t.Outcome)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,40 +98,42 @@
 	return nil
 }
 
-// watchRestores has everything recorded again that the platform's directory may have lost,
-// as it has come back from an older copy: the operator would see an older outcome, and a
-// fleet that lost power would begin the rollout anew.
+// watchRestores makes runTasks record everything again that the platform's directory may have
+// lost when it was restored from an older copy. Otherwise the operator would see an older
+// outcome, and a fleet that lost power would start the rollout over.
 func (c *Controller) watchRestores(ctx context.Context) error {
 	for restores := blackboard.NewRestoreWatcher(c.opts.Board); restores.Wait(ctx); {
-		c.restored.Store(true)
-		c.asked.Set()
+		c.recordAgain.Store(true)
+		c.reportReceived.Set()
 	}
 	return nil
 }
 
-// tasks returns what is to be done now, what has been done before a restore first.
-func (c *Controller) tasks(again bool) []rollout.Task {
+// pendingTasks returns the tasks to execute now. If again is set, they begin with those that
+// were completed before a restore.
+func (c *Controller) pendingTasks(again bool) []rollout.Task {
 	tasks := c.opts.Decider.Tasks(c.opts.Now())
 	if !again {
 		return tasks
 	}
-	recorded := slices.DeleteFunc(c.lastRecorded(), func(t rollout.Task) bool { return !c.isLatest(t.Order) })
+	recorded := slices.DeleteFunc(c.recordedTasks(), func(t rollout.Task) bool { return !c.isLatest(t.Order) })
 	return append(recorded, tasks...)
 }
 
-func (c *Controller) lastRecorded() []rollout.Task {
+// recordedTasks returns the latest completed task of each service.
+func (c *Controller) recordedTasks() []rollout.Task {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Collect(maps.Values(c.recorded))
 }
 
-// isLatest reports whether no other order has taken the place of one.
+// isLatest reports whether no other order has replaced o.
 func (c *Controller) isLatest(o rollout.Order) bool {
 	latest := c.order(o.Service)
 	return latest != nil && latest.Offset == o.Offset
 }
 
-// load looks in the directory for the outcome of an order.
+// load looks up the outcome of an order in the directory and passes it to the decider.
 func (c *Controller) load(ctx context.Context, o rollout.Order) error {
 	values, err := c.opts.Directory.List(ctx)
 	if err != nil {
@@ -137,28 +141,29 @@
 	}
 	c.AddEntries(values)
 	c.mu.Lock()
-	c.recall(o, c.opts.Now())
-	outcome := c.ended[o.Offset].outcome
+	c.adoptRecordedOutcome(o, c.opts.Now())
+	outcome := c.outcomes[o.Offset].outcome
 	c.mu.Unlock()
 	c.opts.Decider.Loaded(o, outcome)
 	return nil
 }
 
-// AddEntries takes in the outcomes among the entries of the directory.
+// AddEntries adds the outcomes among the directory's entries.
 func (c *Controller) AddEntries(values [][]byte) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, value := range values {
 		if e, ok := rollout.DecodeEntry(value); ok {
-			c.entries[e.Order.Service] = e
+			c.directoryOutcomes[e.Order.Service] = e
 		}
 	}
 }
 
-// recall takes over the outcome of an order from the directory's entries. The caller holds mu.
-func (c *Controller) recall(o rollout.Order, now time.Time) {
-	e, ok := c.entries[o.Service]
-	if ok && e.Matches(o) && c.ended[o.Offset].outcome == rollout.Undecided {
-		c.ended[o.Offset] = endedAt{e.Outcome, now}
+// adoptRecordedOutcome adopts the outcome of an order from the directory's entries, unless one
+// is known already. The caller holds mu.
+func (c *Controller) adoptRecordedOutcome(o rollout.Order, now time.Time) {
+	e, ok := c.directoryOutcomes[o.Service]
+	if ok && e.Matches(o) && c.outcomes[o.Offset].outcome == rollout.Undecided {
+		c.outcomes[o.Offset] = observedOutcome{e.Outcome, now}
 	}
 }
--- a/internal/controller/rollouts/report.go
+++ b/internal/controller/rollouts/report.go
@@ -9,19 +9,19 @@
 	"github.com/crocuscross/crocuscross/rollout"
 )
 
-// report renews the gate's permit, until ctx is done.
+// report sends reports to renew the gate's permit, until ctx is done.
 func (c *Controller) report(ctx context.Context) error {
 	for {
-		w := c.reporting()
-		if w == nil {
-			if !c.tracked.Wait(ctx) {
+		tracker := c.reportingTracker()
+		if tracker == nil {
+			if !c.trackerSet.Wait(ctx) {
 				return nil
 			}
 			continue
 		}
-		wait := c.interval(w)
-		if c.reportOnce(ctx, w) {
-			wait = confirmAfter
+		wait := c.interval(tracker)
+		if c.reportOnce(ctx, tracker) {
+			wait = confirmDelay
 		}
 		if !loop.Sleep(ctx, wait) {
 			return nil
@@ -29,52 +29,53 @@
 	}
 }
 
-// reporting returns the tracker whose reports the decider needs, nil if there is none.
-func (c *Controller) reporting() *rollout.Tracker {
+// reportingTracker returns the tracker whose reports the decider needs, nil if there is none.
+func (c *Controller) reportingTracker() *rollout.Tracker {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.done || c.tracker == nil || c.tracker.Order.Offset == 0 {
+	if c.reportingDone || c.tracker == nil || c.tracker.Order.Offset == 0 {
 		return nil
 	}
 	return c.tracker
 }
 
 // interval returns the time to the next report.
-func (c *Controller) interval(w *rollout.Tracker) time.Duration {
-	left := w.Order.Duration - c.opts.Now().Sub(w.OrderKnownAt)
-	if w.NewVersion || left < moveTime {
+func (c *Controller) interval(tracker *rollout.Tracker) time.Duration {
+	left := tracker.Order.Duration - c.opts.Now().Sub(tracker.OrderKnownAt)
+	if tracker.NewVersion || left < trafficShiftTime {
 		return reportInterval
 	}
 	return idleInterval
 }
 
-// reportOnce reports whether the gate has been opened or closed by the answer.
-func (c *Controller) reportOnce(ctx context.Context, w *rollout.Tracker) bool {
-	owner := c.decidingFor(w.Order.Service)
+// reportOnce sends one report and reports whether the answer has changed the gate's mode.
+func (c *Controller) reportOnce(ctx context.Context, tracker *rollout.Tracker) bool {
+	owner := c.deciderFor(tracker.Order.Service)
 	if owner == nil {
 		return false
 	}
 	sent := c.opts.Now()
-	p, err := c.ask(ctx, owner, w.Order, w.Report(sent))
+	p, err := c.sendReport(ctx, owner, tracker.Order, tracker.Report(sent))
 	if err != nil {
-		c.opts.Logger.Info("rollout: report not answered", "service", w.Order.Service, "by", owner.Host, "error", err)
+		c.opts.Logger.Info("rollout: report not answered", "service", tracker.Order.Service, "by", owner.Host, "error", err)
 		return false
 	}
-	before := w.Mode(sent)
-	w.SetPermit(p, sent)
-	mode := w.Mode(c.opts.Now())
+	before := tracker.Mode(sent)
+	tracker.SetPermit(p, sent)
+	mode := tracker.Mode(c.opts.Now())
 	if mode != before {
-		c.opts.Logger.Info("rollout: gate changed", "service", w.Order.Service, "order", w.Order.Offset, "mode", mode.String(),
+		c.opts.Logger.Info("rollout: gate changed", "service", tracker.Order.Service, "order", tracker.Order.Offset, "mode", mode.String(),
 			"admit_up_to", p.AdmitUpTo, "outcome", p.Outcome.String(), "by", owner.Host)
 	}
 	c.mu.Lock()
-	c.done = c.done || c.tracker == w && p.Recorded
+	c.reportingDone = c.reportingDone || c.tracker == tracker && p.Recorded
 	c.mu.Unlock()
 	c.reconcile(c.opts.Now())
 	return mode != before
 }
 
-func (c *Controller) ask(ctx context.Context, owner *membership.Member, o rollout.Order, r rollout.Report) (rollout.Permit, error) {
+// sendReport sends a report to its decider, which may be this daemon itself.
+func (c *Controller) sendReport(ctx context.Context, owner *membership.Member, o rollout.Order, r rollout.Report) (rollout.Permit, error) {
 	m := rollout.EncodeReport(o, r)
 	if owner.Host == c.opts.Host {
 		return c.decide(m)
@@ -88,10 +89,10 @@
 	return rollout.DecodePermit(p), nil
 }
 
-// decidingFor returns the member that decides about a service's rollout: the first by
-// rendezvous hash among those with wide links. Two that decide at once, as their views
-// differ, each grant a share of the calls that they are told of.
-func (c *Controller) decidingFor(service string) *membership.Member {
+// deciderFor returns the member that decides on a service's rollout: the first by rendezvous
+// hash among those with wide links, nil if there is none. If two members decide at the same time
+// because their views differ, each grants a share of only the calls that are reported to it.
+func (c *Controller) deciderFor(service string) *membership.Member {
 	view := c.opts.Board.Members.Load()
 	if view == nil {
 		return nil
@@ -104,7 +105,7 @@
 	var first *membership.Member
 	var highest uint64
 	for _, m := range live {
-		if m.Draining || m.LinkMbps < wideLink*widest {
+		if m.Draining || m.LinkMbps < minLinkShare*widest {
 			continue
 		}
 		if hash := membership.Rendezvous(m.Host, service); first == nil || hash > highest {
--- a/internal/controller/rollouts/rollouts.go
+++ b/internal/controller/rollouts/rollouts.go
@@ -1,5 +1,5 @@
-// Package rollouts brings the gate beside the backend server to what a rollout permits,
-// and decides about the rollouts that other daemons report to this one.
+// Package rollouts sets the gate of the local backend server to what a rollout permits, and
+// decides on the rollouts that other daemons report to this one.
 package rollouts
 
 import (
@@ -19,51 +19,54 @@
 )
 
 const (
-	// followInterval is how often the server's role is looked at beside changes while a
-	// rollout concerns it: permits lapse and waits end by time alone.
-	followInterval = 100 * time.Millisecond
-	// reportInterval is the time between the reports of a gate whose permit has to be
-	// renewed, idleInterval that of one whose calls are only counted.
+	// roleCheckInterval is how often the server's role is checked while a rollout concerns it,
+	// in addition to each change: permits lapse and waits end without one.
+	roleCheckInterval = 100 * time.Millisecond
+	// reportInterval is the time between the reports of a gate whose permit must be renewed,
+	// idleInterval that of a gate whose calls are only counted.
 	reportInterval = 250 * time.Millisecond
 	idleInterval   = 500 * time.Millisecond
-	// confirmAfter is when a gate reports again that has been opened or closed: the next step
-	// of a move waits for that.
-	confirmAfter = 20 * time.Millisecond
-	// moveTime is how long before the end of an order all gates report often.
-	moveTime = 4 * time.Second
-	// reportTimeout bounds one report: a permit that comes later has lapsed.
+	// confirmDelay is how long after it was opened or closed a gate reports again: the next step
+	// of a traffic shift waits for that report.
+	confirmDelay = 20 * time.Millisecond
+	// trafficShiftTime is how long before the end of an order all gates report often.
+	trafficShiftTime = 4 * time.Second
+	// reportTimeout bounds one report: a permit that arrives later has lapsed.
 	reportTimeout = 500 * time.Millisecond
-	// taskInterval is how often a decider's tasks are looked after, taskPause about the wait
-	// after one that failed, and taskTimeout bounds one.
-	taskInterval = 100 * time.Millisecond
-	taskPause    = 500 * time.Millisecond
-	taskTimeout  = 2 * time.Second
-	// wideLink is the part of the widest link that a host has which decides: reports of a
-	// whole service come in there.
-	wideLink = 0.5
-	// keyPrefix is that of outcomes in the directory, whose other keys are hosts' names.
+	// taskInterval is how often the decider's tasks are executed, taskRetryInterval the wait
+	// after one that failed. taskTimeout bounds one task.
+	taskInterval      = 100 * time.Millisecond
+	taskRetryInterval = 500 * time.Millisecond
+	taskTimeout       = 2 * time.Second
+	// minLinkShare is the share of the widest link in the fleet that a daemon's link must have
+	// for the daemon to decide: it receives the reports of a whole service.
+	minLinkShare = 0.5
+	// keyPrefix is the prefix of the outcomes' keys in the directory, whose other keys are host
+	// names.
 	keyPrefix = "rollout/"
 )
 
-// Peers carries reports to the daemon that decides.
+// Peers sends reports to the daemon that decides.
 type Peers interface {
 	Report(ctx context.Context, to *membership.Member, r *rolloutpb.Report) (*rolloutpb.Permit, error)
 }
 
-// StatusReporter tells the operator how a rollout stands.
+// StatusReporter reports the state of a rollout to the operator.
 type StatusReporter interface {
+	// ReportStatus reports the outcome of the rollout of an order, rollout.Undecided while it is
+	// in progress.
 	ReportStatus(ctx context.Context, o rollout.Order, outcome rollout.Outcome) error
 }
 
-// Options holds what a Controller works with.
+// Options configures a Controller.
 type Options struct {
 	Board   *blackboard.Board
 	Gate    *rollout.Gate
 	Decider *rollout.Decider
 	Peers   Peers
-	// Directory keeps outcomes through a loss of power everywhere.
+	// Directory stores outcomes, which thereby survive a power loss of the whole fleet.
 	Directory eventlog.Directory
-	// StatusReporter may be nil, where nobody is to be told.
+	// StatusReporter is nil if no operator is to be notified.
 	StatusReporter StatusReporter
 	Host           string
 	Boot           uint64
@@ -76,50 +79,53 @@
 	opts Options
 
 	mu sync.Mutex
-	// tracker is that of the server beside this daemon, nil where no rollout concerns it.
+	// tracker is the tracker of the local server, nil if no rollout concerns it.
 	tracker *rollout.Tracker
-	// done is set once nobody needs its reports any more.
-	done bool
-	role rollout.Role
-	// known is when this daemon learned of the latest order for the server's service.
-	known orderSeen
-	// ended holds outcomes by the offset of their order.
-	ended map[uint64]endedAt
-	// entries are the latest outcomes found in the directory, by service.
-	entries map[string]rollout.RecordedOutcome
-	// recorded is what this daemon has recorded and told last, by service.
+	// reportingDone is set once the decider no longer needs the tracker's reports.
+	reportingDone bool
+	role          rollout.Role
+	// latestOrder is the latest order for the local server's service and when this daemon first
+	// saw it.
+	latestOrder observedOrder
+	// outcomes holds the known outcomes by the offset of their order.
+	outcomes map[uint64]observedOutcome
+	// directoryOutcomes holds the latest outcomes found in the directory, by service.
+	directoryOutcomes map[string]rollout.RecordedOutcome
+	// recorded holds the latest task that this daemon has completed, by service.
 	recorded map[string]rollout.Task
-	// restored is set while that has to be done again.
-	restored atomic.Bool
-	// tracked and asked wake what has nothing to do without a tracker, or without reports of
-	// others.
-	tracked, asked loop.Trigger
-	// unproven is the server whose version an earlier order was not finished for.
+	// recordAgain is set while these tasks must be executed again.
+	recordAgain atomic.Bool
+	// trackerSet wakes report, which has nothing to do without a tracker. reportReceived wakes
+	// runTasks, which has nothing to do without reports of other daemons.
+	trackerSet, reportReceived loop.Trigger
+	// unproven is the server whose version was to be rolled out by an earlier order that did not
+	// succeed.
 	unproven rollout.ServerID
 }
 
-// orderSeen is an order with the time at which it was first seen.
-type orderSeen struct {
+// observedOrder is the offset of an order and when this daemon first saw it.
+type observedOrder struct {
 	offset uint64
 	at     time.Time
 }
 
-type endedAt struct {
+// observedOutcome is the outcome of an order and when this daemon first knew it.
+type observedOutcome struct {
 	outcome rollout.Outcome
 	at      time.Time
 }
 
-// New returns a controller.
+// New returns a controller without a tracker.
 func New(opts Options) *Controller {
 	return &Controller{
-		opts: opts, ended: make(map[uint64]endedAt), entries: make(map[string]rollout.RecordedOutcome),
-		recorded: make(map[string]rollout.Task), tracked: loop.NewTrigger(), asked: loop.NewTrigger(),
+		opts: opts, outcomes: make(map[uint64]observedOutcome), directoryOutcomes: make(map[string]rollout.RecordedOutcome),
+		recorded: make(map[string]rollout.Task), trackerSet: loop.NewTrigger(), reportReceived: loop.NewTrigger(),
 	}
 }
 
 // Run reconciles until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
-	return loop.Run(ctx, c.follow, c.report, c.work, c.watchRestores)
+	return loop.Run(ctx, c.watchRole, c.report, c.runTasks, c.watchRestores)
 }
 
 // order returns the latest order for a service, nil if there is none.
@@ -138,15 +144,15 @@
 	}
 }
 
-// follow keeps the gate at the role of the server beside it.
-func (c *Controller) follow(ctx context.Context) error {
+// watchRole keeps the gate in line with the role of the local server.
+func (c *Controller) watchRole(ctx context.Context) error {
 	for {
 		_, stateChanged := c.opts.Board.State.Watch()
 		_, localChanged := c.opts.Board.Local.Watch()
 		_, membersChanged := c.opts.Board.Members.Watch()
 		var soon <-chan time.Time
 		if c.reconcile(c.opts.Now()) {
-			soon = time.After(followInterval)
+			soon = time.After(roleCheckInterval)
 		}
 		select {
 		case <-stateChanged:
@@ -159,8 +165,7 @@
 	}
 }
 
-// reconcile decides the role of the server beside this daemon anew, and reports whether a
-// rollout concerns it.
+// reconcile updates the role of the local server and reports whether a rollout concerns it.
 func (c *Controller) reconcile(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,45 +175,48 @@
 		return false
 	}
 	o := c.order(local.Service)
-	l := rollout.LocalServer{Version: local.Version, FirstSeen: local.FirstSeen, Peers: func() rollout.PeerCounts { return c.peers(local, o) }}
+	l := rollout.LocalServer{Version: local.Version, FirstSeen: local.FirstSeen, Peers: func() rollout.PeerCounts { return c.countPeers(local, o) }}
 	var outcome rollout.Outcome
 	if o != nil {
-		if c.known.offset != o.Offset {
-			c.known = orderSeen{o.Offset, now}
+		if c.latestOrder.offset != o.Offset {
+			c.latestOrder = observedOrder{o.Offset, now}
 		}
-		c.learnOutcome(o, now)
+		c.updateOutcome(o, now)
 		l.Unproven = c.isUnproven(o, local)
-		l.OrderKnownAt, l.OutcomeKnownAt, outcome = c.known.at, c.ended[o.Offset].at, c.ended[o.Offset].outcome
+		l.OrderKnownAt, l.OutcomeKnownAt, outcome = c.latestOrder.at, c.outcomes[o.Offset].at, c.outcomes[o.Offset].outcome
 	}
 	role := rollout.RoleOf(o, outcome, l, now)
 	c.setRole(role, c.trackerFor(role, o, local, outcome, now), now)
 	return role != rollout.Unaffected
 }
 
-// learnOutcome takes over what the directory holds and what the decider has told the gate.
-func (c *Controller) learnOutcome(o *rollout.Order, now time.Time) {
-	c.recall(*o, now)
+// updateOutcome adopts the outcome of an order from the directory or from the tracker's permit.
+func (c *Controller) updateOutcome(o *rollout.Order, now time.Time) {
+	c.adoptRecordedOutcome(*o, now)
 	if c.tracker == nil || c.tracker.Order.Offset != o.Offset || c.tracker.Outcome() == rollout.Undecided {
 		return
 	}
-	if c.ended[o.Offset].outcome == rollout.Undecided {
-		c.ended[o.Offset] = endedAt{c.tracker.Outcome(), now}
+	if c.outcomes[o.Offset].outcome == rollout.Undecided {
+		c.outcomes[o.Offset] = observedOutcome{c.tracker.Outcome(), now}
 	}
 }
 
-// isUnproven reports whether the server came with an earlier order that has not succeeded.
+// isUnproven reports whether the server was the canary of an earlier order that has not
+// succeeded.
 func (c *Controller) isUnproven(o *rollout.Order, local *blackboard.LocalBackend) bool {
-	if w := c.tracker; c.role == rollout.Canary && w.Order.Offset < o.Offset && w.Outcome() != rollout.Succeeded {
-		c.unproven = w.Server
+	if tracker := c.tracker; c.role == rollout.Canary && tracker.Order.Offset < o.Offset && tracker.Outcome() != rollout.Succeeded {
+		c.unproven = tracker.Server
 	}
 	return c.unproven == c.serverID(local)
 }
 
+// serverID identifies the current instance of the local server.
 func (c *Controller) serverID(local *blackboard.LocalBackend) rollout.ServerID {
 	return rollout.ServerID{Host: c.opts.Host, Boot: c.opts.Boot, Instance: members.InstanceDigest(local)}
 }
 
-// trackerFor returns the tracker for a role, the present one where it is that.
+// trackerFor returns the tracker for a role. It is the present one if that has the same role,
+// order and server.
 func (c *Controller) trackerFor(role rollout.Role, o *rollout.Order, local *blackboard.LocalBackend, outcome rollout.Outcome, now time.Time) *rollout.Tracker {
 	if role == rollout.Unaffected {
 		return nil
@@ -216,46 +224,46 @@
 	var order rollout.Order
 	known, server := now, c.serverID(local)
 	if o != nil && role != rollout.Pending {
-		order, known = *o, c.known.at
+		order, known = *o, c.latestOrder.at
 	}
-	if w := c.tracker; w != nil && c.role == role && w.Order == order && w.Server == server {
-		return w
+	if tracker := c.tracker; tracker != nil && c.role == role && tracker.Order == order && tracker.Server == server {
+		return tracker
 	}
-	w := &rollout.Tracker{Order: order, Server: server, NewVersion: role != rollout.Stable, OrderKnownAt: known}
+	tracker := &rollout.Tracker{Order: order, Server: server, NewVersion: role != rollout.Stable, OrderKnownAt: known}
 	if role != rollout.Pending {
-		w.SetPermit(rollout.Permit{Outcome: outcome}, time.Time{})
+		tracker.SetPermit(rollout.Permit{Outcome: outcome}, time.Time{})
 	}
-	return w
+	return tracker
 }
 
-// setRole puts a role with its tracker into force.
-func (c *Controller) setRole(role rollout.Role, w *rollout.Tracker, now time.Time) {
-	if c.role != role || c.tracker != w {
-		c.logRole(role, w)
+// setRole applies a role and its tracker. The caller holds mu.
+func (c *Controller) setRole(role rollout.Role, tracker *rollout.Tracker, now time.Time) {
+	if c.role != role || c.tracker != tracker {
+		c.logRole(role, tracker)
 	}
-	if c.tracker != w {
-		c.done = false
-		c.opts.Gate.SetTracker(w)
-		c.tracked.Set()
+	if c.tracker != tracker {
+		c.reportingDone = false
+		c.opts.Gate.SetTracker(tracker)
+		c.trackerSet.Set()
 	}
-	c.role, c.tracker = role, w
-	withheld := w != nil && w.Mode(now) == rollout.Closed
+	c.role, c.tracker = role, tracker
+	withheld := tracker != nil && tracker.Mode(now) == rollout.Closed
 	if old := c.opts.Board.Withheld.Load(); old == nil && withheld || old != nil && *old != withheld {
 		c.opts.Board.Withheld.Store(&withheld)
 	}
 }
 
-func (c *Controller) logRole(role rollout.Role, w *rollout.Tracker) {
-	if w == nil {
-		c.opts.Logger.Info("rollout: the backend server takes calls as usual")
+func (c *Controller) logRole(role rollout.Role, tracker *rollout.Tracker) {
+	if tracker == nil {
+		c.opts.Logger.Info("rollout: no rollout affects the backend server")
 		return
 	}
-	c.opts.Logger.Info("rollout: the backend server has a role", "role", role.String(), "service", w.Order.Service,
-		"to_version", w.Order.ToVersion, "order", w.Order.Offset, "outcome", w.Outcome().String())
+	c.opts.Logger.Info("rollout: the backend server has a role", "role", role.String(), "service", tracker.Order.Service,
+		"to_version", tracker.Order.ToVersion, "order", tracker.Order.Offset, "outcome", tracker.Outcome().String())
 }
 
-// peers counts the other servers of the service by version. The order may be nil.
-func (c *Controller) peers(local *blackboard.LocalBackend, o *rollout.Order) rollout.PeerCounts {
+// countPeers counts the other servers of the service by version. The order may be nil.
+func (c *Controller) countPeers(local *blackboard.LocalBackend, o *rollout.Order) rollout.PeerCounts {
 	var p rollout.PeerCounts
 	view := c.opts.Board.Members.Load()
 	if view == nil {
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,4 +1,4 @@
-// Package loop runs the loops that a part consists of as one.
+// Package loop runs the loops of a component together.
 package loop
 
 import (
@@ -7,21 +7,22 @@
 	"gopkg.in/tomb.v2"
 )
 
-// Func blocks until ctx is done and returns nil then, or fails before.
+// Func is a loop. It blocks until ctx is done and then returns nil; it returns an error if it
+// fails earlier.
 type Func func(ctx context.Context) error
 
-// Run runs all loops until ctx is done, or until one fails: then the others are
-// ended and its error is returned.
+// Run runs all loops until ctx is done or one of them fails. On a failure it cancels the other
+// loops, waits for them and returns the error.
 func Run(ctx context.Context, loops ...Func) error {
 	var t tomb.Tomb
-	// Not tomb.WithContext: it would make the end of ctx an error.
+	// tomb.WithContext is not used because it would report the end of ctx as an error.
 	inner := t.Context(ctx)
 	for _, f := range loops {
 		t.Go(func() error {
 			err := f(inner)
 			if inner.Err() != nil {
-				// What fails once the end has begun is its consequence: a
-				// closed connection, a canceled wait.
+				// An error after the cancellation is a consequence of it, such as a closed
+				// connection or a canceled wait.
 				return nil
 			}
 			return err
--- a/internal/loop/sleep.go
+++ b/internal/loop/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for d and reports false where ctx is done before.
+// Sleep waits for d and returns true. It returns false if ctx is done first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -18,6 +18,6 @@
 	}
 }
 
-// SleepJittered is Sleep for half of d to one and a half of it. The jitter keeps
-// processes that started together from acting together.
+// SleepJittered is Sleep for a random duration from d/2 to 3d/2; d must be positive. The jitter
+// keeps processes that started together from acting in lockstep.
 func SleepJittered(ctx context.Context, d time.Duration) bool { return Sleep(ctx, d/2+rand.N(d)) }
