--- a/backend/backend.go
+++ b/backend/backend.go
@@ -37,8 +37,8 @@
 	// Suspect is set while the daemon on the server's host does not answer probes. Such a server
 	// is picked only if no other one is left.
 	Suspect bool
-	// FirstSeen is when the server first announced itself, by this process's monotonic clock:
-	// the time at which this process first received the announcement, less the age stated in it.
+	// FirstSeen is when the server first announced itself, by this process's monotonic clock: the
+	// time at which this process saw the announcement, less the age stated in it.
 	FirstSeen time.Time
 }
 
--- a/internal/blackboard/blackboard.go
+++ b/internal/blackboard/blackboard.go
@@ -67,7 +67,7 @@
 	// Slots is the number of calls that the server runs concurrently.
 	Slots int
 	// HealthURL is the URL of the server's health check, empty if the server does not announce
-	// one. It is only a hint.
+	// one.
 	HealthURL string
 	// Draining is set once the server has announced that it is draining.
 	Draining bool
--- a/internal/blackboard/restore_watcher.go
+++ b/internal/blackboard/restore_watcher.go
@@ -6,9 +6,9 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// RestoreWatcher detects that the log was restored from an older copy, by a higher epoch of the
-// daemon's state. What daemons store next to the log may have been reverted as well and must
-// then be stored again. A RestoreWatcher must not be used by several goroutines.
+// RestoreWatcher detects from the epoch of the daemon's state that the log was restored from an
+// older copy. What daemons store next to the log may have been reverted as well and must then be
+// stored again. A RestoreWatcher must be used by only one goroutine.
 type RestoreWatcher struct {
 	board *Board
 	epoch uint32
--- a/internal/controller/announce/announce.go
+++ b/internal/controller/announce/announce.go
@@ -45,7 +45,7 @@
 	Draining  bool   `json:"draining,omitempty"`
 }
 
-// Controller owns the Local cell.
+// Controller serves the backend listener and owns the Local cell.
 type Controller struct {
 	Board  *blackboard.Board
 	Logger *slog.Logger
--- a/internal/controller/announce/servers_test.go
+++ b/internal/controller/announce/servers_test.go
@@ -25,14 +25,14 @@
 	return w.Code
 }
 
-func (f *fixture) known() blackboard.LocalBackend {
+func (f *fixture) localServer() blackboard.LocalBackend {
 	if l := f.Board.Local.Load(); l != nil {
 		return *l
 	}
 	return blackboard.LocalBackend{}
 }
 
-// inForce puts a document with the given services into force.
+// putInForce puts a document with the given services into force.
 func (f *fixture) putInForce(t *testing.T, services ...string) {
 	t.Helper()
 	d := &configpb.Document{Version: 1}
@@ -53,10 +53,10 @@
 	f := newFixture()
 	must.Eq(t, http.StatusOK, f.sendServer(http.MethodPut, "i-1", firstInstance))
 	must.Eq(t, http.StatusOK, f.sendServer(http.MethodPut, "i-1", strings.NewReplacer("ready", "draining", "40", "41").Replace(firstInstance)))
-	must.True(t, f.known().Draining)
+	must.True(t, f.localServer().Draining)
 	must.Eq(t, http.StatusOK, f.sendServer(http.MethodPut, "i-1", secondInstance))
-	must.False(t, f.known().Draining)
-	must.Eq(t, 1, f.known().Sequence)
+	must.False(t, f.localServer().Draining)
+	must.Eq(t, 1, f.localServer().Sequence)
 }
 
 // A server is withdrawn, which is acknowledged, and restarts with the same ID. If the ID itself
@@ -67,11 +67,11 @@
 			f := newFixture()
 			f.sendServer(http.MethodPut, "i-1", firstInstance)
 			must.Eq(t, http.StatusOK, f.sendServer(http.MethodDelete, "i-1", body))
-			must.Eq(t, "", f.known().ID)
+			must.Eq(t, "", f.localServer().ID)
 			f.sendServer(http.MethodPut, "i-1", strings.Replace(firstInstance, "40", "42", 1))
-			must.Eq(t, "", f.known().ID)
+			must.Eq(t, "", f.localServer().ID)
 			f.sendServer(http.MethodPut, "i-1", secondInstance)
-			must.Eq(t, "i-1", f.known().ID)
+			must.Eq(t, "i-1", f.localServer().ID)
 		})
 	}
 }
@@ -84,9 +84,9 @@
 	f.sendServer(http.MethodPut, "i-1", firstInstance)
 	f.sendServer(http.MethodPut, "i-1", secondInstance)
 	f.sendServer(http.MethodPut, "i-1", strings.NewReplacer("ready", "draining", "40", "50").Replace(firstInstance))
-	must.False(t, f.known().Draining)
+	must.False(t, f.localServer().Draining)
 	f.sendServer(http.MethodDelete, "i-1", `{"born":1000}`)
-	must.Eq(t, "i-1", f.known().ID)
+	must.Eq(t, "i-1", f.localServer().ID)
 }
 
 // A restarted daemon discovers the server, but not its start. The server is withdrawn before it
@@ -97,12 +97,12 @@
 	f.Controller.Service = "desk"
 	f.Address = "127.0.0.1:9001"
 	(&Discoverer{Controller: f.Controller, Service: "desk"}).addDiscovered("i-1")
-	must.Eq(t, "i-1", f.known().ID)
+	must.Eq(t, "i-1", f.localServer().ID)
 	f.sendServer(http.MethodDelete, "i-1", "")
 	f.sendServer(http.MethodPut, "i-1", firstInstance)
-	must.Eq(t, "", f.known().ID)
+	must.Eq(t, "", f.localServer().ID)
 	f.sendServer(http.MethodPut, "i-1", strings.Replace(secondInstance, "2000", "1700000000000", 1))
-	must.Eq(t, "i-1", f.known().ID)
+	must.Eq(t, "i-1", f.localServer().ID)
 }
 
 // A server states its start only after it was discovered. It must remain the same instance,
@@ -111,11 +111,11 @@
 	f := newFixture()
 	f.Address = "127.0.0.1:9001"
 	(&Discoverer{Controller: f.Controller, Service: "desk"}).addDiscovered("i-1")
-	first := f.known().FirstSeen
+	first := f.localServer().FirstSeen
 	f.now = f.now.Add(1)
 	f.sendServer(http.MethodPut, "i-1", firstInstance)
-	must.Eq(t, 1000, f.known().StartUnixMs)
-	must.Eq(t, first, f.known().FirstSeen)
+	must.Eq(t, 1000, f.localServer().StartUnixMs)
+	must.Eq(t, first, f.localServer().FirstSeen)
 }
 
 // Another client sends announcements with members missing or of a wrong type, with a state or
@@ -151,9 +151,9 @@
 			must.Eq(t, http.StatusOK, f.sendServer(http.MethodPut, "i-1", firstInstance))
 			must.Eq(t, http.StatusBadRequest, f.sendServer(http.MethodPut, "i-1", body))
 			must.Eq(t, http.StatusBadRequest, f.sendServer(http.MethodPut, "i-2", body))
-			must.Eq(t, 40, f.known().Sequence)
+			must.Eq(t, 40, f.localServer().Sequence)
 			must.Eq(t, http.StatusOK, f.sendServer(http.MethodPut, "i-1", strings.Replace(firstInstance, "40", "41", 1)))
-			must.Eq(t, 41, f.known().Sequence)
+			must.Eq(t, 41, f.localServer().Sequence)
 		})
 	}
 }
@@ -168,7 +168,7 @@
 		x.putInForce(t, "desk")
 		x.sendServer(http.MethodPut, "i-1", firstInstance)
 		code := x.sendServer(http.MethodPut, "i-2", string(body))
-		if l := x.known(); code == http.StatusOK {
+		if l := x.localServer(); code == http.StatusOK {
 			must.Eq(t, "i-2", l.ID)
 			must.Eq(t, "desk", l.Service)
 			must.Positive(t, l.Slots)
--- a/internal/controller/contacts/contacts.go
+++ b/internal/controller/contacts/contacts.go
@@ -51,7 +51,7 @@
 	// daemons that start later cannot find this one.
 	retryInterval = 300 * time.Millisecond
 	// restoreDelay is the mean wait before the entry is put again after the directory may have
-	// lost it. All daemons that have an entry put theirs then.
+	// lost it. The wait is random because all daemons that have an entry put theirs then.
 	restoreDelay = time.Second
 )
 
@@ -63,7 +63,7 @@
 	AvailabilityZone string
 	PeerAddr         netip.AddrPort
 	// DirectoryPersists is set if the directory keeps one entry for each host permanently. A
-	// daemon then puts its address at startup, if it is missing and there are few others, and
+	// daemon then puts its address at startup, if the directory lacks it and has few others, and
 	// when it has become a reader, so that some live daemons can always be found. Otherwise only
 	// readers put their address, and repeat that, which suits a directory that drops old
 	// entries.
--- a/internal/controller/members/members.go
+++ b/internal/controller/members/members.go
@@ -29,7 +29,8 @@
 	Now        func() time.Time
 }
 
-// Run reconciles in both directions until ctx is done.
+// Run publishes the membership table on the blackboard and announces the state from the
+// blackboard to the other daemons, until ctx is done.
 func (c *Controller) Run(ctx context.Context) error {
 	return loop.Run(ctx, c.publishView, c.publishLocal, c.publishOffset)
 }
@@ -104,7 +105,7 @@
 	if local != nil {
 		a.service, a.slots, a.draining, a.instance = local.Service, local.Slots, local.Draining, InstanceDigest(local)
 		a.version = VersionDigest(local.Version)
-		// Announcing the server as draining spares other daemons a rejection.
+		// A withheld server is announced as draining, which spares other daemons a rejection.
 		a.draining = a.draining || withheld != nil && *withheld
 	}
 	a.hostDraining = phase != nil && phase.Phase >= blackboard.Leaving
@@ -133,6 +134,7 @@
 	return nonzeroDigest(local.ID + "@" + strconv.FormatInt(local.FirstSeen.UnixNano(), 36))
 }
 
+// announcements returns the announcements of the backend server, none if there is no server.
 func (a advertisement) announcements(local *blackboard.LocalBackend, now time.Time) []membership.Announcement {
 	if a.service == "" {
 		return nil
--- a/internal/controller/quarantines/quarantines.go
+++ b/internal/controller/quarantines/quarantines.go
@@ -1,4 +1,4 @@
-// Package quarantines announces to the fleet during which requests backend servers crashed, and
+// Package quarantines informs the fleet of the requests during which backend servers crashed, and
 // stores the verdicts on these requests so that they outlive the daemons.
 package quarantines
 
@@ -54,7 +54,7 @@
 	// host.
 	observed map[string]*membership.Member
 	// stored holds the ends of the verdicts that this daemon has put into the directory. Only
-	// one goroutine uses it.
+	// the goroutine of storeVerdicts uses it.
 	stored map[quarantine.Identity]time.Time
 	// restored wakes that goroutine when the directory may have lost verdicts.
 	restored loop.Trigger
@@ -125,8 +125,8 @@
 	return list
 }
 
-// isAssigned reports whether this daemon is among the first verdictReplicas live ones by
-// rendezvous hash.
+// isAssigned reports whether this daemon is among the verdictReplicas live daemons with the
+// highest rendezvous hashes for a request.
 func (c *Controller) isAssigned(view *membership.View, id quarantine.Identity) bool {
 	own := rank(c.opts.Host, id)
 	above := 0
--- a/internal/controller/rollouts/rollouts.go
+++ b/internal/controller/rollouts/rollouts.go
@@ -98,8 +98,7 @@
 	// trackerSet wakes report, which has nothing to do without a tracker. reportReceived wakes
 	// runTasks, which has nothing to do without reports of other daemons.
 	trackerSet, reportReceived loop.Trigger
-	// unproven is the server whose version was to be rolled out by an earlier order that did not
-	// succeed.
+	// unproven is the server that was the canary of an earlier order that has not succeeded.
 	unproven rollout.ServerID
 }
 
@@ -190,7 +189,8 @@
 	return role != rollout.Unaffected
 }
 
-// updateOutcome adopts the outcome of an order from the directory or from the tracker's permit.
+// updateOutcome adopts the outcome of an order from the directory or from the tracker, which has
+// it from a permit. The caller holds mu.
 func (c *Controller) updateOutcome(o *rollout.Order, now time.Time) {
 	c.adoptRecordedOutcome(*o, now)
 	if c.tracker == nil || c.tracker.Order.Offset != o.Offset || c.tracker.Outcome() == rollout.Undecided {
@@ -202,7 +202,7 @@
 }
 
 // isUnproven reports whether the server was the canary of an earlier order that has not
-// succeeded.
+// succeeded. The caller holds mu.
 func (c *Controller) isUnproven(o *rollout.Order, local *blackboard.LocalBackend) bool {
 	if tracker := c.tracker; c.role == rollout.Canary && tracker.Order.Offset < o.Offset && tracker.Outcome() != rollout.Succeeded {
 		c.unproven = tracker.Server
--- a/internal/loop/trigger.go
+++ b/internal/loop/trigger.go
@@ -10,18 +10,18 @@
 func NewTrigger() Trigger { return make(Trigger, 1) }
 
 // Set sets the trigger. It does not block.
-func (w Trigger) Set() {
+func (t Trigger) Set() {
 	select {
-	case w <- struct{}{}:
+	case t <- struct{}{}:
 	default:
 	}
 }
 
 // Wait blocks until the trigger is set, resets it and returns true. It returns false if ctx is
 // done first.
-func (w Trigger) Wait(ctx context.Context) bool {
+func (t Trigger) Wait(ctx context.Context) bool {
 	select {
-	case <-w:
+	case <-t:
 		return true
 	case <-ctx.Done():
 		return false
