--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -30,10 +30,10 @@
 	p.attempts = once.NewAttemptTable(attempts)
 	runs, callees := admission.NewRuns(time.Now()), &admission.CalleeStats{}
 	p.inbound = inbound.NewHandler(inbound.Options{
-		LinkMbps: d.settings.LinkMbps, Runs: runs, Callees: callees, HostShare: d.hostShare,
+		LinkMbps: d.settings.LinkMbps, Runs: runs, CalleeStats: callees, HostShare: d.hostShare,
 		Local: &d.board.Local, NewGate: d.newGate,
-		MergeRoutes: d.without(settings.WithoutRoutes), AnyWait: d.without(settings.WithoutObjective),
-		Attempts: p.attempts, Dialect: d.dialect(), Misplaced: p.announce.HandleServerMismatch,
+		MergeRoutes: d.without(settings.WithoutRoutes), IgnoreObjective: d.without(settings.WithoutObjective),
+		Attempts: p.attempts, Dialect: d.dialect(), OnServerMismatch: p.announce.HandleServerMismatch,
 		Quarantine: p.quarantine, Rollout: p.rolloutGate, Tracer: d.tracer, Metrics: metrics, Logger: d.logger,
 	})
 	balancing := balance.DefaultOptions()
@@ -68,7 +68,7 @@
 	p.lifecycle = &drain.Controller{
 		Board: d.board, Logger: d.logger, GracePeriod: quiet, PeerNotice: d.notice(),
 		Counters:       []drain.InFlightCounter{p.inbound, p.outbound},
-		RejectNewCalls: p.inbound.Refuse,
+		RejectNewCalls: p.inbound.RejectNewCalls,
 	}
 	return nil
 }
--- a/internal/daemon/exchange.go
+++ b/internal/daemon/exchange.go
@@ -22,7 +22,7 @@
 // handle connects the kinds of exchange with the parts that serve them.
 func (p *parts) handle() {
 	p.server.Handle(peerpb.Kind_KIND_CALL, p.inbound)
-	p.server.Handle(peerpb.Kind_KIND_ASK, peer.HandlerFunc(p.inbound.ServeAsk))
+	p.server.Handle(peerpb.Kind_KIND_ASK, peer.HandlerFunc(p.inbound.ServeAttemptQuery))
 	p.server.Handle(peerpb.Kind_KIND_LANE, peer.HandlerFunc(p.inbound.ServeLane))
 	p.server.Handle(peerpb.Kind_KIND_KEYED_CALL, peer.HandlerFunc(p.outbound.ServeKeyedCall))
 	p.server.Handle(peerpb.Kind_KIND_PUSH, peer.HandlerFunc(p.spreader.HandlePush))
--- a/internal/proxy/backendconn/client.go
+++ b/internal/proxy/backendconn/client.go
@@ -61,9 +61,9 @@
 type Options struct {
 	// Address of the server, as IP:port.
 	Address string
-	// RequestID is the header field that names a call and that the server sends
+	// RequestIDHeader is the header field that names a call and that the server sends
 	// back; empty where there is none.
-	RequestID string
+	RequestIDHeader string
 }
 
 // Client calls one server. It is safe for concurrent use.
@@ -111,9 +111,9 @@
 // kernel answers at once.
 const goneTimeout = 200 * time.Millisecond
 
-// Gone reports whether the server has certainly ended: it keeps no connection, and its
+// ServerExited reports whether the server has certainly ended: it keeps no connection, and its
 // address refuses new ones. A connection made to ask is kept for the next call.
-func (c *Client) Gone() bool {
+func (c *Client) ServerExited() bool {
 	if cn := c.takeIdle(); cn != nil {
 		c.keep(cn)
 		return false
--- a/internal/proxy/backendconn/client_test.go
+++ b/internal/proxy/backendconn/client_test.go
@@ -50,7 +50,7 @@
 }
 
 func (s *server) client(t *testing.T) *Client {
-	c := New(Options{Address: s.addr, RequestID: idField})
+	c := New(Options{Address: s.addr, RequestIDHeader: idField})
 	t.Cleanup(c.Close)
 	return c
 }
--- a/internal/proxy/backendconn/conn.go
+++ b/internal/proxy/backendconn/conn.go
@@ -85,7 +85,7 @@
 // readAnswer returns the head of the call's own answer. A late second answer to an
 // earlier call may stand before it; its request id tells.
 func (cn *conn) readAnswer(r *Request) (*http.Response, error) {
-	id := cn.client.opts.RequestID
+	id := cn.client.opts.RequestIDHeader
 	for others := 0; others <= maxOtherAnswers; {
 		resp, err := http.ReadResponse(cn.br, &http.Request{Method: r.Method})
 		if err != nil {
--- a/internal/proxy/body/body.go
+++ b/internal/proxy/body/body.go
@@ -13,14 +13,14 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// ErrCut means that the sender ended a body early and said so.
-var ErrCut = errors.New("body was cut short by its sender")
+// ErrAborted means that the sender ended a body early and said so.
+var ErrAborted = errors.New("body was cut short by its sender")
 
-// MaxWholeAnswer is the largest answer that a gate, and the daemon that the caller
+// MaxBufferedResponse is the largest answer that a gate, and the daemon that the caller
 // reached, take whole before they pass any of it on, in bytes. One that breaks off on its
 // way can then be had again: where the caller has a part, only its connection can be cut,
 // and the requests behind on it get no answer either.
-const MaxWholeAnswer = 64 << 10
+const MaxBufferedResponse = 64 << 10
 
 // maxChunkMessage bounds one chunk message: its data and the fields around it.
 const maxChunkMessage = peer.ChunkBytes + 1024
@@ -46,7 +46,7 @@
 		sent += int64(n)
 		last := errors.Is(err, io.EOF) || sent == length
 		if err != nil && !last {
-			return errors.CombineErrors(errors.Wrap(err, "read body"), SendCut(st, errkind.BackendFailed))
+			return errors.CombineErrors(errors.Wrap(err, "read body"), SendAbort(st, errkind.BackendFailed))
 		}
 		if n == 0 && !last {
 			continue
@@ -60,8 +60,8 @@
 	}
 }
 
-// SendCut ends a body early, giving the kind of error.
-func SendCut(st *peer.Stream, kind errkind.Kind) error {
+// SendAbort ends a body early, giving the kind of error.
+func SendAbort(st *peer.Stream, kind errkind.Kind) error {
 	return st.Send(&peerpb.Chunk{Last: true, ErrorKind: string(kind)})
 }
 
@@ -114,7 +114,7 @@
 	case err != nil:
 		r.err = err
 	case c.GetErrorKind() != "":
-		r.err = errors.Wrap(ErrCut, c.GetErrorKind())
+		r.err = errors.Wrap(ErrAborted, c.GetErrorKind())
 	default:
 		r.rest = c.GetData()
 		if c.GetLast() {
--- a/internal/proxy/inbound/call.go
+++ b/internal/proxy/inbound/call.go
@@ -60,7 +60,7 @@
 		return c.refuse(err)
 	}
 	defer release()
-	if c.nested() && c.h.opts.Callees.HasCallees() {
+	if c.nested() && c.h.opts.CalleeStats.HasCallees() {
 		c.site.gate.ReserveNestedSlot()
 	}
 	ticket, err := c.site.gate.Admit(c.ctx, c.gateCall())
@@ -107,7 +107,7 @@
 		return g
 	}
 	g.MaxWait = time.Duration(c.head.GetMaxQueueMs()) * time.Millisecond
-	if left := time.Duration(c.head.GetObjectiveLeftMs()) * time.Millisecond; left > 0 && !c.h.opts.AnyWait {
+	if left := time.Duration(c.head.GetObjectiveLeftMs()) * time.Millisecond; left > 0 && !c.h.opts.IgnoreObjective {
 		g.ObjectiveLeft = max(left-time.Since(c.start), time.Millisecond)
 	}
 	return g
@@ -120,7 +120,7 @@
 			return gate.NotStarted, err
 		}
 	}
-	c.h.opts.Callees.AddRun()
+	c.h.opts.CalleeStats.AddRun()
 	run := c.h.opts.Runs.Begin(c.head.GetRequestId(), c.deadline)
 	defer func() { run.End(time.Now()) }()
 	c.site.runs.begin(c)
@@ -176,7 +176,7 @@
 		Load:         c.load(),
 		Arrived:      c.arrived,
 		MadeBy:       advice.MadeByToProto(c.madeBy),
-		Callees:      advice.CalleesToProto(c.h.opts.Callees.Rates()),
+		Callees:      advice.CalleesToProto(c.h.opts.CalleeStats.Rates()),
 	}
 	_ = c.st.SetWriteDeadline(time.Now().Add(refuseTimeout))
 	if serr := c.st.Send(head); serr != nil {
--- a/internal/proxy/inbound/ending.go
+++ b/internal/proxy/inbound/ending.go
@@ -95,7 +95,7 @@
 // off, and tells of it once for all calls that were in progress. It reports whether it has:
 // a server that said that it leaves may end.
 func (c *call) noteEnding() bool {
-	e, first := c.site.runs.brokeOff(c.site.client.Gone)
+	e, first := c.site.runs.brokeOff(c.site.client.ServerExited)
 	if !e.gone || c.leaving() {
 		return false
 	}
--- a/internal/proxy/inbound/forward.go
+++ b/internal/proxy/inbound/forward.go
@@ -92,7 +92,7 @@
 	d := c.h.opts.Dialect
 	switch {
 	case d.IsRejection(resp.StatusCode, resp.Header) && resp.StatusCode == http.StatusMisdirectedRequest:
-		c.h.opts.Misplaced(c.site.id)
+		c.h.opts.OnServerMismatch(c.site.id)
 		return errkind.Newf(errkind.Unreachable, "backend server %s has the address of %s", resp.Header.Get(d.ServerID), c.site.id)
 	case d.IsRejection(resp.StatusCode, resp.Header):
 		return errkind.Newf(errkind.Shed, "the backend server turned the call away with status %d", resp.StatusCode)
@@ -148,7 +148,7 @@
 		ContentLength: resp.ContentLength,
 		Load:          c.load(),
 		MadeBy:        advice.MadeByToProto(c.madeBy),
-		Callees:       advice.CalleesToProto(c.h.opts.Callees.Rates()),
+		Callees:       advice.CalleesToProto(c.h.opts.CalleeStats.Rates()),
 	}
 }
 
@@ -160,7 +160,7 @@
 		return outcomeOfError(err), c.refuse(err)
 	}
 	defer resp.Body.Close()
-	start, err := readStart(resp, body.MaxWholeAnswer)
+	start, err := readStart(resp, body.MaxBufferedResponse)
 	if err != nil {
 		return gate.Failed, c.refuse(c.brokenOff(err))
 	}
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -47,15 +47,15 @@
 	LinkMbps float64
 	// Runs is told what the backend server runs.
 	Runs *admission.Runs
-	// Callees learns what those runs call.
-	Callees *admission.CalleeStats
+	// CalleeStats learns what those runs call.
+	CalleeStats *admission.CalleeStats
 	// HostShare returns the share of hosts beside the servers of a service, 0 to 1.
 	HostShare func(service string) float64
-	// MergeRoutes takes the calls of all routes for alike, AnyWait bounds their waits by
+	// MergeRoutes takes the calls of all routes for alike, IgnoreObjective bounds their waits by
 	// the sender's word alone; both are for trials.
-	MergeRoutes, AnyWait bool
-	// Misplaced is told that the server of an id is not at its address any more.
-	Misplaced func(id string)
+	MergeRoutes, IgnoreObjective bool
+	// OnServerMismatch is told that the server of an id is not at its address any more.
+	OnServerMismatch func(id string)
 	// Quarantine tells which requests are kept from the backend server, and is told what it
 	// ends under.
 	Quarantine Quarantine
@@ -113,8 +113,8 @@
 // Load returns the load of the backend server's gate.
 func (h *Handler) Load() gate.Load { return h.sites.current.Load().gate.Load() }
 
-// Refuse lets no new call in, whichever backend server is there.
-func (h *Handler) Refuse() { h.sites.refuse() }
+// RejectNewCalls lets no new call in, whichever backend server is there.
+func (h *Handler) RejectNewCalls() { h.sites.refuse() }
 
 // Run keeps the gate at what the backend server announced, until ctx is done.
 func (h *Handler) Run(ctx context.Context) error {
--- a/internal/proxy/inbound/once.go
+++ b/internal/proxy/inbound/once.go
@@ -84,8 +84,8 @@
 	return a
 }
 
-// ServeAsk tells another daemon what became of an attempt.
-func (h *Handler) ServeAsk(ctx context.Context, st *peer.Stream) error {
+// ServeAttemptQuery tells another daemon what became of an attempt.
+func (h *Handler) ServeAttemptQuery(ctx context.Context, st *peer.Stream) error {
 	_ = st.SetDeadline(time.Now().Add(exchangeTimeout))
 	var ask peerpb.Ask
 	if err := st.RecvMax(&ask, peer.MaxHeadBytes); err != nil {
--- a/internal/proxy/inbound/site.go
+++ b/internal/proxy/inbound/site.go
@@ -62,7 +62,7 @@
 	}
 	next := &site{
 		id: local.ID, url: local.URL, gate: cur.gate,
-		client: backendconn.New(backendconn.Options{Address: u.Host, RequestID: s.opts.Dialect.RequestID}),
+		client: backendconn.New(backendconn.Options{Address: u.Host, RequestIDHeader: s.opts.Dialect.RequestID}),
 	}
 	next.born.Store(local.StartUnixMs)
 	if cur.client != nil {
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -180,11 +180,11 @@
 // link breaks before, the attempt has failed like any other.
 func (a *attempt) answerBody(head *peerpb.AnswerHead) (io.Reader, error) {
 	src := body.NewReader(a.st)
-	if n := head.GetContentLength(); n < 0 || n > body.MaxWholeAnswer {
+	if n := head.GetContentLength(); n < 0 || n > body.MaxBufferedResponse {
 		return src, nil
 	}
 	held, err := io.ReadAll(src)
-	if errors.Is(err, body.ErrCut) {
+	if errors.Is(err, body.ErrAborted) {
 		return nil, errkind.Wrap(errkind.BackendFailed, err, "the backend server broke off its answer")
 	}
 	if err != nil {
@@ -259,7 +259,7 @@
 		return
 	}
 	_ = a.st.SetWriteDeadline(time.Now().Add(cancelTimeout))
-	_ = body.SendCut(a.st, errkind.Canceled)
+	_ = body.SendAbort(a.st, errkind.Canceled)
 }
 
 // wasUploaded reports whether the body was sent whole after the gate had asked for it.
