--- a/balance/evidence.go
+++ b/balance/evidence.go
@@ -11,193 +11,195 @@
 	// latencyWeight is the weight of a call in the mean latency, shareWeight in
 	// the shares of failed and slow calls.
 	latencyWeight = 0.05
-	shareWeight   = 0.07
-	// latencyMemory and failureMemory are the times without a call after which
+	rateWeight    = 0.07
+	// latencyHalfLife and failureMemory are the times without a call after which
 	// half of what was seen is replaced by what is usual. Without forgetting, a
 	// server that is passed over would be so for good.
-	latencyMemory = instant(2 * time.Second)
-	failureMemory = instant(10 * time.Second)
+	latencyHalfLife = instant(2 * time.Second)
+	failureHalfLife = instant(10 * time.Second)
 	// slowRatio is how many times the baseline latency a slow call takes,
 	// cutRatio one that was cut before it was answered. Without the second, a
 	// server that hangs would not be noticed by callers with little time.
-	slowRatio = 8.0
-	cutRatio  = 2.0
+	slowRatio        = 8.0
+	abortedSlowRatio = 2.0
 	// ejectMargin is by how much the share of failed or of slow calls must exceed
 	// what is typical of the peers for a server to be ejected.
 	ejectMargin = 0.5
-	// drainingFor is how long a gate's word that it drains holds; by then the
+	// drainingReportTTL is how long a gate's word that it drains holds; by then the
 	// membership has told everyone.
-	drainingFor = instant(10 * time.Second)
-	// An ejected server gets one of trialShare calls to try it, but one every
+	drainingReportTTL = instant(10 * time.Second)
+	// An ejected server gets one of callsPerTrial calls to try it, but one every
 	// minTrial to maxTrial. It is restored after goodTrials good ones in a row,
 	// since a slow server now and then answers quickly.
-	trialShare = 4000
-	minTrial   = instant(500 * time.Millisecond)
-	maxTrial   = instant(30 * time.Second)
-	goodTrials = 3
+	callsPerTrial    = 4000
+	minTrialInterval = instant(500 * time.Millisecond)
+	maxTrialInterval = instant(30 * time.Second)
+	trialsToRestore  = 3
 )
 
-// evidence is what this daemon has seen of one server. It is read without a
+// serverStats is what this daemon has seen of one server. It is read without a
 // lock; those who write take the server's own.
-type evidence struct {
+type serverStats struct {
 	inFlight atomic.Int64
 
 	// latency is the geometric moving mean, in seconds and without the hop. The
 	// geometric mean is not led astray by a few long calls among short ones.
-	latency atomicFloat
-	seenAt  atomicInstant
-	// others is the part of the slots that calls of other daemons take or wait
+	latency   atomicFloat
+	updatedAt atomicInstant
+	// otherLoad is the part of the slots that calls of other daemons take or wait
 	// for, as the gate told at othersAt.
-	others   atomicFloat
-	othersAt atomicInstant
-	// wait is how long a call had to wait for a slot, as told at othersAt.
-	wait  atomicInstant
-	slots atomic.Int64
-	// failing and slow are the moving shares of calls that failed and of those
-	// answered that were slow.
-	failing, slow atomicFloat
-	drainingUntil atomicInstant
-
-	ejected atomic.Bool
-	trialAt atomicInstant
-	// trying is set while a trial is under way.
-	trying atomic.Bool
-	// calls counts the calls that ended.
-	calls atomic.Int64
+	otherLoad  atomicFloat
+	reportedAt atomicInstant
+	// reportedWait is how long a call had to reportedWait for a slot, as told at othersAt.
+	reportedWait  atomicInstant
+	reportedSlots atomic.Int64
+	// failureRate and slowRate are the moving shares of calls that failed and of those
+	// answered that were slowRate.
+	failureRate, slowRate atomicFloat
+	drainingUntil         atomicInstant
+
+	ejected     atomic.Bool
+	nextTrialAt atomicInstant
+	// trialInFlight is set while a trial is under way.
+	trialInFlight atomic.Bool
+	// endedCalls counts the endedCalls that ended.
+	endedCalls atomic.Int64
 
 	mu sync.Mutex
-	// latencies counts the samples in latency, good the run of good trials.
-	latencies, good int
+	// latencySamples counts the samples in latency, goodTrials the run of goodTrials trials.
+	latencySamples, goodTrials int
 }
 
-func (e *evidence) draining(now instant) bool { return now < e.drainingUntil.load() }
+func (e *serverStats) draining(now instant) bool { return now < e.drainingUntil.load() }
 
-// learn takes in a result and reports whether it changes who takes calls.
-func (e *evidence) learn(o observation, now instant) bool {
+// record takes in a result and reports whether it changes who takes calls.
+func (e *serverStats) record(o observation, now instant) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.calls.Add(1)
+	e.endedCalls.Add(1)
 	if o.load != nil {
-		e.learnLoad(o.load, now)
+		e.recordLoad(o.load, now)
 	}
-	if o.verdict == leaving || o.load != nil && o.load.Draining {
+	if o.outcome == outcomeDraining || o.load != nil && o.load.Draining {
 		known := e.draining(now)
-		e.drainingUntil.store(now + drainingFor)
+		e.drainingUntil.store(now + drainingReportTTL)
 		return !known
 	}
-	if o.verdict == neutral || o.verdict == cut && !o.slow {
+	if o.outcome == outcomeNeutral || o.outcome == outcomeAborted && !o.slow {
 		return false
 	}
-	e.forget(o.baseline, now)
-	e.learnVerdict(o)
+	e.applyDecay(o.baseline, now)
+	e.recordOutcome(o)
 	switch {
 	case !e.ejected.Load():
 		return e.isOutlier(o.baseline) && e.eject(o.baseline, now)
 	case o.trial:
-		return e.tried(o.verdict == answered && !o.slow, o.baseline, now)
+		return e.recordTrial(o.outcome == outcomeAnswered && !o.slow, o.baseline, now)
 	}
 	return false
 }
 
-func (e *evidence) learnVerdict(o observation) {
-	if o.verdict == failed {
-		e.failing.learn(true)
+func (e *serverStats) recordOutcome(o observation) {
+	if o.outcome == outcomeFailed {
+		e.failureRate.addSample(true)
 		return
 	}
-	e.failing.learn(false)
-	e.slow.learn(o.slow)
-	e.learnLatency(o.latency)
+	e.failureRate.addSample(false)
+	e.slowRate.addSample(o.slow)
+	e.recordLatency(o.latency)
 }
 
-// forget replaces what has become old since the last call.
-func (e *evidence) forget(b baseline, now instant) {
-	e.latency.store(e.latencyNow(b, now))
-	e.slow.store(e.slow.load() * e.fresh(failureMemory, now))
-	e.failing.store(e.failingNow(now))
-	e.seenAt.store(now)
+// applyDecay replaces what has become old since the last call.
+func (e *serverStats) applyDecay(b baseline, now instant) {
+	e.latency.store(e.currentLatency(b, now))
+	e.slowRate.store(e.slowRate.load() * e.freshness(failureHalfLife, now))
+	e.failureRate.store(e.currentFailureRate(now))
+	e.updatedAt.store(now)
 }
 
-// latencyNow returns the latency that is expected now, the usual one if none was
+// currentLatency returns the latency that is expected now, the usual one if none was
 // seen.
-func (e *evidence) latencyNow(b baseline, now instant) float64 {
+func (e *serverStats) currentLatency(b baseline, now instant) float64 {
 	seen := e.latency.load()
 	if seen == 0 {
 		return b.latency
 	}
-	return mix(b.latency, seen, e.fresh(latencyMemory, now))
+	return blend(b.latency, seen, e.freshness(latencyHalfLife, now))
 }
 
-// failingNow returns the share of calls that is expected to fail now.
-func (e *evidence) failingNow(now instant) float64 {
-	return e.failing.load() * e.fresh(failureMemory, now)
+// currentFailureRate returns the share of calls that is expected to fail now.
+func (e *serverStats) currentFailureRate(now instant) float64 {
+	return e.failureRate.load() * e.freshness(failureHalfLife, now)
 }
 
-// fresh returns the part of what was seen that still counts.
-func (e *evidence) fresh(half, now instant) float64 { return decay(now-e.seenAt.load(), half) }
+// freshness returns the part of what was seen that still counts.
+func (e *serverStats) freshness(halfLife, now instant) float64 {
+	return decay(now-e.updatedAt.load(), halfLife)
+}
 
-// mix returns seen as far as it is fresh, and what is usual for the rest.
-func mix(usual, seen, fresh float64) float64 { return usual + (seen-usual)*fresh }
+// blend returns seen as far as it is fresh, and what is usual for the rest.
+func blend(typical, seen, freshness float64) float64 { return typical + (seen-typical)*freshness }
 
 // decay returns the part of something seen that still counts at an age.
-func decay(age, half instant) float64 {
-	return math.Exp2(-float64(max(age, 0)) / float64(half))
+func decay(age, halfLife instant) float64 {
+	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
 }
 
-func (e *evidence) learnLoad(l *Load, now instant) {
+func (e *serverStats) recordLoad(l *Load, now instant) {
 	others := max(float64(l.InUse+l.Queued)-float64(e.inFlight.Load()), 0)
-	e.slots.Store(int64(l.Slots))
-	e.others.store(others / float64(max(l.Slots, 1)))
-	e.wait.store(instant(l.Wait))
-	e.othersAt.store(now)
+	e.reportedSlots.Store(int64(l.Slots))
+	e.otherLoad.store(others / float64(max(l.Slots, 1)))
+	e.reportedWait.store(instant(l.Wait))
+	e.reportedAt.store(now)
 }
 
-func (e *evidence) learnLatency(seconds float64) {
+func (e *serverStats) recordLatency(seconds float64) {
 	if seconds <= 0 {
 		return
 	}
-	e.latencies++
-	weight := max(latencyWeight, 1/float64(e.latencies))
+	e.latencySamples++
+	weight := max(latencyWeight, 1/float64(e.latencySamples))
 	old := e.latency.load()
 	e.latency.store(old * math.Pow(seconds/old, weight))
 }
 
 // isOutlier compares the server with its peers. What fails or is slow at all of
 // them is not the server's fault.
-func (e *evidence) isOutlier(b baseline) bool {
-	return e.failing.load() > b.failing+ejectMargin || e.slow.load() > b.slow+ejectMargin
+func (e *serverStats) isOutlier(b baseline) bool {
+	return e.failureRate.load() > b.failureRate+ejectMargin || e.slowRate.load() > b.slowRate+ejectMargin
 }
 
-func (e *evidence) eject(b baseline, now instant) bool {
-	e.good = 0
-	e.trialAt.store(now + b.trialInterval())
+func (e *serverStats) eject(b baseline, now instant) bool {
+	e.goodTrials = 0
+	e.nextTrialAt.store(now + b.trialInterval())
 	e.ejected.Store(true)
 	return true
 }
 
-// tried takes in the result of a trial.
-func (e *evidence) tried(good bool, b baseline, now instant) bool {
+// recordTrial takes in the result of a trial.
+func (e *serverStats) recordTrial(good bool, b baseline, now instant) bool {
 	if !good {
 		return e.eject(b, now)
 	}
-	e.good++
-	if e.good < goodTrials {
+	e.goodTrials++
+	if e.goodTrials < trialsToRestore {
 		return false
 	}
-	e.failing.store(0)
-	e.slow.store(0)
+	e.failureRate.store(0)
+	e.slowRate.store(0)
 	e.latency.store(0)
-	e.latencies = 0
+	e.latencySamples = 0
 	e.ejected.Store(false)
 	return true
 }
 
 // trialInterval returns the time between two trials of a server.
 func (b baseline) trialInterval() instant {
-	if b.rate == 0 {
-		return minTrial
+	if b.callRate == 0 {
+		return minTrialInterval
 	}
-	seconds := trialShare / b.rate
-	return min(max(instant(seconds*float64(time.Second)), minTrial), maxTrial)
+	seconds := callsPerTrial / b.callRate
+	return min(max(instant(seconds*float64(time.Second)), minTrialInterval), maxTrialInterval)
 }
 
 // atomicFloat is a float64 that is read and written atomically.
@@ -206,11 +208,11 @@
 func (f *atomicFloat) load() float64   { return math.Float64frombits(f.bits.Load()) }
 func (f *atomicFloat) store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
-// learn takes in whether a call was of a kind whose moving share f is.
-func (f *atomicFloat) learn(is bool) {
-	share := f.load() * (1 - shareWeight)
-	if is {
-		share += shareWeight
+// addSample takes in whether a call was of a kind whose moving share f is.
+func (f *atomicFloat) addSample(hit bool) {
+	share := f.load() * (1 - rateWeight)
+	if hit {
+		share += rateWeight
 	}
 	f.store(share)
 }
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -23,9 +23,9 @@
 	Load *Load
 }
 
-// roomMemory is how long a gate's word that it has a free slot counts. Queues form within
+// freeSlotReportTTL is how long a gate's word that it has a free slot counts. Queues form within
 // the time that a call takes, some 100 ms.
-const roomMemory = instant(100 * time.Millisecond)
+const freeSlotReportTTL = instant(100 * time.Millisecond)
 
 // Lease is one call's hold on the server that was picked for it.
 type Lease struct {
@@ -33,7 +33,7 @@
 	pool   *pool
 	member *member
 	trial  bool
-	done   atomic.Bool
+	ended  atomic.Bool
 }
 
 // Server returns the server picked.
@@ -41,29 +41,29 @@
 
 // HasFreeSlot reports whether the server's gate has told of late that a call has not to wait.
 func (l *Lease) HasFreeSlot() bool {
-	e, now := l.member.evidence, l.picker.now()
-	return e.othersAt.load() != 0 && now-e.othersAt.load() < roomMemory && e.wait.load() == 0
+	e, now := l.member.stats, l.picker.now()
+	return e.reportedAt.load() != 0 && now-e.reportedAt.load() < freeSlotReportTTL && e.reportedWait.load() == 0
 }
 
 // Done ends the call at the server and takes its result as evidence. Only the
 // first call has an effect.
 func (l *Lease) Done(r Result) {
-	if l.done.Swap(true) {
+	if l.ended.Swap(true) {
 		return
 	}
-	e := l.member.evidence
+	e := l.member.stats
 	e.inFlight.Add(-1)
-	if e.learn(l.observe(r), l.picker.now()) {
+	if e.record(l.observe(r), l.picker.now()) {
 		l.pool.stale.Store(true)
 	}
 	if l.trial {
-		e.trying.Store(false)
+		e.trialInFlight.Store(false)
 	}
 }
 
 // observation is a result beside what is typical of the peers.
 type observation struct {
-	verdict verdict
+	outcome outcome
 	// latency is in seconds, without the hop.
 	latency  float64
 	slow     bool
@@ -76,12 +76,12 @@
 	baseline := l.pool.current.Load().baseline
 	seconds := r.Latency.Seconds()
 	latency := max(seconds-l.member.hop, seconds/2)
-	verdict, ratio := verdictOf(r), slowRatio
-	if verdict == cut {
-		ratio = cutRatio
+	outcome, ratio := outcomeOf(r), slowRatio
+	if outcome == outcomeAborted {
+		ratio = abortedSlowRatio
 	}
 	return observation{
-		verdict:  verdict,
+		outcome:  outcome,
 		latency:  latency,
 		slow:     latency > ratio*baseline.latency,
 		baseline: baseline,
@@ -90,49 +90,49 @@
 	}
 }
 
-// verdict is what a result says about the server. A caller's own mistakes are
+// outcome is what a result says about the server. A caller's own mistakes are
 // answers like others, and our own refusals are no evidence: a server that is
 // left alone because of refusals would never be seen to have recovered.
-type verdict uint8
+type outcome uint8
 
 const (
-	// neutral results say nothing about the server.
-	neutral verdict = iota
-	answered
-	// cut calls ended without the server's doing before it answered. They would
+	// outcomeNeutral results say nothing about the server.
+	outcomeNeutral outcome = iota
+	outcomeAnswered
+	// outcomeAborted calls ended without the server's doing before it answered. They would
 	// have taken longer, which tells something if it was long already.
-	cut
-	// leaving servers take no calls.
-	leaving
-	failed
+	outcomeAborted
+	// outcomeDraining servers take no calls.
+	outcomeDraining
+	outcomeFailed
 )
 
-func verdictOf(r Result) verdict {
+func outcomeOf(r Result) outcome {
 	switch r.Kind {
 	case errkind.None:
-		return verdictOfStatus(r.Status)
+		return outcomeOfStatus(r.Status)
 	case errkind.Draining:
-		return leaving
+		return outcomeDraining
 	case errkind.Unreachable, errkind.BackendFailed, errkind.BackendEnded, errkind.OutcomeUnknown, errkind.Shed:
-		return failed
+		return outcomeFailed
 	case errkind.Canceled, errkind.Deadline:
-		return cut
+		return outcomeAborted
 	case errkind.DeadlineNotRun:
 		if r.Load == nil {
 			// The time ran out before the gate said a word: its host may be
 			// silent, which no other kind would ever show.
-			return cut
+			return outcomeAborted
 		}
 	}
-	return neutral
+	return outcomeNeutral
 }
 
-func verdictOfStatus(status int) verdict {
+func outcomeOfStatus(status int) outcome {
 	switch status {
 	case http.StatusInternalServerError, http.StatusBadGateway, http.StatusGatewayTimeout:
-		return failed
+		return outcomeFailed
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return neutral
+		return outcomeNeutral
 	}
-	return answered
+	return outcomeAnswered
 }
--- a/balance/need_test.go
+++ b/balance/need_test.go
@@ -65,7 +65,7 @@
 	_, err = p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.Eq(t, errkind.Overloaded, errkind.Of(err))
 	must.Eq(t, 200*time.Millisecond, errkind.RetryAfterOf(err))
-	now = now.Add(time.Duration(waitMemory))
+	now = now.Add(time.Duration(waitReportTTL))
 	_, err = p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.NoError(t, err)
 }
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -69,13 +69,13 @@
 	// pools holds the servers of each service, copied on write.
 	pools atomic.Pointer[map[string]*pool]
 
-	mu       sync.Mutex
-	evidence map[backend.ID]*evidence
+	mu    sync.Mutex
+	stats map[backend.ID]*serverStats
 }
 
 // New returns a picker that has seen nothing.
 func New(opts Options) *Picker {
-	p := &Picker{opts: opts, epoch: opts.Now(), evidence: make(map[backend.ID]*evidence)}
+	p := &Picker{opts: opts, epoch: opts.Now(), stats: make(map[backend.ID]*serverStats)}
 	p.pools.Store(&map[string]*pool{})
 	return p
 }
@@ -108,38 +108,38 @@
 	MaxWait time.Duration
 }
 
-// waitMemory is how long a gate's word of its queue keeps calls away. In that time a
+// waitReportTTL is how long a gate's word of its queue keeps calls away. In that time a
 // queue that is too long does not empty.
-const waitMemory = instant(30 * time.Millisecond)
+const waitReportTTL = instant(30 * time.Millisecond)
 
-// skips reports whether a server is left out for the call.
-func (n PickOptions) skips(m *member, now instant) bool {
-	return n.Exclude != nil && n.Exclude(m.server.ID) || n.busy(m, now)
+// excludes reports whether a server is left out for the call.
+func (o PickOptions) excludes(m *member, now instant) bool {
+	return o.Exclude != nil && o.Exclude(m.server.ID) || o.waitTooLong(m, now)
 }
 
-func (n PickOptions) busy(m *member, now instant) bool {
-	e := m.evidence
-	return n.MaxWait > 0 && now-e.othersAt.load() < waitMemory && time.Duration(e.wait.load()) > n.MaxWait
+func (o PickOptions) waitTooLong(m *member, now instant) bool {
+	e := m.stats
+	return o.MaxWait > 0 && now-e.reportedAt.load() < waitReportTTL && time.Duration(e.reportedWait.load()) > o.MaxWait
 }
 
-// maxLateness bounds, in objectives, what an expected time counts as.
-const maxLateness = 4
+// maxObjectiveRatio bounds, in objectives, what an expected time counts as.
+const maxObjectiveRatio = 4
 
-// weigh turns an expected time into a cost, in seconds. By the third power a time of
+// latencyCost turns an expected time into a cost, in seconds. By the third power a time of
 // half the objective costs an eighth of it: being quicker still is worth no bytes
 // between zones, while a time near the objective risks to miss it.
-func (n PickOptions) weigh(seconds float64) float64 {
-	objective := n.Objective.Seconds()
+func (o PickOptions) latencyCost(seconds float64) float64 {
+	objective := o.Objective.Seconds()
 	if objective == 0 {
 		return seconds
 	}
-	x := min(seconds/objective, maxLateness)
+	x := min(seconds/objective, maxObjectiveRatio)
 	return objective * x * x * x
 }
 
 // PickWithOptions is Pick for a call with needs of its own.
-func (p *Picker) PickWithOptions(servers []*backend.Server, need PickOptions) (*Lease, error) {
-	exclude := need.Exclude
+func (p *Picker) PickWithOptions(servers []*backend.Server, opts PickOptions) (*Lease, error) {
+	exclude := opts.Exclude
 	if len(servers) == 0 {
 		return nil, errNoBackend
 	}
@@ -149,15 +149,15 @@
 	if m := plan.trial(exclude, now); m != nil {
 		return p.lease(pool, m, true), nil
 	}
-	m := p.choose(plan, need, now)
+	m := p.choose(plan, opts, now)
 	if m == nil {
-		return nil, plan.nothingFor(need, now)
+		return nil, plan.noMemberError(opts, now)
 	}
 	return p.lease(pool, m, false), nil
 }
 
 func (p *Picker) lease(pool *pool, m *member, trial bool) *Lease {
-	m.evidence.inFlight.Add(1)
+	m.stats.inFlight.Add(1)
 	return &Lease{picker: p, pool: pool, member: m, trial: trial}
 }
 
@@ -165,13 +165,13 @@
 // changed. What was seen of the servers stays.
 func (p *Picker) pool(servers []*backend.Server) *pool {
 	service := servers[0].Service
-	if pl, ok := (*p.pools.Load())[service]; ok && pl.of(servers) {
+	if pl, ok := (*p.pools.Load())[service]; ok && pl.builtFrom(servers) {
 		return pl
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	old := *p.pools.Load()
-	if pl, ok := old[service]; ok && pl.of(servers) {
+	if pl, ok := old[service]; ok && pl.builtFrom(servers) {
 		return pl
 	}
 	pools := maps.Clone(old)
@@ -195,26 +195,26 @@
 			pools[service] = pl
 		}
 	}
-	maps.DeleteFunc(p.evidence, func(id backend.ID, _ *evidence) bool { return !keep[id] })
+	maps.DeleteFunc(p.stats, func(id backend.ID, _ *serverStats) bool { return !keep[id] })
 	p.pools.Store(&pools)
 }
 
 // choose compares two servers inside the availability zone and two outside, drawn
 // at random, and takes the one with the lowest cost. Comparing all would send the
 // calls of all daemons to the same server between two reports of its load.
-func (p *Picker) choose(plan *plan, need PickOptions, now instant) *member {
-	remote := need.RemoteCost.Seconds()
+func (p *Picker) choose(plan *plan, opts PickOptions, now instant) *member {
+	remote := opts.RemoteCost.Seconds()
 	for _, t := range plan.tiers {
 		var best *member
 		var lowest float64
 		for _, group := range t {
-			first := p.draw(group, nil, need, now)
-			second := p.draw(group, first, need, now)
+			first := p.draw(group, nil, opts, now)
+			second := p.draw(group, first, opts, now)
 			for _, m := range [...]*member{first, second} {
 				if m == nil {
 					continue
 				}
-				cost := need.weigh(m.cost(plan, now))
+				cost := opts.latencyCost(m.cost(plan, now))
 				if !m.local {
 					cost += remote
 				}
@@ -230,15 +230,15 @@
 	return nil
 }
 
-// nothingFor returns why no server takes the call: the shortest queue that is known
+// noMemberError returns why no server takes the call: the shortest queue that is known
 // is too long, or there is none.
-func (pl *plan) nothingFor(need PickOptions, now instant) error {
+func (pl *plan) noMemberError(opts PickOptions, now instant) error {
 	shortest := time.Duration(0)
 	for _, t := range pl.tiers {
 		for _, group := range t {
 			for _, m := range group {
-				wait := time.Duration(m.evidence.wait.load())
-				if need.busy(m, now) && (shortest == 0 || wait < shortest) {
+				wait := time.Duration(m.stats.reportedWait.load())
+				if opts.waitTooLong(m, now) && (shortest == 0 || wait < shortest) {
 					shortest = wait
 				}
 			}
@@ -252,22 +252,22 @@
 
 // draw returns a member of the group other than first at random, nil if none is
 // left that is not excluded. A cold one is passed over unless all are.
-func (p *Picker) draw(group []*member, first *member, need PickOptions, now instant) *member {
+func (p *Picker) draw(group []*member, first *member, opts PickOptions, now instant) *member {
 	n := len(group)
 	if n == 0 {
 		return nil
 	}
-	var cold *member
+	var rampingUp *member
 	start := p.opts.Rand(n)
 	for i := range n {
 		m := group[(start+i)%n]
-		if m == first || need.skips(m, now) {
+		if m == first || opts.excludes(m, now) {
 			continue
 		}
-		if w := m.warmth(now); w == 1 || float64(p.opts.Rand(warmthSteps)) < w*warmthSteps {
+		if w := m.slowStartWeight(now); w == 1 || float64(p.opts.Rand(slowStartSteps)) < w*slowStartSteps {
 			return m
 		}
-		cold = m
+		rampingUp = m
 	}
-	return cold
+	return rampingUp
 }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -111,7 +111,7 @@
 			}
 			return Result{Status: 200, Latency: time.Duration(latency)}
 		})
-		for _, e := range b.evidence {
+		for _, e := range b.stats {
 			must.False(t, e.ejected.Load())
 		}
 	}
@@ -190,14 +190,14 @@
 	b.run(1000, othersFail)
 	must.Greater(t, 0.99, b.run(1000, othersFail))
 	for _, s := range b.servers[1:] {
-		b.evidence[s.ID].eject(baseline{rate: 1}, b.now())
+		b.stats[s.ID].eject(baseline{callRate: 1}, b.now())
 	}
 	b.clock = b.clock.Add(time.Second)
 	for range 300 {
 		_, err := b.Pick(b.servers, nil)
 		must.NoError(t, err)
 	}
-	must.Between(t, 50, b.evidence[b.servers[0].ID].inFlight.Load(), 200)
+	must.Between(t, 50, b.stats[b.servers[0].ID].inFlight.Load(), 200)
 }
 
 // Some of the calls fail at all servers but one, which shows that the calls are
@@ -280,9 +280,9 @@
 	b := newBench(3)
 	b.run(10, good)
 	b.Prune(backend.NewSet(b.servers[:1]))
-	must.MapLen(t, 1, b.evidence)
+	must.MapLen(t, 1, b.stats)
 	b.Prune(nil)
-	must.MapEmpty(t, b.evidence)
+	must.MapEmpty(t, b.stats)
 	must.MapEmpty(t, *b.pools.Load())
 }
 
@@ -290,10 +290,10 @@
 	b := newBench(1)
 	l, err := b.Pick(b.servers, nil)
 	must.NoError(t, err)
-	must.Eq(t, 1, b.evidence[b.servers[0].ID].inFlight.Load())
+	must.Eq(t, 1, b.stats[b.servers[0].ID].inFlight.Load())
 	l.Done(good(false))
 	l.Done(good(false))
-	must.Eq(t, 0, b.evidence[b.servers[0].ID].inFlight.Load())
+	must.Eq(t, 0, b.stats[b.servers[0].ID].inFlight.Load())
 }
 
 func TestPickAllocates(t *testing.T) {
--- a/gate/admit.go
+++ b/gate/admit.go
@@ -3,80 +3,80 @@
 import "time"
 
 const (
-	// promiseMargin is the least time, in service times, that a waiting call
+	// queuedMargin is the least time, in service times, that a waiting call
 	// must be expected to have left at its start for a newcomer of the same
 	// customer to be let in.
-	promiseMargin = 2
-	// forecastError is the inverse of the part by which a forecast may be wrong:
+	queuedMargin = 2
+	// forecastErrorDivisor is the inverse of the part by which a forecast may be wrong:
 	// it rests on a mean over a few calls.
-	forecastError = 16
+	forecastErrorDivisor = 16
 
-	// forecastSlack is the inverse of the part by which a call's wait may exceed
+	// maxWaitSlackDivisor is the inverse of the part by which a call's wait may exceed
 	// what it was ready to wait.
-	forecastSlack = 4
-	// deviations is how much longer than the mean, in mean deviations, a call may take and
+	maxWaitSlackDivisor = 4
+	// serviceDeviations is how much longer than the mean, in mean serviceDeviations, a call may take and
 	// still be answered within its objective. At a full gate the wait stands at its bound:
 	// with one deviation 1,841 of 8,657 lookups of 400 ms were late, 1,408 with two.
-	deviations = 2
-	// leastWaitShare is the inverse of the part of the objective that a call may wait in
+	serviceDeviations = 2
+	// minWaitDivisor is the inverse of the part of the objective that a call may wait in
 	// any case.
-	leastWaitShare = 8
-	// leastSlots is what a rank can count on at least, in slots, where more urgent
+	minWaitDivisor = 8
+	// minRankSlots is what a rank can count on at least, in slots, where more urgent
 	// ones take all: their load wavers.
-	leastSlots = 0.25
+	minRankSlots = 0.25
 
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// admit decides whether a call may wait. It may if it can be answered in time
+// checkWait decides whether a call may wait. It may if it can be answered in time
 // and if that breaks no promise made to the customer's calls that wait already.
 // The deadlines decide the order but not who is let in: without the second
 // condition a customer's short-lived calls would push its patient ones out of
 // their time one by one, after they have waited (goodput falls, and refusals
 // come late).
-func (g *Gate) admit(t *Ticket, now time.Time) error {
+func (g *Gate) checkWait(t *Ticket, now time.Time) error {
 	s := t.share
 	f := g.forecast(s)
-	at := s.position(t.due)
+	position := s.position(t.due)
 	left := t.deadline.Sub(now)
-	if left < f.wait(at)+s.serviceTime.value {
-		return g.refusal(t, left, f)
+	if left < f.wait(position)+s.serviceTime.value {
+		return g.noTimeError(t, left, f)
 	}
-	if t.maxWait > 0 && f.wait(at) > t.maxWait {
+	if t.maxWait > 0 && f.wait(position) > t.maxWait {
 		return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
 	}
 	for i, w := range s.waiting {
-		if i >= at {
+		if i >= position {
 			i++
 		}
-		if w.misses(f.wait(i), now) {
+		if w.missesDue(f.wait(i), now) {
 			return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
 		}
 	}
 	return nil
 }
 
-// misses reports whether a waiting call would have waited in vain if it had to wait so much
+// missesDue reports whether a waiting call would have waited in vain if it had to wait so much
 // longer. A call that may wait so long only is not overtaken beyond that: it would leave
 // when its patience is up, and have to begin anew at another gate.
-func (t *Ticket) misses(wait time.Duration, now time.Time) bool {
+func (t *Ticket) missesDue(wait time.Duration, now time.Time) bool {
 	if t.maxWait > 0 {
 		return t.due.Sub(now) < wait
 	}
-	margin := promiseMargin*t.share.serviceTime.value + wait/forecastError
+	margin := queuedMargin*t.share.serviceTime.value + wait/forecastErrorDivisor
 	return t.due.Sub(now) < wait+margin
 }
 
-// refusal tells a call that has too little time left for the service time, or
+// noTimeError tells a call that has too little time left for the service time, or
 // for the queue.
-func (g *Gate) refusal(t *Ticket, left time.Duration, f forecast) error {
+func (g *Gate) noTimeError(t *Ticket, left time.Duration, f forecast) error {
 	s := t.share
 	if f.wait(0) < s.serviceTime.value {
-		s.doubt()
+		s.lowerEstimate()
 	}
 	if left < s.serviceTime.value {
-		return errTooLate
+		return errTooLittleTime
 	}
 	return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
 }
@@ -96,12 +96,12 @@
 // of the share's and takes those between as evenly spread.
 func (g *Gate) forecast(s *share) forecast {
 	q, n := g.queue, len(s.waiting)
-	slots := time.Duration(g.limit.slots())
+	slots := time.Duration(g.limit.allowed())
 	var release time.Duration
 	if g.inUse > 0 {
-		release = time.Duration(releaseScale / max(q.releases, 1))
+		release = time.Duration(releaseScale / max(q.releaseRate, 1))
 	}
-	start := max(s.tag, q.present)
+	start := max(s.tag, q.virtualTime)
 	first := q.aheadOf(s, start)
 	last := q.aheadOf(s, start+time.Duration(n)*s.serviceTime.value)
 	f := forecast{base: release + first/slots, step: s.serviceTime.value / slots}
@@ -117,20 +117,20 @@
 // of a less urgent rank do not count, and the share's fair part holds within its
 // rank only: more urgent ones may take all but a little.
 func (g *Gate) slotsLeftFor(s *share) float64 {
-	slots := float64(g.limit.slots())
-	same, urgent := 1, 0.0
+	slots := float64(g.limit.allowed())
+	sameRank, urgentUsage := 1, 0.0
 	for _, o := range g.queue.active {
 		if o.rank == s.rank {
-			same++
+			sameRank++
 		}
 	}
 	for rank, usage := range g.queue.usage {
 		if rank < s.rank {
-			urgent += usage
+			urgentUsage += usage
 		}
 	}
-	fair := max(slots-urgent, leastSlots) / float64(same)
-	return max(slots-urgent-(g.queue.usage[s.rank]-s.usage), fair)
+	fair := max(slots-urgentUsage, minRankSlots) / float64(sameRank)
+	return max(slots-urgentUsage-(g.queue.usage[s.rank]-s.usage), fair)
 }
 
 // aheadOf returns the slot time of the other shares' waiting calls that go before a
@@ -157,14 +157,14 @@
 // same queue as one that comes back soon, but gets its answer late: of 8,657 lookups 4,495
 // were answered in time so, 4,167 without the bound.
 func (t *Ticket) retryAfter(wait time.Duration) time.Duration {
-	if t.inTime > 0 && !t.gate.opts.RetryAfterIgnoresObjective {
-		wait = min(wait, t.inTime/2)
+	if t.objectiveWait > 0 && !t.gate.opts.RetryAfterIgnoresObjective {
+		wait = min(wait, t.objectiveWait/2)
 	}
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// doubt lowers the share's service time a little, so that the estimate is put
+// lowerEstimate lowers the share's service time a little, so that the estimate is put
 // to the test now and then. A customer whose calls were slow for a while, and
 // which is refused ever since because of that, would never learn that they are
 // quick again.
-func (s *share) doubt() { s.serviceTime.value -= s.serviceTime.value / 64 }
+func (s *share) lowerEstimate() { s.serviceTime.value -= s.serviceTime.value / 64 }
--- a/gate/call.go
+++ b/gate/call.go
@@ -27,8 +27,8 @@
 	ObjectiveLeft time.Duration
 }
 
-// share returns the key of the call's share.
-func (c Call) share() shareKey {
+// key returns the key of the call's key.
+func (c Call) key() shareKey {
 	if c.Nested {
 		return shareKey{customer: c.Customer, route: c.Route, rank: nestedRank}
 	}
@@ -41,11 +41,11 @@
 	if c.MaxWait == 0 || c.ObjectiveLeft == 0 {
 		return c.MaxWait
 	}
-	return min(c.MaxWait, max(c.inTime(serviceTime), c.ObjectiveLeft/leastWaitShare))
+	return min(c.MaxWait, max(c.objectiveWait(serviceTime), c.ObjectiveLeft/minWaitDivisor))
 }
 
-// inTime returns how long the call may wait and still be answered within its objective, as
+// objectiveWait returns how long the call may wait and still be answered within its objective, as
 // most calls of its kind would be.
-func (c Call) inTime(serviceTime movingMean) time.Duration {
-	return c.ObjectiveLeft - serviceTime.value - deviations*serviceTime.deviation
+func (c Call) objectiveWait(serviceTime movingMean) time.Duration {
+	return c.ObjectiveLeft - serviceTime.value - serviceDeviations*serviceTime.deviation
 }
--- a/gate/fairqueue.go
+++ b/gate/fairqueue.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// maxIdleShares bounds the customers remembered while they are idle.
-	maxIdleShares = 1024
+	// maxShares bounds the customers remembered while they are idle.
+	maxShares = 1024
 	// maxDebt is how much slot time a customer can be behind the others at most
 	// when one of its calls takes longer than expected. Without a bound, the end
 	// of an hour-long upload would keep its customer out for as long as the
@@ -26,15 +26,15 @@
 	// active lists the shares with waiting calls.
 	active []*share
 	len    int
-	// present is the start tag of the call started last.
-	present time.Duration
-	// releases is how many slots the running calls are expected to free in
+	// virtualTime is the start tag of the call started last.
+	virtualTime time.Duration
+	// releaseRate is how many slots the running calls are expected to free in
 	// releaseScale nanoseconds. It is a whole number so that adding and
 	// subtracting over months leaves no error behind.
-	releases    int64
+	releaseRate int64
 	serviceTime movingMean
-	// assumed is the service time of customers that have not been served yet.
-	assumed time.Duration
+	// initialServiceTime is the service time of customers that have not been served yet.
+	initialServiceTime time.Duration
 	// usage is the sum of the shares' usage by rank.
 	usage   map[int]float64
 	reserve reserve
@@ -59,16 +59,16 @@
 	waiting     []*Ticket
 	running     int
 	serviceTime movingMean
-	seen        time.Time
-	// used is the slot time used since the latest review, usage the mean number
+	lastSeen    time.Time
+	// usedTime is the slot time usedTime since the latest review, usage the mean number
 	// of slots in use as of then.
-	used  time.Duration
-	usage float64
-	slow  bool
+	usedTime time.Duration
+	usage    float64
+	slow     bool
 }
 
 func newFairQueue(serviceTime time.Duration) *fairQueue {
-	return &fairQueue{shares: make(map[shareKey]*share), usage: make(map[int]float64), serviceTime: movingMean{value: serviceTime, samples: 1}, assumed: serviceTime}
+	return &fairQueue{shares: make(map[shareKey]*share), usage: make(map[int]float64), serviceTime: movingMean{value: serviceTime, samples: 1}, initialServiceTime: serviceTime}
 }
 
 // before reports whether a share's calls go before another's.
@@ -83,19 +83,19 @@
 func (q *fairQueue) share(k shareKey, now time.Time) *share {
 	s, ok := q.shares[k]
 	if !ok {
-		if len(q.shares) >= maxIdleShares {
-			q.forgetIdle()
+		if len(q.shares) >= maxShares {
+			q.evictIdle()
 		}
-		s = &share{shareKey: k, serviceTime: movingMean{value: q.assumed, samples: 1}}
+		s = &share{shareKey: k, serviceTime: movingMean{value: q.initialServiceTime, samples: 1}}
 		q.shares[k] = s
-		q.reserve.due = true
+		q.reserve.classifyDue = true
 	}
-	s.seen = now
+	s.lastSeen = now
 	return s
 }
 
-// forgetIdle drops customers without calls.
-func (q *fairQueue) forgetIdle() {
+// evictIdle drops customers without calls.
+func (q *fairQueue) evictIdle() {
 	for k, s := range q.shares {
 		if s.running == 0 && len(s.waiting) == 0 {
 			delete(q.shares, k)
@@ -108,7 +108,7 @@
 func (q *fairQueue) push(t *Ticket) {
 	s := t.share
 	if len(s.waiting) == 0 {
-		s.tag = max(s.tag, q.present)
+		s.tag = max(s.tag, q.virtualTime)
 		q.active = append(q.active, s)
 	}
 	s.waiting = slices.Insert(s.waiting, s.position(t.due), t)
@@ -155,16 +155,16 @@
 func (q *fairQueue) charge(t *Ticket) {
 	s := t.share
 	t.charged = max(s.serviceTime.value, 1)
-	t.quick = !s.slow
-	q.present = max(s.tag, q.present)
-	s.tag = q.present + t.charged
+	t.fast = !s.slow
+	q.virtualTime = max(s.tag, q.virtualTime)
+	s.tag = q.virtualTime + t.charged
 	s.running++
-	q.releases += releaseScale / int64(t.charged)
+	q.releaseRate += releaseScale / int64(t.charged)
 	if s.rank == nestedRank {
-		q.reserve.nested++
+		q.reserve.nestedRunning++
 	}
-	if t.quick {
-		q.reserve.running++
+	if t.fast {
+		q.reserve.fastRunning++
 	}
 }
 
@@ -172,15 +172,15 @@
 func (q *fairQueue) settle(t *Ticket, now time.Time, o Outcome) {
 	s, held := t.share, now.Sub(t.started)
 	s.running--
-	q.releases -= releaseScale / int64(t.charged)
+	q.releaseRate -= releaseScale / int64(t.charged)
 	if s.rank == nestedRank {
-		q.reserve.nested--
+		q.reserve.nestedRunning--
 	}
-	if t.quick {
-		q.reserve.running--
+	if t.fast {
+		q.reserve.fastRunning--
 	}
-	s.tag = min(s.tag+held-t.charged, max(s.tag, q.present+maxDebt))
-	s.used += held
+	s.tag = min(s.tag+held-t.charged, max(s.tag, q.virtualTime+maxDebt))
+	s.usedTime += held
 	switch o {
 	case Failed:
 		// Cut short: it would have taken longer.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -50,18 +50,18 @@
 // Refusals are made once: under overload there are many, and none is worth a
 // stack trace.
 var (
-	errDraining   = errkind.New(errkind.Draining, "the backend server is leaving")
-	errOverloaded = errkind.New(errkind.Overloaded, "the queue is too long for the time left")
-	errDisplaced  = errkind.New(errkind.Overloaded, "the place in the queue went to a customer below its share")
-	errTooLate    = errkind.New(errkind.DeadlineNotRun, "too little time is left to run the call")
-	errCanceled   = errkind.New(errkind.Canceled, "canceled before the call started")
+	errDraining      = errkind.New(errkind.Draining, "the backend server is leaving")
+	errOverloaded    = errkind.New(errkind.Overloaded, "the queue is too long for the time left")
+	errDisplaced     = errkind.New(errkind.Overloaded, "the place in the queue went to a customer below its share")
+	errTooLittleTime = errkind.New(errkind.DeadlineNotRun, "too little time is left to run the call")
+	errCanceled      = errkind.New(errkind.Canceled, "canceled before the call started")
 )
 
 // Gate admits calls to one backend server. It is safe for concurrent use.
 type Gate struct {
-	opts Options
-	load counters
-	idle chan struct{}
+	opts   Options
+	load   counters
+	idleCh chan struct{}
 
 	mu       sync.Mutex
 	limit    limit
@@ -70,17 +70,17 @@
 	isIdle   bool
 	queue    *fairQueue
 
-	// keepsForNested is set once a slot is kept for nested calls.
-	keepsForNested atomic.Bool
+	// nestedSlotReserved is set once a slot is kept for nested calls.
+	nestedSlotReserved atomic.Bool
 }
 
 // New returns a gate that admits calls.
 func New(opts Options) *Gate {
 	g := &Gate{
-		opts:  opts,
-		idle:  make(chan struct{}),
-		limit: newLimit(opts.Slots, opts.FixedSlots),
-		queue: newFairQueue(opts.ServiceTime),
+		opts:   opts,
+		idleCh: make(chan struct{}),
+		limit:  newLimit(opts.Slots, opts.FixedSlots),
+		queue:  newFairQueue(opts.ServiceTime),
 	}
 	g.publish()
 	return g
@@ -101,13 +101,13 @@
 		return nil, errCanceled
 	}
 	if c.Remaining <= 0 {
-		return nil, errTooLate
+		return nil, errTooLittleTime
 	}
 	now := g.opts.Now()
 	t := &Ticket{gate: g, deadline: now.Add(c.Remaining)}
 
 	g.mu.Lock()
-	err := g.arrive(t, c, now)
+	err := g.startOrQueue(t, c, now)
 	queued := t.state == waiting
 	g.publish()
 	g.mu.Unlock()
@@ -126,7 +126,7 @@
 // once.
 func (g *Gate) Check(c Call) error {
 	if c.Remaining <= 0 {
-		return errTooLate
+		return errTooLittleTime
 	}
 	now := g.opts.Now()
 	t := &Ticket{gate: g, deadline: now.Add(c.Remaining)}
@@ -143,22 +143,22 @@
 	if g.draining {
 		return false, errDraining
 	}
-	t.share = g.queue.share(c.share(), now)
+	t.share = g.queue.share(c.key(), now)
 	t.maxWait = c.maxWait(t.share.serviceTime)
-	t.inTime = c.inTime(t.share.serviceTime)
+	t.objectiveWait = c.objectiveWait(t.share.serviceTime)
 	t.due = t.deadline
 	if t.maxWait > 0 {
-		t.due = now.Add(min(t.maxWait+t.maxWait/forecastSlack, t.deadline.Sub(now)-t.share.serviceTime.value))
+		t.due = now.Add(min(t.maxWait+t.maxWait/maxWaitSlackDivisor, t.deadline.Sub(now)-t.share.serviceTime.value))
 	}
-	g.queue.review(g.limit.slots(), now)
-	if g.inUse < g.limit.slots() && g.mayStart(t.share) {
+	g.queue.classifyShares(g.limit.allowed(), now)
+	if g.inUse < g.limit.allowed() && g.mayStart(t.share) {
 		return true, nil
 	}
-	return false, g.admit(t, now)
+	return false, g.checkWait(t, now)
 }
 
-// arrive starts the ticket, queues it or returns why neither. The caller holds mu.
-func (g *Gate) arrive(t *Ticket, c Call, now time.Time) error {
+// startOrQueue starts the ticket, queues it or returns why neither. The caller holds mu.
+func (g *Gate) startOrQueue(t *Ticket, c Call, now time.Time) error {
 	start, err := g.decide(t, c, now)
 	if err != nil {
 		return err
@@ -167,33 +167,33 @@
 		g.start(t, now)
 		return nil
 	}
-	if g.queue.len >= g.opts.MaxQueue && !g.displace(t.share) {
+	if g.queue.len >= g.opts.MaxQueue && !g.displaceFor(t.share) {
 		return errOverloaded.After(maxRetryAfter)
 	}
 	t.ready = make(chan error, 1)
-	t.patience = t.due.Sub(now)
+	t.waitTimeout = t.due.Sub(now)
 	if t.maxWait == 0 {
-		t.patience -= t.share.serviceTime.value
+		t.waitTimeout -= t.share.serviceTime.value
 	}
 	t.state = waiting
 	g.queue.push(t)
 	return nil
 }
 
-// displace makes room for a call of the share by refusing one of the customer
+// displaceFor makes room for a call of the share by refusing one of the customer
 // that has most calls waiting, if that is another one. A customer that fills
 // the queue thus fills it with its own calls only.
-func (g *Gate) displace(s *share) bool {
+func (g *Gate) displaceFor(s *share) bool {
 	longest := g.queue.longest()
 	if longest == nil || longest == s || len(longest.waiting) <= len(s.waiting)+1 {
 		return false
 	}
-	g.refuse(longest.waiting[len(longest.waiting)-1], errDisplaced)
+	g.reject(longest.waiting[len(longest.waiting)-1], errDisplaced)
 	return true
 }
 
-// refuse takes a ticket out of the queue and tells its waiter.
-func (g *Gate) refuse(t *Ticket, err error) {
+// reject takes a ticket out of the queue and tells its waiter.
+func (g *Gate) reject(t *Ticket, err error) {
 	g.queue.remove(t)
 	t.state = ended
 	t.ready <- err
@@ -204,7 +204,7 @@
 	g.inUse++
 	t.state = running
 	t.started = now
-	t.level = g.inUse
+	t.inUseAtStart = g.inUse
 	g.queue.charge(t)
 }
 
@@ -212,13 +212,13 @@
 // what they have left are refused instead of started: they would only take a
 // slot from one that can still be answered.
 func (g *Gate) dispatch(now time.Time) {
-	for g.queue.len > 0 && g.inUse < g.limit.slots() {
+	for g.queue.len > 0 && g.inUse < g.limit.allowed() {
 		t := g.next()
 		if t == nil {
 			return
 		}
 		if t.deadline.Sub(now) < t.share.serviceTime.value {
-			g.refuse(t, errTooLate)
+			g.reject(t, errTooLittleTime)
 			continue
 		}
 		g.queue.remove(t)
@@ -245,7 +245,7 @@
 
 // wait blocks until the ticket has a slot, is refused, or its time is up.
 func (g *Gate) wait(ctx context.Context, t *Ticket) (*Ticket, error) {
-	timer := time.NewTimer(t.patience)
+	timer := time.NewTimer(t.waitTimeout)
 	defer timer.Stop()
 	select {
 	case err := <-t.ready:
@@ -254,26 +254,26 @@
 		}
 		return t, nil
 	case <-ctx.Done():
-		return g.leave(t, errCanceled)
+		return g.stopWaiting(t, errCanceled)
 	case <-timer.C:
-		return g.leave(t, g.impatience(t))
+		return g.stopWaiting(t, g.waitTimeoutError(t))
 	}
 }
 
-// impatience is the reason of a call that has waited long enough: for its time, or
+// waitTimeoutError is the reason of a call that has waited long enough: for its time, or
 // for what it was ready to wait. A more urgent rank may have gone before it, or calls
 // have taken longer than was to be expected.
-func (g *Gate) impatience(t *Ticket) *errkind.Error {
+func (g *Gate) waitTimeoutError(t *Ticket) *errkind.Error {
 	if t.maxWait > 0 && t.deadline.Sub(g.opts.Now()) > t.share.serviceTime.value {
 		return errOverloaded.After(t.retryAfter(g.Load().Wait))
 	}
-	return errTooLate
+	return errTooLittleTime
 }
 
-// leave gives up waiting. A slot that was granted meanwhile is kept if only the
+// stopWaiting gives up waiting. A slot that was granted meanwhile is kept if only the
 // time ran out, since the grant made sure that enough was left, and given back
 // if the caller has gone.
-func (g *Gate) leave(t *Ticket, reason *errkind.Error) (*Ticket, error) {
+func (g *Gate) stopWaiting(t *Ticket, reason *errkind.Error) (*Ticket, error) {
 	g.mu.Lock()
 	if t.state == waiting {
 		g.queue.remove(t)
@@ -297,7 +297,7 @@
 func (g *Gate) SetSlots(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.limit.declare(n)
+	g.limit.setAnnounced(n)
 	g.dispatch(g.opts.Now())
 	g.publish()
 }
@@ -319,11 +319,11 @@
 	defer g.mu.Unlock()
 	g.draining = true
 	for g.queue.len > 0 {
-		g.refuse(g.queue.longest().waiting[0], errDraining)
+		g.reject(g.queue.longest().waiting[0], errDraining)
 	}
 	g.publish()
 }
 
 // Idle returns a channel that is closed once the gate drains and neither runs
 // nor holds a call.
-func (g *Gate) Idle() <-chan struct{} { return g.idle }
+func (g *Gate) Idle() <-chan struct{} { return g.idleCh }
--- a/gate/load.go
+++ b/gate/load.go
@@ -42,25 +42,25 @@
 func (g *Gate) publish() {
 	g.load.inUse.Store(int64(g.inUse))
 	g.load.queued.Store(int64(g.queue.len))
-	g.load.slots.Store(int64(g.limit.slots()))
+	g.load.slots.Store(int64(g.limit.allowed()))
 	g.load.draining.Store(g.draining)
 	g.load.serviceTime.Store(int64(g.queue.serviceTime.value))
 	g.load.wait.Store(int64(g.expectedWait()))
 	if g.draining && !g.isIdle && g.inUse == 0 && g.queue.len == 0 {
 		g.isIdle = true
-		close(g.idle)
+		close(g.idleCh)
 	}
 }
 
 // expectedWait is for a call that comes last and takes as long as the mean. The caller
 // holds mu.
 func (g *Gate) expectedWait() time.Duration {
-	if g.inUse+g.kept() < g.limit.slots() {
+	if g.inUse+g.reservedForNested() < g.limit.allowed() {
 		return 0
 	}
 	ahead := g.queue.serviceTime.value
 	for _, s := range g.queue.active {
 		ahead += time.Duration(len(s.waiting)) * s.serviceTime.value
 	}
-	return ahead / time.Duration(g.limit.slots())
+	return ahead / time.Duration(g.limit.allowed())
 }
--- a/gate/reserve.go
+++ b/gate/reserve.go
@@ -3,12 +3,12 @@
 import "time"
 
 const (
-	// reviewInterval is how often customers are told apart by the time their
+	// classifyInterval is how often customers are told apart by the time their
 	// calls take.
-	reviewInterval = time.Second
-	// reserveFor is how long after its latest call a customer's headroom is
+	classifyInterval = time.Second
+	// reserveDuration is how long after its latest call a customer's headroom is
 	// kept.
-	reserveFor = 10 * time.Second
+	reserveDuration = 10 * time.Second
 	// minReserveWait is the expected wait for a slot below which no headroom is
 	// kept: one is free soon enough.
 	minReserveWait = 2 * time.Millisecond
@@ -21,15 +21,15 @@
 // Without it, ten long uploads of one customer hold all slots, and another one's lookups,
 // though first in line, wait for the end of an upload.
 type reserve struct {
-	reviewed time.Time
-	// due asks for a review ahead of time, for a customer not seen before.
-	due bool
-	// quick counts the quick customers seen of late, running their calls.
-	quick, running int
-	// usage is the slots that they hold on average.
-	usage float64
-	// keep is how many slots nested calls have for themselves, nested how many they hold.
-	keep, nested int
+	classifiedAt time.Time
+	// classifyDue asks for a review ahead of time, for a customer not seen before.
+	classifyDue bool
+	// fastShares counts the fastShares customers seen of late, fastRunning their calls.
+	fastShares, fastRunning int
+	// fastUsage is the slots that they hold on average.
+	fastUsage float64
+	// nestedSlots is how many slots nestedRunning calls have for themselves, nestedRunning how many they hold.
+	nestedSlots, nestedRunning int
 }
 
 // ReserveNestedSlot keeps a slot for nested calls from now on. Where services call each other in
@@ -38,61 +38,61 @@
 // that have it end by themselves, one after the other.
 func (g *Gate) ReserveNestedSlot() {
 	// Each nested call asks for it; one takes the lock.
-	if g.keepsForNested.Swap(true) {
+	if g.nestedSlotReserved.Swap(true) {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.queue.reserve.keep = 1
+	g.queue.reserve.nestedSlots = 1
 }
 
-// kept returns how many free slots are left to nested calls.
-func (g *Gate) kept() int {
-	if g.limit.slots() == 1 {
+// reservedForNested returns how many free slots are left to nested calls.
+func (g *Gate) reservedForNested() int {
+	if g.limit.allowed() == 1 {
 		return 0
 	}
-	return max(g.queue.reserve.keep-g.queue.reserve.nested, 0)
+	return max(g.queue.reserve.nestedSlots-g.queue.reserve.nestedRunning, 0)
 }
 
-// review tells slow customers from quick ones. A customer is slow if waiting
+// classifyShares tells slow customers from quick ones. A customer is slow if waiting
 // for one of its calls to free a slot would cost the quickest customer more
 // than its own call takes.
-func (q *fairQueue) review(slots int, now time.Time) {
+func (q *fairQueue) classifyShares(slots int, now time.Time) {
 	r := &q.reserve
-	elapsed := now.Sub(r.reviewed)
-	if elapsed < reviewInterval && !r.due {
+	elapsed := now.Sub(r.classifiedAt)
+	if elapsed < classifyInterval && !r.classifyDue {
 		return
 	}
-	q.measureUsage(now, elapsed)
-	quickest := time.Duration(-1)
+	q.updateUsage(now, elapsed)
+	fastest := time.Duration(-1)
 	for _, s := range q.shares {
-		if s.route == "" && now.Sub(s.seen) <= reserveFor && (quickest < 0 || s.serviceTime.value < quickest) {
-			quickest = s.serviceTime.value
+		if s.route == "" && now.Sub(s.lastSeen) <= reserveDuration && (fastest < 0 || s.serviceTime.value < fastest) {
+			fastest = s.serviceTime.value
 		}
 	}
-	slow := max(quickest, minReserveWait) * time.Duration(max(slots, minSlowRatio))
-	r.due, r.quick, r.usage = false, 0, 0
+	slowThreshold := max(fastest, minReserveWait) * time.Duration(max(slots, minSlowRatio))
+	r.classifyDue, r.fastShares, r.fastUsage = false, 0, 0
 	for _, s := range q.shares {
-		s.slow = s.route == "" && s.serviceTime.value > slow
-		if !s.slow && s.route == "" && now.Sub(s.seen) <= reserveFor {
-			r.quick++
-			r.usage += s.usage
+		s.slow = s.route == "" && s.serviceTime.value > slowThreshold
+		if !s.slow && s.route == "" && now.Sub(s.lastSeen) <= reserveDuration {
+			r.fastShares++
+			r.fastUsage += s.usage
 		}
 	}
 }
 
-// measureUsage updates the customers' mean use of slots.
-func (q *fairQueue) measureUsage(now time.Time, elapsed time.Duration) {
-	if elapsed < reviewInterval {
+// updateUsage updates the customers' mean use of slots.
+func (q *fairQueue) updateUsage(now time.Time, elapsed time.Duration) {
+	if elapsed < classifyInterval {
 		return
 	}
 	clear(q.usage)
 	for _, s := range q.shares {
-		s.usage += (float64(s.used)/float64(elapsed) - s.usage) / 2
-		s.used = 0
+		s.usage += (float64(s.usedTime)/float64(elapsed) - s.usage) / 2
+		s.usedTime = 0
 		q.usage[s.rank] += s.usage
 	}
-	q.reserve.reviewed = now
+	q.reserve.classifiedAt = now
 }
 
 // mayStart reports whether the share may take one of the free slots. Those kept for nested
@@ -101,13 +101,13 @@
 // grow.
 func (g *Gate) mayStart(s *share) bool {
 	r := &g.queue.reserve
-	slots := g.limit.slots()
-	if s.rank != nestedRank && slots-g.inUse <= g.kept() {
+	slots := g.limit.allowed()
+	if s.rank != nestedRank && slots-g.inUse <= g.reservedForNested() {
 		return false
 	}
-	if !s.slow || r.quick == 0 || s.running < max(slots/(r.quick+1), 1) {
+	if !s.slow || r.fastShares == 0 || s.running < max(slots/(r.fastShares+1), 1) {
 		return true
 	}
-	headroom := int(r.usage) + 1 - r.running
+	headroom := int(r.fastUsage) + 1 - r.fastRunning
 	return slots-g.inUse-1 >= headroom
 }
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -38,21 +38,21 @@
 	ready chan error
 	// maxWait is how long the call may be expected to wait, 0 for no bound.
 	maxWait time.Duration
-	// inTime is how long it may wait and still be answered within its objective; below 0
+	// objectiveWait is how long it may wait and still be answered within its objective; below 0
 	// where it has none or it is too late for that.
-	inTime time.Duration
-	// patience is how long the call may wait and still be answered in time.
-	patience time.Duration
+	objectiveWait time.Duration
+	// waitTimeout is how long the call may wait and still be answered in time.
+	waitTimeout time.Duration
 
 	// The rest is guarded by the gate's mutex.
 	state   ticketState
 	started time.Time
-	// level is how many slots were in use from the start on, this one included.
-	level int
+	// inUseAtStart is how many slots were in use from the start on, this one included.
+	inUseAtStart int
 	// charged is the slot time that the customer was charged at the start.
 	charged time.Duration
-	// quick is whether the customer was quick at the start.
-	quick bool
+	// fast is whether the customer was fast at the start.
+	fast bool
 }
 
 // Done gives the slot back. Only the first call has an effect.
@@ -67,7 +67,7 @@
 	t.state = ended
 	g.inUse--
 	g.queue.settle(t, now, o)
-	g.limit.learn(o, t.level, now)
+	g.limit.recordOutcome(o, t.inUseAtStart, now)
 	g.dispatch(now)
 	g.publish()
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -10,8 +10,8 @@
 	Burst int
 }
 
-// milli is the unit of the balance: a thousandth of a retry.
-const milli = 1000
+// unitsPerRetry is the unit of the balance: a thousandth of a retry.
+const unitsPerRetry = 1000
 
 // Budget bounds retries to a share of first attempts. One is shared by all calls under
 // customers' contracts, since a budget for each customer would bound nothing in sum. It is
@@ -24,8 +24,8 @@
 
 // NewBudget returns a full budget.
 func NewBudget(opts BudgetOptions) *Budget {
-	b := &Budget{deposit: int64(opts.Ratio * milli)}
-	b.limit.Store(int64(opts.Burst) * milli)
+	b := &Budget{deposit: int64(opts.Ratio * unitsPerRetry)}
+	b.limit.Store(int64(opts.Burst) * unitsPerRetry)
 	b.balance.Store(b.limit.Load())
 	return b
 }
@@ -33,7 +33,7 @@
 // SetBurst changes the burst, in retries. A daemon's part of what a whole fleet may
 // send again shrinks as the fleet grows; what it holds beyond that is lost at once.
 func (b *Budget) SetBurst(retries float64) {
-	limit := int64(retries * milli)
+	limit := int64(retries * unitsPerRetry)
 	b.limit.Store(limit)
 	for {
 		old := b.balance.Load()
@@ -58,10 +58,10 @@
 }
 
 // Withdraw takes one retry and reports whether there was one.
-func (b *Budget) Withdraw() bool { return b.take(milli) }
+func (b *Budget) Withdraw() bool { return b.withdrawUnits(unitsPerRetry) }
 
-// take takes so many thousandths of a retry.
-func (b *Budget) take(amount int64) bool {
+// withdrawUnits takes so many thousandths of a retry.
+func (b *Budget) withdrawUnits(amount int64) bool {
 	for {
 		old := b.balance.Load()
 		if old < amount {
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -29,13 +29,13 @@
 // NewBudgets returns empty budgets.
 func NewBudgets(opts BudgetOptions) *Budgets {
 	b := &Budgets{opts: opts}
-	b.burst.Store(int64(opts.Burst) * milli)
+	b.burst.Store(int64(opts.Burst) * unitsPerRetry)
 	return b
 }
 
 // SetBurst changes the burst of each service, in retries.
 func (b *Budgets) SetBurst(retries float64) {
-	b.burst.Store(int64(retries * milli))
+	b.burst.Store(int64(retries * unitsPerRetry))
 	b.services.Range(func(_, budget any) bool {
 		budget.(*Budget).SetBurst(retries)
 		return true
@@ -43,23 +43,23 @@
 }
 
 // Deposit counts one request of a caller to a service.
-func (b *Budgets) Deposit(service string) { b.of(service).Deposit() }
+func (b *Budgets) Deposit(service string) { b.budget(service).Deposit() }
 
 // Withdraw takes all of the needs, or nothing, and reports which.
-func (b *Budgets) Withdraw(needs ...ServiceCost) bool {
-	for i, n := range needs {
-		if b.of(n.Service).take(int64(n.Calls * milli)) {
+func (b *Budgets) Withdraw(costs ...ServiceCost) bool {
+	for i, n := range costs {
+		if b.budget(n.Service).withdrawUnits(int64(n.Calls * unitsPerRetry)) {
 			continue
 		}
-		for _, taken := range needs[:i] {
-			b.of(taken.Service).balance.Add(int64(taken.Calls * milli))
+		for _, taken := range costs[:i] {
+			b.budget(taken.Service).balance.Add(int64(taken.Calls * unitsPerRetry))
 		}
 		return false
 	}
 	return true
 }
 
-func (b *Budgets) of(service string) *Budget {
+func (b *Budgets) budget(service string) *Budget {
 	if v, ok := b.services.Load(service); ok {
 		return v.(*Budget)
 	}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -26,13 +26,13 @@
 	// MaxAttempts bounds the attempts of one call at a daemon, the first
 	// included.
 	MaxAttempts = 3
-	// maxFreeAttempts bounds them where the attempts cost nothing. A zone that
+	// maxNoCostAttempts bounds them where the attempts cost nothing. A zone that
 	// is stopped turns away a call at each of its backend servers in turn.
-	maxFreeAttempts = 10
-	// maxBusyAttempts bounds them where gates refuse for the length of their queues.
+	maxNoCostAttempts = 10
+	// maxOverloadedAttempts bounds them where gates refuse for the length of their queues.
 	// Under overload all do, and each further try takes from the hosts what they
 	// need to serve others.
-	maxBusyAttempts = 3
+	maxOverloadedAttempts = 3
 	// maxCrashes is how many servers may have ended under a request that is sent to
 	// another. At a first crash most of those that ran are bystanders; one that was in two
 	// is likely what ended both, and would end a third.
@@ -97,42 +97,42 @@
 // Allowed decides after an attempt ended with kind; errkind.None is a backend
 // server's own answer.
 func Allowed(kind errkind.Kind, c Call) Decision {
-	free := kind == errkind.Draining || c.Unsent
+	budgetExempt := kind == errkind.Draining || c.Unsent
 	attempts, limit := c.Attempts, MaxAttempts
 	if c.MaxAttempts > 0 {
 		limit = c.MaxAttempts
 	}
 	switch {
 	case c.Unsent && kind == errkind.Overloaded:
-		attempts, limit = c.Refusals, maxBusyAttempts
+		attempts, limit = c.Refusals, maxOverloadedAttempts
 	case c.Unsent:
-		attempts, limit = c.Refusals, maxFreeAttempts
-	case free:
-		limit = maxFreeAttempts
+		attempts, limit = c.Refusals, maxNoCostAttempts
+	case budgetExempt:
+		limit = maxNoCostAttempts
 	}
 	switch {
 	case kind == errkind.None:
 		return Decision{Reason: ReasonAnswered}
-	case !elsewhere(kind):
+	case !otherServerMayAnswer(kind):
 		return Decision{Reason: ReasonNotRetryable}
 	case c.NonIdempotent && kind.Answer().Run != errkind.NotRun:
 		return Decision{Reason: ReasonMayHaveRun}
 	case kind == errkind.BackendEnded && c.Crashes > maxCrashes:
 		return Decision{Reason: ReasonCrashLimit}
-	case c.InheritedAttempt > 1 && !free:
+	case c.InheritedAttempt > 1 && !budgetExempt:
 		return Decision{Reason: ReasonRetriedAbove}
 	case attempts >= limit:
 		return Decision{Reason: ReasonAttempts}
 	case c.Remaining <= c.Expected:
 		return Decision{Reason: ReasonTime}
 	}
-	return Decision{Retry: true, BudgetExempt: free}
+	return Decision{Retry: true, BudgetExempt: budgetExempt}
 }
 
-// elsewhere reports whether another backend server may do better. The table of
+// otherServerMayAnswer reports whether another backend server may do better. The table of
 // errkind tells callers what is worth sending again later; a limit of the
 // customer's contract, for one, is the same at all servers.
-func elsewhere(kind errkind.Kind) bool {
+func otherServerMayAnswer(kind errkind.Kind) bool {
 	switch kind {
 	case errkind.Overloaded, errkind.Shed, errkind.Draining, errkind.Unreachable, errkind.DeadlineNotRun,
 		errkind.NoBackend, errkind.Barred, errkind.BackendFailed, errkind.BackendEnded:
