--- a/balance/lease.go
+++ b/balance/lease.go
@@ -9,25 +9,25 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// Result tells how a call ended.
+// Result describes how a call ended.
 type Result struct {
-	// Kind is the daemon's error, errkind.None for a backend server's answer.
+	// Kind is the kind of the daemon's error, or errkind.None if the backend server answered.
 	Kind errkind.Kind
-	// Status is the answer's HTTP status, 0 without an answer.
+	// Status is the HTTP status of the answer, or 0 without an answer.
 	Status int
-	// Latency is the time from the choice to the head of the answer, or to the
-	// end without one. 0 if it says nothing of the server, as with an upload
-	// that took the caller long.
+	// Latency is the time from the choice of the server to the head of the answer, or to the end
+	// of the call without one. It is 0 if it does not reflect the server, as for an upload that
+	// the caller sent slowly.
 	Latency time.Duration
-	// Load is what the gate reported with the answer, nil if nothing came.
+	// Load is the load that the gate reported with the answer, or nil without a report.
 	Load *Load
 }
 
-// freeSlotReportTTL is how long a gate's word that it has a free slot counts. Queues form within
-// the time that a call takes, some 100 ms.
+// freeSlotReportTTL is how long a gate's report of a free slot is valid. Queues form within the
+// time that a call takes, about 100 ms.
 const freeSlotReportTTL = instant(100 * time.Millisecond)
 
-// Lease is one call's hold on the server that was picked for it.
+// Lease represents one call that is assigned to the picked server.
 type Lease struct {
 	picker *Picker
 	pool   *pool
@@ -39,32 +39,33 @@
 // Server returns the server picked.
 func (l *Lease) Server() *backend.Server { return l.member.server }
 
-// HasFreeSlot reports whether the server's gate has told of late that a call has not to wait.
+// HasFreeSlot reports whether a recent load report of the server's gate says that a call would
+// not wait.
 func (l *Lease) HasFreeSlot() bool {
-	e, now := l.member.stats, l.picker.now()
-	return e.reportedAt.load() != 0 && now-e.reportedAt.load() < freeSlotReportTTL && e.reportedWait.load() == 0
+	st, now := l.member.stats, l.picker.now()
+	return st.reportedAt.load() != 0 && now-st.reportedAt.load() < freeSlotReportTTL && st.reportedWait.load() == 0
 }
 
-// Done ends the call at the server and takes its result as evidence. Only the
-// first call has an effect.
+// Done ends the call and adds its result to the server's statistics. Only the first call of Done
+// has an effect.
 func (l *Lease) Done(r Result) {
 	if l.ended.Swap(true) {
 		return
 	}
-	e := l.member.stats
-	e.inFlight.Add(-1)
-	if e.record(l.observe(r), l.picker.now()) {
+	st := l.member.stats
+	st.inFlight.Add(-1)
+	if st.record(l.observe(r), l.picker.now()) {
 		l.pool.stale.Store(true)
 	}
 	if l.trial {
-		e.trialInFlight.Store(false)
+		st.trialInFlight.Store(false)
 	}
 }
 
-// observation is a result beside what is typical of the peers.
+// observation is a result together with the pool's baseline at that time.
 type observation struct {
 	outcome outcome
-	// latency is in seconds, without the hop.
+	// latency is in seconds and excludes the hop.
 	latency  float64
 	slow     bool
 	trial    bool
@@ -90,19 +91,19 @@
 	}
 }
 
-// outcome is what a result says about the server. A caller's own mistakes are
-// answers like others, and our own refusals are no evidence: a server that is
-// left alone because of refusals would never be seen to have recovered.
+// outcome is what a result indicates about the server. An error that the caller caused counts as
+// an answer, and the daemons' own rejections are ignored: if rejections counted, a server that
+// gets no calls because of them would never be observed to have recovered.
 type outcome uint8
 
 const (
-	// outcomeNeutral results say nothing about the server.
+	// outcomeNeutral results indicate nothing about the server.
 	outcomeNeutral outcome = iota
 	outcomeAnswered
-	// outcomeAborted calls ended without the server's doing before it answered. They would
-	// have taken longer, which tells something if it was long already.
+	// outcomeAborted calls ended before the server answered, for a reason other than the server.
+	// They would have taken longer, which matters if they had already taken long.
 	outcomeAborted
-	// outcomeDraining servers take no calls.
+	// outcomeDraining means that the server accepts no calls.
 	outcomeDraining
 	outcomeFailed
 )
@@ -119,8 +120,8 @@
 		return outcomeAborted
 	case errkind.DeadlineNotRun:
 		if r.Load == nil {
-			// The time ran out before the gate said a word: its host may be
-			// silent, which no other kind would ever show.
+			// The deadline passed before the gate sent anything. The host may be silent, which no
+			// other kind would reveal.
 			return outcomeAborted
 		}
 	}
--- a/balance/member.go
+++ b/balance/member.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// loadReportHalfLife is the time after which half of a reported load is taken as
-	// outdated and replaced by what is usual.
+	// loadReportHalfLife is the age at which half of a reported load is replaced by the typical
+	// load of the pool.
 	loadReportHalfLife = instant(200 * time.Millisecond)
-	// latencyTolerance is how many times the usual latency a server's own may be, and
-	// failureSpread how much larger its share of failed calls, without counting.
-	// It is chance: a daemon sees few calls of each server, and to follow their
-	// noise would send calls out of the availability zone.
+	// latencyTolerance is the multiple of the baseline latency up to which a server's latency
+	// does not affect its cost, failureTolerance the excess of its failure rate over the typical
+	// one that does not. Such differences are noise: a daemon observes few calls of each server,
+	// and reacting to the noise would send calls out of the availability zone.
 	latencyTolerance = 2
 	failureTolerance = 0.05
-	// failureCost is the cost of a call that is sure to fail, in latencies.
+	// failureCost is the cost of a call that is certain to fail, as a multiple of the baseline
+	// latency.
 	failureCost = 10
-	// minSlowStartWeight is the part of its calls that a server gets at its start.
+	// minSlowStartWeight is the fraction of its calls that a server gets at the beginning of its
+	// slow start.
 	minSlowStartWeight = 0.1
-	// slowStartSteps is the resolution of warmth.
+	// slowStartSteps is the resolution of the slow start weight in random draws.
 	slowStartSteps = 1000
 )
 
@@ -28,18 +30,18 @@
 type member struct {
 	server *backend.Server
 	stats  *serverStats
-	// hop is the time a call loses on the way, in seconds.
+	// hop is the additional network time of a call to the server, in seconds.
 	hop   float64
 	local bool
-	// since is when the server was first heard of.
+	// since is when the server became known.
 	since     instant
 	slowStart instant
 }
 
-func (p *Picker) newMember(s *backend.Server, e *serverStats) *member {
+func (p *Picker) newMember(s *backend.Server, st *serverStats) *member {
 	m := &member{
 		server:    s,
-		stats:     e,
+		stats:     st,
 		since:     instant(s.FirstSeen.Sub(p.epoch)),
 		slowStart: instant(p.opts.SlowStart),
 	}
@@ -54,19 +56,19 @@
 	return m
 }
 
-// cost is the time in seconds that a call is expected to take at the member:
-// the hop, the latency seen, the wait for a slot, and what failures cost.
+// cost returns the expected cost, in seconds, of a call at the member: the hop, the latency, the
+// wait for a slot, and the cost of failures.
 func (m *member) cost(pl *plan, now instant) float64 {
-	e, typical := m.stats, pl.baseline
-	latency := typical.latency + max(e.currentLatency(typical, now)-latencyTolerance*typical.latency, 0)
-	excessFailureRate := max(e.currentFailureRate(now)-typical.failureRate-failureTolerance, 0)
-	otherLoad := blend(typical.load, e.otherLoad.load(), decay(now-e.reportedAt.load(), loadReportHalfLife))
-	load := (float64(e.inFlight.Load())/m.slots() + otherLoad) / m.slowStartWeight(now)
+	st, typical := m.stats, pl.baseline
+	latency := typical.latency + max(st.currentLatency(typical, now)-latencyTolerance*typical.latency, 0)
+	excessFailureRate := max(st.currentFailureRate(now)-typical.failureRate-failureTolerance, 0)
+	otherLoad := blend(typical.load, st.otherLoad.load(), decay(now-st.reportedAt.load(), loadReportHalfLife))
+	load := (float64(st.inFlight.Load())/m.slots() + otherLoad) / m.slowStartWeight(now)
 	return m.hop + latency*(1+load) + excessFailureRate*failureCost*typical.latency
 }
 
-// slots returns how many calls the server runs at once, by its gate's word or
-// else by its announcement.
+// slots returns the number of calls that the server runs concurrently, as its gate reported or,
+// without a report, as it announced.
 func (m *member) slots() float64 {
 	if n := m.stats.reportedSlots.Load(); n > 0 {
 		return float64(n)
@@ -74,7 +76,8 @@
 	return float64(max(m.server.Slots, 1))
 }
 
-// slowStartWeight returns the part of its calls that the server gets, 1 once it is warm.
+// slowStartWeight returns the fraction of its calls that the server gets, which is 1 after its
+// slow start.
 func (m *member) slowStartWeight(now instant) float64 {
 	age := now - m.since
 	if age >= m.slowStart {
--- a/balance/model_test.go
+++ b/balance/model_test.go
@@ -96,8 +96,8 @@
 	failing  float64
 	// gone is the age from which its host is not reached.
 	gone time.Duration
-	// liar reports no load.
-	liar bool
+	// hidesLoad reports no load.
+	hidesLoad bool
 }
 
 func steady(time.Duration) float64 { return 1 }
@@ -130,7 +130,7 @@
 	calls    map[backend.ID]int
 	answered []time.Duration
 	offered  int
-	left     int // calls that left the availability zone
+	leftZone int // calls that left the availability zone
 }
 
 func (sc scenario) run(t *testing.T, choose newChooser) *run {
@@ -207,7 +207,7 @@
 		if counted {
 			r.calls[s.ID]++
 			if s.AvailabilityZone != zoneName(zone) {
-				r.left++
+				r.leftZone++
 			}
 		}
 		r.mu.Unlock()
@@ -252,7 +252,7 @@
 		}
 	}
 	load := x.gate.Load()
-	if x.liar {
+	if x.hidesLoad {
 		load.InUse, load.Queued = 0, 0
 	}
 	time.Sleep(hop)
@@ -266,7 +266,7 @@
 	return r.answered[int(q*float64(len(r.answered)-1))]
 }
 
-func (r *run) crossed() float64 { return float64(r.left) / float64(r.offered) }
+func (r *run) crossed() float64 { return float64(r.leftZone) / float64(r.offered) }
 
 func (r *run) log(t *testing.T, chooser string) {
 	t.Helper()
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -1,7 +1,6 @@
-// Package balance chooses the backend server for each call from what this
-// daemon itself has seen: its own calls in flight, the latency and failures of
-// those that ended, and the load that gates report in their answers. Health and
-// load endpoints play no part.
+// Package balance picks the backend server for each call. The choice is based on what this daemon
+// has observed: its own calls in flight, the latency and the failures of its past calls, and the
+// load that gates report with their answers. Health and load endpoints are not used.
 package balance
 
 import (
@@ -16,34 +15,33 @@
 	"github.com/crocuscross/crocuscross/gate"
 )
 
-// Load is what a gate tells of itself in an answer.
+// Load is the load that a gate reports with an answer.
 type Load = gate.Load
 
-// Options tunes a Picker.
+// Options configures a Picker.
 type Options struct {
-	// AvailabilityZone and Region are this daemon's own.
+	// AvailabilityZone and Region are the location of this daemon.
 	AvailabilityZone string
 	Region           string
-	// ZoneCost and RegionCost are the time that a call loses by leaving the
-	// availability zone or the region, there and back. A farther server is
-	// picked only if it is expected to save more than that.
+	// ZoneCost and RegionCost are the round-trip time that a call takes additionally if it leaves
+	// the availability zone or the region. A server farther away is picked only if it is expected
+	// to save more than that.
 	ZoneCost   time.Duration
 	RegionCost time.Duration
-	// DisableSlowEjection is whether a server whose calls are slow beside those of its peers
-	// goes on getting calls, by its cost alone. It suits services whose calls
-	// differ widely in length and whose servers differ in speed: there a few long
-	// calls at a slower server look like one that hangs.
+	// DisableSlowEjection keeps servers in use whose calls are slow compared to those of their
+	// peers; only their cost reduces the calls that they get. It suits services whose calls
+	// differ widely in length and whose servers differ in speed: there, a few long calls at a
+	// slower server look like a server that hangs.
 	DisableSlowEjection bool
-	// SlowStart is how long the share of calls of a new server grows.
+	// SlowStart is the time over which the share of calls of a new server increases.
 	SlowStart time.Duration
-	// Now reads a monotonic clock.
+	// Now returns the time of a monotonic clock.
 	Now func() time.Time
-	// Rand returns a pseudo-random number in [0, n). It is called by many
-	// goroutines at once.
+	// Rand returns a pseudo-random number in [0, n). It must be safe for concurrent use.
 	Rand func(n int) int
 }
 
-// DefaultOptions suit availability zones that are half a millisecond apart.
+// DefaultOptions returns options for availability zones that are half a millisecond apart.
 func DefaultOptions() Options {
 	return Options{
 		ZoneCost:   time.Millisecond,
@@ -54,80 +52,81 @@
 	}
 }
 
-// The errors are made once: under overload there are many.
+// The errors are allocated once: under overload many calls get them.
 var (
 	errNoBackend = errkind.New(errkind.NoBackend, "no backend server of the service takes calls")
 	errAllBusy   = errkind.New(errkind.Overloaded, "the queues of all backend servers of the service are too long")
 )
 
-// Picker chooses backend servers. It is safe for concurrent use; calls share
-// no lock.
+// Picker picks backend servers. It is safe for concurrent use; concurrent calls of Pick share no
+// lock while the set of servers stays the same.
 type Picker struct {
 	opts Options
-	// epoch is the zero of all instants.
+	// epoch is the time of instant 0.
 	epoch time.Time
-	// pools holds the servers of each service, copied on write.
+	// pools holds the pool of each service by name. It is copied on write.
 	pools atomic.Pointer[map[string]*pool]
 
 	mu    sync.Mutex
 	stats map[backend.ID]*serverStats
 }
 
-// New returns a picker that has seen nothing.
+// New returns a picker without observations.
 func New(opts Options) *Picker {
 	p := &Picker{opts: opts, epoch: opts.Now(), stats: make(map[backend.ID]*serverStats)}
 	p.pools.Store(&map[string]*pool{})
 	return p
 }
 
-// instant is a time since the epoch of the picker, in nanoseconds.
+// instant is a time in nanoseconds since the epoch of the picker.
 type instant int64
 
 func (p *Picker) now() instant { return instant(p.opts.Now().Sub(p.epoch)) }
 
-// Pick chooses one of the servers of one service. The slice must be one of a
-// backend.Set, or at least stay as it is. Servers for which exclude returns
-// true are left out; exclude may be nil. The error's kind is NoBackend.
+// Pick picks one of the servers, which belong to one service. The slice must come from a
+// backend.Set or must not be modified afterwards. Servers for which exclude returns true are
+// skipped; exclude may be nil. The error is of kind NoBackend.
 func (p *Picker) Pick(servers []*backend.Server, exclude func(backend.ID) bool) (*Lease, error) {
 	return p.PickWithOptions(servers, PickOptions{Exclude: exclude})
 }
 
-// PickOptions is what matters for one call.
+// PickOptions holds the requirements of one call.
 type PickOptions struct {
-	// Exclude returns true for servers that are left out; it may be nil.
+	// Exclude returns true for servers that must not be picked. It may be nil.
 	Exclude func(backend.ID) bool
-	// RemoteCost is the time that it is worth to stay in the availability zone,
-	// beside what the way takes: bytes between zones cost money.
+	// RemoteCost is the time that a call accepts in order to stay in the availability zone, in
+	// addition to the network delay: traffic between zones costs money.
 	RemoteCost time.Duration
-	// Objective is the time within which an answer is worth its full value. Times
-	// well below it are as good as each other; with 0 they all count as they are.
+	// Objective is the time within which an answer has its full value. Expected times well below
+	// the objective count as nearly equal. With 0, expected times are compared as they are.
 	Objective time.Duration
-	// MaxWait is how long the call may have to wait for a slot. Servers whose gate
-	// has just told of a longer wait are passed over: their refusal would cost a hop
-	// and tell nothing new. 0 sets no bound.
+	// MaxWait is the longest wait for a slot that the call accepts. Servers whose gate has just
+	// reported a longer wait are skipped: the gate would reject the call, at the cost of a hop
+	// and without new information. 0 means no limit.
 	MaxWait time.Duration
 }
 
-// waitReportTTL is how long a gate's word of its queue keeps calls away. In that time a
-// queue that is too long does not empty.
+// waitReportTTL is how long a gate's report of a long queue diverts calls. A queue that is too
+// long does not empty within that time.
 const waitReportTTL = instant(30 * time.Millisecond)
 
-// excludes reports whether a server is left out for the call.
+// excludes reports whether the call must not be sent to the member.
 func (o PickOptions) excludes(m *member, now instant) bool {
 	return o.Exclude != nil && o.Exclude(m.server.ID) || o.waitTooLong(m, now)
 }
 
 func (o PickOptions) waitTooLong(m *member, now instant) bool {
-	e := m.stats
-	return o.MaxWait > 0 && now-e.reportedAt.load() < waitReportTTL && time.Duration(e.reportedWait.load()) > o.MaxWait
+	st := m.stats
+	return o.MaxWait > 0 && now-st.reportedAt.load() < waitReportTTL && time.Duration(st.reportedWait.load()) > o.MaxWait
 }
 
-// maxObjectiveRatio bounds, in objectives, what an expected time counts as.
+// maxObjectiveRatio limits the expected time that enters latencyCost, as a multiple of the
+// objective.
 const maxObjectiveRatio = 4
 
-// latencyCost turns an expected time into a cost, in seconds. By the third power a time of
-// half the objective costs an eighth of it: being quicker still is worth no bytes
-// between zones, while a time near the objective risks to miss it.
+// latencyCost converts an expected time to a cost, both in seconds. The cost grows with the third
+// power of the time: half of the objective costs an eighth of the objective. Being faster still
+// is not worth traffic between zones, whereas a time close to the objective risks missing it.
 func (o PickOptions) latencyCost(seconds float64) float64 {
 	objective := o.Objective.Seconds()
 	if objective == 0 {
@@ -137,7 +136,9 @@
 	return objective * x * x * x
 }
 
-// PickWithOptions is Pick for a call with needs of its own.
+// PickWithOptions picks a server as Pick does, for a call with requirements of its own. The error
+// is of kind NoBackend, or Overloaded if all eligible servers have too long a queue for
+// opts.MaxWait.
 func (p *Picker) PickWithOptions(servers []*backend.Server, opts PickOptions) (*Lease, error) {
 	exclude := opts.Exclude
 	if len(servers) == 0 {
@@ -161,8 +162,8 @@
 	return &Lease{picker: p, pool: pool, member: m, trial: trial}
 }
 
-// pool returns the pool of a slice of servers, a new one if the set has
-// changed. What was seen of the servers stays.
+// pool returns the pool of a slice of servers and builds a new one if the set has changed. The
+// statistics of the servers are kept.
 func (p *Picker) pool(servers []*backend.Server) *pool {
 	service := servers[0].Service
 	if pl, ok := (*p.pools.Load())[service]; ok && pl.builtFrom(servers) {
@@ -180,7 +181,7 @@
 	return pools[service]
 }
 
-// Prune drops what is kept of servers that are no longer known.
+// Prune removes the pools and the statistics of servers that are not in the known set.
 func (p *Picker) Prune(known *backend.Set) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -199,9 +200,9 @@
 	p.pools.Store(&pools)
 }
 
-// choose compares two servers inside the availability zone and two outside, drawn
-// at random, and takes the one with the lowest cost. Comparing all would send the
-// calls of all daemons to the same server between two reports of its load.
+// choose draws two servers inside the availability zone and two outside at random and returns the
+// one with the lowest cost. Comparing all servers would send the calls of all daemons to the same
+// server between two reports of its load.
 func (p *Picker) choose(plan *plan, opts PickOptions, now instant) *member {
 	remote := opts.RemoteCost.Seconds()
 	for _, t := range plan.tiers {
@@ -230,8 +231,8 @@
 	return nil
 }
 
-// noMemberError returns why no server takes the call: the shortest queue that is known
-// is too long, or there is none.
+// noMemberError returns the error for a call that no server can take: Overloaded with the
+// shortest wait reported if all waits are too long, NoBackend if there is no eligible server.
 func (pl *plan) noMemberError(opts PickOptions, now instant) error {
 	shortest := time.Duration(0)
 	for _, t := range pl.tiers {
@@ -250,8 +251,9 @@
 	return errAllBusy.After(shortest)
 }
 
-// draw returns a member of the group other than first at random, nil if none is
-// left that is not excluded. A cold one is passed over unless all are.
+// draw returns a random member of the group other than first, or nil if all are excluded. A
+// member in its slow start is skipped with a probability that depends on its age, unless no other
+// member is left.
 func (p *Picker) draw(group []*member, first *member, opts PickOptions, now instant) *member {
 	n := len(group)
 	if n == 0 {
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -13,16 +13,16 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// bench is a picker with a clock that the test moves, and servers that are long
+// harness is a picker with a clock that the test moves, and servers that are long
 // known, all in the picker's own zone.
-type bench struct {
+type harness struct {
 	*Picker
 	clock   time.Time
 	servers []*backend.Server
 }
 
-func newBench(n int) *bench {
-	b := &bench{clock: time.Unix(1e9, 0)}
+func newHarness(n int) *harness {
+	b := &harness{clock: time.Unix(1e9, 0)}
 	opts := DefaultOptions()
 	opts.Now = func() time.Time { return b.clock }
 	opts.Rand = rand.New(rand.NewPCG(1, 1)).IntN
@@ -37,7 +37,7 @@
 
 // run makes n calls, one each millisecond, and returns the part that went to the
 // first server.
-func (b *bench) run(n int, result func(first bool) Result) float64 {
+func (b *harness) run(n int, result func(first bool) Result) float64 {
 	var toFirst float64
 	for range n {
 		b.clock = b.clock.Add(time.Millisecond)
@@ -68,7 +68,7 @@
 
 // What the caller did wrong, what we refused and what was cut before it could be
 // answered tells nothing of the server: it keeps its part of the calls.
-func TestNoEvidence(t *testing.T) {
+func TestNeutralResultsDoNotAffectPicking(t *testing.T) {
 	for _, r := range []Result{
 		{Status: 404, Latency: 5 * time.Millisecond},
 		{Status: 422, Latency: 5 * time.Millisecond},
@@ -79,7 +79,7 @@
 		{Kind: errkind.Canceled, Latency: time.Millisecond},
 		{Kind: errkind.Deadline, Latency: time.Millisecond},
 	} {
-		b := newBench(4)
+		b := newHarness(4)
 		b.run(200, good)
 		must.Greater(t, 0.2, b.run(1000, firstGives(r)), must.Sprint(r))
 	}
@@ -87,8 +87,8 @@
 
 // Most servers shed calls, which is quick. The one that runs them is not taken
 // for slow.
-func TestSheddingIsNotQuick(t *testing.T) {
-	b := newBench(4)
+func TestSheddingDoesNotLowerBaselineLatency(t *testing.T) {
+	b := newHarness(4)
 	b.run(200, good)
 	must.Greater(t, 0.2, b.run(1000, func(first bool) Result {
 		if first {
@@ -100,9 +100,9 @@
 
 // The latency of calls varies. No server is ejected for that, least of all on the
 // first few calls, which do not yet tell what is usual.
-func TestChanceEjectsNobody(t *testing.T) {
+func TestLatencyVarianceDoesNotEject(t *testing.T) {
 	for seed := range uint64(300) {
-		b := newBench(10)
+		b := newHarness(10)
 		rng := rand.New(rand.NewPCG(seed, 4))
 		b.run(300, func(bool) Result {
 			latency := rng.ExpFloat64() * float64(5*time.Millisecond)
@@ -119,8 +119,8 @@
 
 // A server is somewhat slow for a while, so that it is passed over, but not
 // enough to be ejected. It gets calls again when what was seen has become old.
-func TestLatencyBecomesOld(t *testing.T) {
-	b := newBench(4)
+func TestLatencyDecays(t *testing.T) {
+	b := newHarness(4)
 	b.run(500, good)
 	somewhatSlow := firstGives(Result{Status: 200, Latency: 20 * time.Millisecond})
 	b.run(500, somewhatSlow)
@@ -131,8 +131,8 @@
 
 // An ejected server is slow in most calls, not in all. A lucky trial does not
 // bring it back.
-func TestLuckyTrial(t *testing.T) {
-	b := newBench(4)
+func TestSingleFastTrialDoesNotRestore(t *testing.T) {
+	b := newHarness(4)
 	rng := rand.New(rand.NewPCG(3, 3))
 	mostlySlow := func(first bool) Result {
 		if first && rng.Float64() < 0.7 {
@@ -157,7 +157,7 @@
 		{Kind: errkind.Deadline, Latency: 15 * time.Millisecond},
 		{Kind: errkind.DeadlineNotRun, Latency: 100 * time.Millisecond},
 	} {
-		b := newBench(4)
+		b := newHarness(4)
 		b.run(500, good)
 		b.run(200, firstGives(r))
 		trickle := b.run(20_000, firstGives(r))
@@ -168,8 +168,8 @@
 }
 
 // All servers fail, one after the other. Calls still go to all of them.
-func TestNeverAllEjected(t *testing.T) {
-	b := newBench(4)
+func TestAllFailingServersStillPicked(t *testing.T) {
+	b := newHarness(4)
 	b.run(500, good)
 	failed := func(bool) Result { return Result{Kind: errkind.Unreachable, Latency: time.Millisecond} }
 	b.run(1000, failed)
@@ -178,8 +178,8 @@
 
 // Most servers fail. The one that is left gets all calls, until waiting there
 // would cost more than a failure, even if the others are ejected.
-func TestFewLeftAreUsed(t *testing.T) {
-	b := newBench(4)
+func TestRemainingServerIsUsed(t *testing.T) {
+	b := newHarness(4)
 	b.run(500, good)
 	othersFail := func(first bool) Result {
 		if first {
@@ -202,8 +202,8 @@
 
 // Some of the calls fail at all servers but one, which shows that the calls are
 // not to blame: the one gets most of them.
-func TestOneSoundServer(t *testing.T) {
-	b := newBench(4)
+func TestOneHealthyServerGetsMostCalls(t *testing.T) {
+	b := newHarness(4)
 	rng := rand.New(rand.NewPCG(2, 2))
 	failSome := func(first bool) Result {
 		if !first && rng.Float64() < 0.6 {
@@ -218,7 +218,7 @@
 // A new server joins. It gets a small part of the calls at first and its full
 // part after the slow start.
 func TestSlowStart(t *testing.T) {
-	b := newBench(4)
+	b := newHarness(4)
 	b.run(500, good)
 	b.servers[0].FirstSeen = b.clock
 	b.Prune(nil)
@@ -230,7 +230,7 @@
 // A gate says that it drains. No call follows, and the server takes part again
 // when the word has become old.
 func TestDrainingGate(t *testing.T) {
-	b := newBench(2)
+	b := newHarness(2)
 	b.run(100, firstGives(Result{Kind: errkind.Draining, Latency: time.Millisecond}))
 	must.Zero(t, b.run(1000, good))
 	b.clock = b.clock.Add(10 * time.Second)
@@ -239,9 +239,9 @@
 
 // Whatever was seen of the servers, one that drains or is excluded is not
 // picked, a suspect one only when no other is left, and one that is left always.
-func TestWhoIsPicked(t *testing.T) {
+func TestPickedServerIsEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		b := newBench(rapid.IntRange(1, 5).Draw(rt, "servers"))
+		b := newHarness(rapid.IntRange(1, 5).Draw(rt, "servers"))
 		results := []Result{good(false), {Status: 500}, {Kind: errkind.Unreachable}, {Status: 200, Latency: time.Second}}
 		b.run(rapid.IntRange(0, 300).Draw(rt, "calls"), func(bool) Result {
 			return results[rapid.IntRange(0, len(results)-1).Draw(rt, "result")]
@@ -276,8 +276,8 @@
 	})
 }
 
-func TestForgetBoundsMemory(t *testing.T) {
-	b := newBench(3)
+func TestPruneBoundsMemory(t *testing.T) {
+	b := newHarness(3)
 	b.run(10, good)
 	b.Prune(backend.NewSet(b.servers[:1]))
 	must.MapLen(t, 1, b.stats)
@@ -287,7 +287,7 @@
 }
 
 func TestDoneTwice(t *testing.T) {
-	b := newBench(1)
+	b := newHarness(1)
 	l, err := b.Pick(b.servers, nil)
 	must.NoError(t, err)
 	must.Eq(t, 1, b.stats[b.servers[0].ID].inFlight.Load())
@@ -296,8 +296,8 @@
 	must.Eq(t, 0, b.stats[b.servers[0].ID].inFlight.Load())
 }
 
-func TestPickAllocates(t *testing.T) {
-	b := newBench(10)
+func TestPickAllocations(t *testing.T) {
+	b := newHarness(10)
 	load := &Load{InUse: 1, Slots: 10}
 	must.LessEq(t, 1, testing.AllocsPerRun(1000, func() {
 		l, _ := b.Pick(b.servers, nil)
@@ -308,7 +308,7 @@
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{10, 100} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			servers := newBench(n).servers
+			servers := newHarness(n).servers
 			p := New(DefaultOptions())
 			load := &Load{InUse: 1, Slots: 10}
 			b.ReportAllocs()
@@ -323,8 +323,8 @@
 }
 
 // Each attempt of each call picks once.
-func TestPickAllocatesItsLeaseOnly(t *testing.T) {
-	servers := newBench(100).servers
+func TestPickAllocationsWithManyServers(t *testing.T) {
+	servers := newHarness(100).servers
 	p := New(DefaultOptions())
 	load := &Load{InUse: 1, Slots: 10}
 	must.LessEq(t, 1, testing.AllocsPerRun(1000, func() {
--- a/balance/need_test.go
+++ b/balance/pickoptions_test.go
@@ -10,7 +10,7 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-func needPicker(now *time.Time) *Picker {
+func newTestPicker(now *time.Time) *Picker {
 	o := DefaultOptions()
 	o.AvailabilityZone, o.Region, o.DisableSlowEjection = "a", "r", true
 	o.Now = func() time.Time { return *now }
@@ -25,8 +25,8 @@
 	}
 }
 
-// finish makes a call at a server end with a latency and a wait told by its gate.
-func finish(t *testing.T, p *Picker, servers []*backend.Server, host string, latency, wait time.Duration) {
+// completeCall makes a call at a server end with a latency and a wait told by its gate.
+func completeCall(t *testing.T, p *Picker, servers []*backend.Server, host string, latency, wait time.Duration) {
 	t.Helper()
 	l, err := p.PickWithOptions(servers, PickOptions{Exclude: func(id backend.ID) bool { return id.Host != host }})
 	must.NoError(t, err)
@@ -36,13 +36,13 @@
 // The near server takes 350 ms, the far one 100 ms. With an objective of 600 ms either is
 // in time, and the call's bytes stay in the availability zone; with one of 150 ms only
 // the far one is.
-func TestBytesStayWhereTheObjectiveIsMet(t *testing.T) {
+func TestStaysInZoneWhenObjectiveIsMet(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for objective, want := range map[time.Duration]string{600 * time.Millisecond: "near", 150 * time.Millisecond: "far"} {
-		p, servers := needPicker(&now), twoServers()
+		p, servers := newTestPicker(&now), twoServers()
 		for range 20 {
-			finish(t, p, servers, "near", 350*time.Millisecond, 0)
-			finish(t, p, servers, "far", 100*time.Millisecond, 0)
+			completeCall(t, p, servers, "near", 350*time.Millisecond, 0)
+			completeCall(t, p, servers, "far", 100*time.Millisecond, 0)
 			now = now.Add(100 * time.Millisecond)
 		}
 		l, err := p.PickWithOptions(servers, PickOptions{Objective: objective, RemoteCost: 50 * time.Millisecond})
@@ -54,14 +54,14 @@
 // Gates have just told of queues longer than the call may wait. It is refused without
 // being sent, with the time after which the shortest will have been served; a moment
 // later the word is old and the servers are tried again.
-func TestBusyGatesArePassedOver(t *testing.T) {
+func TestSkipsServersWithLongQueues(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p, servers := needPicker(&now), twoServers()
-	finish(t, p, servers, "near", time.Millisecond, 300*time.Millisecond)
+	p, servers := newTestPicker(&now), twoServers()
+	completeCall(t, p, servers, "near", time.Millisecond, 300*time.Millisecond)
 	l, err := p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.NoError(t, err)
 	must.Eq(t, "far", l.Server().Host)
-	finish(t, p, servers, "far", time.Millisecond, 200*time.Millisecond)
+	completeCall(t, p, servers, "far", time.Millisecond, 200*time.Millisecond)
 	_, err = p.PickWithOptions(servers, PickOptions{MaxWait: 100 * time.Millisecond})
 	must.Eq(t, errkind.Overloaded, errkind.Of(err))
 	must.Eq(t, 200*time.Millisecond, errkind.RetryAfterOf(err))
--- a/balance/policy_test.go
+++ b/balance/policy_test.go
@@ -31,7 +31,7 @@
 	{name: "demand in one zone", worst: 1.25, load: 0.7, length: time.Second, oneZone: true},
 	{name: "one slow", worst: 1.8, load: 0.6, length: time.Second, change: func(ts []*target) { ts[0].slowness = slowBy(10) }},
 	{name: "one slow and lying", worst: 1.25, load: 0.6, length: time.Second, change: func(ts []*target) {
-		ts[0].slowness, ts[0].liar = slowBy(5), true
+		ts[0].slowness, ts[0].hidesLoad = slowBy(5), true
 	}},
 	{name: "one cold", worst: 1.25, load: 0.6, length: 2 * time.Second, change: func(ts []*target) { ts[0].slowness = coldFrom(time.Second) },
 		viewAt: time.Second, view: func(servers []*backend.Server) { servers[0].FirstSeen = time.Now() }},
--- a/balance/pool.go
+++ b/balance/pool.go
@@ -10,52 +10,52 @@
 )
 
 const (
-	// planTTL is how old a plan gets before it is made anew.
+	// planTTL is the age at which a plan is rebuilt.
 	planTTL = instant(50 * time.Millisecond)
-	// rateWindow is the time over which the rate of calls is taken.
+	// rateWindow is the minimum time over which the rate of calls is measured.
 	rateWindow = instant(time.Second)
-	// healthyFailureRate is the share of failed calls below which a server does well.
+	// healthyFailureRate is the failure rate below which a server is considered healthy.
 	healthyFailureRate = 0.1
-	// assumedLatency is the latency, in seconds, until one was seen.
+	// assumedLatency is the baseline latency, in seconds, until one has been measured.
 	assumedLatency = 0.005
 )
 
-// pool is the servers of one service as the set in force lists them.
+// pool holds the servers of one service in the current backend.Set.
 type pool struct {
 	servers []*backend.Server
 	members []*member
 	current atomic.Pointer[plan]
-	// stale asks for a new plan before the present one is old.
+	// stale requests a new plan before the current one has reached planTTL.
 	stale atomic.Bool
-	// rebuilding is held by the one goroutine that makes a new plan; the others
-	// use the old one meanwhile.
+	// rebuilding is held by the goroutine that builds a new plan. Other goroutines use the old
+	// plan in the meantime.
 	rebuilding sync.Mutex
-	// lastCount is guarded by making.
+	// lastCount is guarded by rebuilding.
 	lastCount           callCount
 	disableSlowEjection bool
 }
 
-// newPool builds the pool of a set's servers. The caller holds mu.
+// newPool returns the pool of the servers of a set. The caller holds mu.
 func (p *Picker) newPool(servers []*backend.Server) *pool {
 	pl := &pool{disableSlowEjection: p.opts.DisableSlowEjection, servers: servers, members: make([]*member, 0, len(servers))}
 	for _, s := range servers {
-		e, ok := p.stats[s.ID]
+		st, ok := p.stats[s.ID]
 		if !ok {
-			e = &serverStats{}
-			p.stats[s.ID] = e
+			st = &serverStats{}
+			p.stats[s.ID] = st
 		}
-		pl.members = append(pl.members, p.newMember(s, e))
+		pl.members = append(pl.members, p.newMember(s, st))
 	}
 	pl.current.Store(pl.buildPlan(p.now()))
 	return pl
 }
 
-// builtFrom reports whether the pool was built from this very slice.
+// builtFrom reports whether the pool was built from this slice, by its address and length.
 func (pl *pool) builtFrom(servers []*backend.Server) bool {
 	return len(pl.servers) == len(servers) && &pl.servers[0] == &servers[0]
 }
 
-// plan returns the present plan and makes a new one when it is due.
+// plan returns the current plan and rebuilds it if it is outdated.
 func (pl *pool) plan(now instant) *plan {
 	cur := pl.current.Load()
 	if now-cur.builtAt < planTTL && !pl.stale.Load() {
@@ -71,23 +71,23 @@
 	return next
 }
 
-// plan says which members take calls. It is immutable.
+// plan determines which members get calls. It is immutable.
 type plan struct {
 	builtAt instant
 	// tiers are tried in order.
 	tiers []tier
-	// ejected members get a call now and then.
+	// ejected lists the ejected members, which get trial calls.
 	ejected  []*member
 	baseline baseline
 }
 
-// tier is members to choose from, in groups of which each is drawn from.
+// tier is a list of groups of members. For each call, members are drawn from every group.
 type tier [][]*member
 
-// buildPlan sorts the members. Draining servers are left out; suspect ones come
-// last. When more are ejected than not, those that are left may be too few, and
-// the evidence is likely to be of the way there: then the ejected are compared
-// with the others again, at the cost of their failures.
+// buildPlan sorts the members into tiers. Draining servers are omitted, and suspect ones come
+// last. If more members are ejected than healthy, the healthy ones may be too few, and the cause
+// of the failures is probably the path to the servers. In this case ejected and healthy members
+// share a tier and are compared by cost, which includes the cost of their failures.
 func (pl *pool) buildPlan(now instant) *plan {
 	next := &plan{builtAt: now, baseline: pl.baseline()}
 	next.baseline.callRate = pl.callRate(now)
@@ -112,22 +112,22 @@
 	return next
 }
 
-// trial returns an ejected member whose time has come for another call, if no
-// other call is being tried there.
+// trial returns an ejected member that is due for a trial call and has none in flight, or nil if
+// there is none.
 func (pl *plan) trial(exclude func(backend.ID) bool, now instant) *member {
 	for _, m := range pl.ejected {
-		e := m.stats
-		if now < e.nextTrialAt.load() || exclude != nil && exclude(m.server.ID) {
+		st := m.stats
+		if now < st.nextTrialAt.load() || exclude != nil && exclude(m.server.ID) {
 			continue
 		}
-		if e.trialInFlight.CompareAndSwap(false, true) {
+		if st.trialInFlight.CompareAndSwap(false, true) {
 			return m
 		}
 	}
 	return nil
 }
 
-// zoneSplit parts members inside the availability zone from those outside.
+// zoneSplit separates members inside the availability zone from those outside.
 type zoneSplit struct{ local, remote []*member }
 
 func (s *zoneSplit) add(m *member) {
@@ -142,16 +142,16 @@
 
 func (s *zoneSplit) tier() tier { return tier{s.local, s.remote} }
 
-// baseline is what a server of the pool is measured by.
+// baseline holds the values of a pool to which each of its servers is compared.
 type baseline struct {
-	// latency is the lower quartile, in seconds, so that a few quick servers are
-	// not taken for the exception.
+	// latency is the lower quartile of the latencies, in seconds. With a quartile, a few fast
+	// servers are not treated as the exception.
 	latency float64
-	// load is the mean part of the slots that calls of other daemons take.
+	// load is the mean fraction of the slots that calls of other daemons use or wait for.
 	load float64
-	// failureRate and slowRate are the shares of such calls.
+	// failureRate and slowRate are the typical fractions of failed and of slow calls.
 	failureRate, slowRate float64
-	// callRate is how many calls end in a second.
+	// callRate is the number of calls that end per second.
 	callRate float64
 }
 
@@ -171,7 +171,7 @@
 		return baseline{latency: assumedLatency}
 	}
 	if pl.disableSlowEjection {
-		// No share of slow calls is above that.
+		// No slow rate exceeds 1, so no server is ejected for slow calls.
 		slowRates = []float64{1}
 	}
 	return baseline{
@@ -182,9 +182,9 @@
 	}
 }
 
-// typicalFailureRate returns the share of failed calls that is not the fault of a
-// server: what most have, or next to nothing if one of them shows that the
-// calls are not to blame.
+// typicalFailureRate returns the failure rate that is not attributed to individual servers: the
+// lowest rate if a server is healthy, which shows that the calls themselves do not cause the
+// failures, and the median otherwise.
 func typicalFailureRate(rates []float64) float64 {
 	if lowest := slices.Min(rates); lowest < healthyFailureRate {
 		return lowest
@@ -192,8 +192,7 @@
 	return quantile(rates, 0.5)
 }
 
-// callRate returns how many calls end in a second, as taken over at least
-// rateWindow.
+// callRate returns the number of calls that end per second, measured over at least rateWindow.
 func (pl *pool) callRate(now instant) float64 {
 	prev := pl.lastCount
 	if now-prev.at < rateWindow {
@@ -208,7 +207,8 @@
 	return rate
 }
 
-// callCount is the number of calls that had ended at an instant.
+// callCount is the number of calls that had ended at an instant, and the rate since the previous
+// count.
 type callCount struct {
 	at    instant
 	calls int64
--- /dev/null
+++ b/balance/stats.go
@@ -0,0 +1,226 @@
+package balance
+
+import (
+	"math"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	// latencyWeight is the weight of a call in the mean latency, rateWeight its weight in the
+	// failure rate and the slow rate.
+	latencyWeight = 0.05
+	rateWeight    = 0.07
+	// latencyHalfLife and failureHalfLife are the times without a call after which half of an
+	// observation is replaced by the typical value of the pool. Without this decay, a server that
+	// gets no calls because of old observations would never get calls again.
+	latencyHalfLife = instant(2 * time.Second)
+	failureHalfLife = instant(10 * time.Second)
+	// slowRatio is the multiple of the baseline latency from which on a call is slow,
+	// abortedSlowRatio the multiple for a call that was aborted before it was answered. Without
+	// the second one, callers with short deadlines would not notice a server that hangs.
+	slowRatio        = 8.0
+	abortedSlowRatio = 2.0
+	// ejectMargin is the amount by which the failure rate or the slow rate of a server must
+	// exceed the typical one of its peers for the server to be ejected.
+	ejectMargin = 0.5
+	// drainingReportTTL is how long a gate's report that it drains is valid. By then, the
+	// membership has spread the state to all daemons.
+	drainingReportTTL = instant(10 * time.Second)
+	// An ejected server gets one trial call per callsPerTrial calls of the pool, at intervals
+	// between minTrialInterval and maxTrialInterval. It is restored after trialsToRestore
+	// successful trials in a row, since even a slow server occasionally answers quickly.
+	callsPerTrial    = 4000
+	minTrialInterval = instant(500 * time.Millisecond)
+	maxTrialInterval = instant(30 * time.Second)
+	trialsToRestore  = 3
+)
+
+// serverStats holds this daemon's observations of one server. It is read without a lock; writers
+// of the fields derived from results hold mu.
+type serverStats struct {
+	inFlight atomic.Int64
+
+	// latency is the geometric moving mean of the latency, in seconds and without the hop. A few
+	// long calls among short ones distort a geometric mean less than an arithmetic one.
+	latency   atomicFloat
+	updatedAt atomicInstant
+	// otherLoad is the fraction of the slots that calls of other daemons use or wait for, as the
+	// gate reported at reportedAt.
+	otherLoad  atomicFloat
+	reportedAt atomicInstant
+	// reportedWait is the expected wait for a slot, as reported at reportedAt.
+	reportedWait  atomicInstant
+	reportedSlots atomic.Int64
+	// failureRate is the moving fraction of calls that failed, slowRate that of answered calls
+	// that were slow.
+	failureRate, slowRate atomicFloat
+	drainingUntil         atomicInstant
+
+	ejected     atomic.Bool
+	nextTrialAt atomicInstant
+	// trialInFlight is set while a trial call is in flight.
+	trialInFlight atomic.Bool
+	// endedCalls is the number of calls that have ended.
+	endedCalls atomic.Int64
+
+	mu sync.Mutex
+	// latencySamples is the number of samples in latency, goodTrials the number of successful
+	// trials in a row.
+	latencySamples, goodTrials int
+}
+
+func (st *serverStats) draining(now instant) bool { return now < st.drainingUntil.load() }
+
+// record adds a result to the statistics and reports whether the plan must be rebuilt.
+func (st *serverStats) record(o observation, now instant) bool {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	st.endedCalls.Add(1)
+	if o.load != nil {
+		st.recordLoad(o.load, now)
+	}
+	if o.outcome == outcomeDraining || o.load != nil && o.load.Draining {
+		known := st.draining(now)
+		st.drainingUntil.store(now + drainingReportTTL)
+		return !known
+	}
+	if o.outcome == outcomeNeutral || o.outcome == outcomeAborted && !o.slow {
+		return false
+	}
+	st.applyDecay(o.baseline, now)
+	st.recordOutcome(o)
+	switch {
+	case !st.ejected.Load():
+		return st.isOutlier(o.baseline) && st.eject(o.baseline, now)
+	case o.trial:
+		return st.recordTrial(o.outcome == outcomeAnswered && !o.slow, o.baseline, now)
+	}
+	return false
+}
+
+func (st *serverStats) recordOutcome(o observation) {
+	if o.outcome == outcomeFailed {
+		st.failureRate.addSample(true)
+		return
+	}
+	st.failureRate.addSample(false)
+	st.slowRate.addSample(o.slow)
+	st.recordLatency(o.latency)
+}
+
+// applyDecay applies the decay since the last recorded call to the stored values.
+func (st *serverStats) applyDecay(b baseline, now instant) {
+	st.latency.store(st.currentLatency(b, now))
+	st.slowRate.store(st.slowRate.load() * st.freshness(failureHalfLife, now))
+	st.failureRate.store(st.currentFailureRate(now))
+	st.updatedAt.store(now)
+}
+
+// currentLatency returns the expected latency at the instant now, or the baseline latency if none
+// has been measured.
+func (st *serverStats) currentLatency(b baseline, now instant) float64 {
+	seen := st.latency.load()
+	if seen == 0 {
+		return b.latency
+	}
+	return blend(b.latency, seen, st.freshness(latencyHalfLife, now))
+}
+
+// currentFailureRate returns the expected failure rate at the instant now.
+func (st *serverStats) currentFailureRate(now instant) float64 {
+	return st.failureRate.load() * st.freshness(failureHalfLife, now)
+}
+
+// freshness returns the weight of the latest observations at the instant now, between 0 and 1.
+func (st *serverStats) freshness(halfLife, now instant) float64 {
+	return decay(now-st.updatedAt.load(), halfLife)
+}
+
+// blend interpolates between the typical value and the one seen, with the freshness as the weight
+// of the latter.
+func blend(typical, seen, freshness float64) float64 { return typical + (seen-typical)*freshness }
+
+// decay returns the weight of an observation of the given age, between 0 and 1.
+func decay(age, halfLife instant) float64 {
+	return math.Exp2(-float64(max(age, 0)) / float64(halfLife))
+}
+
+func (st *serverStats) recordLoad(l *Load, now instant) {
+	others := max(float64(l.InUse+l.Queued)-float64(st.inFlight.Load()), 0)
+	st.reportedSlots.Store(int64(l.Slots))
+	st.otherLoad.store(others / float64(max(l.Slots, 1)))
+	st.reportedWait.store(instant(l.Wait))
+	st.reportedAt.store(now)
+}
+
+func (st *serverStats) recordLatency(seconds float64) {
+	if seconds <= 0 {
+		return
+	}
+	st.latencySamples++
+	weight := max(latencyWeight, 1/float64(st.latencySamples))
+	old := st.latency.load()
+	st.latency.store(old * math.Pow(seconds/old, weight))
+}
+
+// isOutlier reports whether the server fails or is slow markedly more often than its peers.
+// Failures and slow calls that all servers have are not attributed to the server.
+func (st *serverStats) isOutlier(b baseline) bool {
+	return st.failureRate.load() > b.failureRate+ejectMargin || st.slowRate.load() > b.slowRate+ejectMargin
+}
+
+func (st *serverStats) eject(b baseline, now instant) bool {
+	st.goodTrials = 0
+	st.nextTrialAt.store(now + b.trialInterval())
+	st.ejected.Store(true)
+	return true
+}
+
+// recordTrial records the result of a trial and reports whether the plan must be rebuilt.
+func (st *serverStats) recordTrial(good bool, b baseline, now instant) bool {
+	if !good {
+		return st.eject(b, now)
+	}
+	st.goodTrials++
+	if st.goodTrials < trialsToRestore {
+		return false
+	}
+	st.failureRate.store(0)
+	st.slowRate.store(0)
+	st.latency.store(0)
+	st.latencySamples = 0
+	st.ejected.Store(false)
+	return true
+}
+
+// trialInterval returns the time between two trials of an ejected server.
+func (b baseline) trialInterval() instant {
+	if b.callRate == 0 {
+		return minTrialInterval
+	}
+	seconds := callsPerTrial / b.callRate
+	return min(max(instant(seconds*float64(time.Second)), minTrialInterval), maxTrialInterval)
+}
+
+// atomicFloat is a float64 with atomic access.
+type atomicFloat struct{ bits atomic.Uint64 }
+
+func (f *atomicFloat) load() float64   { return math.Float64frombits(f.bits.Load()) }
+func (f *atomicFloat) store(v float64) { f.bits.Store(math.Float64bits(v)) }
+
+// addSample updates the moving fraction of hits in f with one sample.
+func (f *atomicFloat) addSample(hit bool) {
+	share := f.load() * (1 - rateWeight)
+	if hit {
+		share += rateWeight
+	}
+	f.store(share)
+}
+
+// atomicInstant is an instant with atomic access.
+type atomicInstant struct{ v atomic.Int64 }
+
+func (i *atomicInstant) load() instant   { return instant(i.v.Load()) }
+func (i *atomicInstant) store(v instant) { i.v.Store(int64(v)) }
--- a/gate/admit.go
+++ b/gate/admit.go
@@ -3,38 +3,38 @@
 import "time"
 
 const (
-	// queuedMargin is the least time, in service times, that a waiting call
-	// must be expected to have left at its start for a newcomer of the same
-	// customer to be let in.
+	// queuedMargin is the minimum time, as a multiple of the service time, that a waiting call
+	// must be expected to have left at its start after a new call of the same share overtakes it.
 	queuedMargin = 2
-	// forecastErrorDivisor is the inverse of the part by which a forecast may be wrong:
-	// it rests on a mean over a few calls.
+	// forecastErrorDivisor is the inverse of the relative error that is assumed for a forecast,
+	// which is based on the mean over a few calls.
 	forecastErrorDivisor = 16
 
-	// maxWaitSlackDivisor is the inverse of the part by which a call's wait may exceed
-	// what it was ready to wait.
+	// maxWaitSlackDivisor is the inverse of the fraction by which a call's wait may exceed its
+	// maximum wait.
 	maxWaitSlackDivisor = 4
-	// serviceDeviations is how much longer than the mean, in mean serviceDeviations, a call may take and
-	// still be answered within its objective. At a full gate the wait stands at its bound:
-	// with one deviation 1,841 of 8,657 lookups of 400 ms were late, 1,408 with two.
+	// serviceDeviations is the number of mean deviations that are added to the mean service time
+	// when a call is checked against its objective. In a full gate the wait of each call is at
+	// its limit: with one deviation 1,841 of 8,657 lookups with an objective of 400 ms were late,
+	// with two 1,408.
 	serviceDeviations = 2
-	// minWaitDivisor is the inverse of the part of the objective that a call may wait in
-	// any case.
+	// minWaitDivisor is the inverse of the fraction of the time left until the objective that a
+	// call may always wait.
 	minWaitDivisor = 8
-	// minRankSlots is what a rank can count on at least, in slots, where more urgent
-	// ones take all: their load wavers.
+	// minRankSlots is the number of slots assumed to be available to a rank whose more urgent
+	// ranks use all slots: the load of those ranks varies.
 	minRankSlots = 0.25
 
 	minRetryAfter = 50 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 )
 
-// checkWait decides whether a call may wait. It may if it can be answered in time
-// and if that breaks no promise made to the customer's calls that wait already.
-// The deadlines decide the order but not who is let in: without the second
-// condition a customer's short-lived calls would push its patient ones out of
-// their time one by one, after they have waited (goodput falls, and refusals
-// come late).
+// checkWait returns nil if the call may wait, and the error with which it is rejected otherwise.
+// A call may wait if it can be answered in time and if it does not make a waiting call of the
+// same share miss its due time. Due times determine the order within a share but do not decide
+// admission: without the second condition, a customer's calls with short deadlines would displace
+// its calls with long deadlines one by one after those have waited, which lowers goodput and
+// delays the rejections.
 func (g *Gate) checkWait(t *Ticket, now time.Time) error {
 	s := t.share
 	f := g.forecast(s)
@@ -57,9 +57,9 @@
 	return nil
 }
 
-// missesDue reports whether a waiting call would have waited in vain if it had to wait so much
-// longer. A call that may wait so long only is not overtaken beyond that: it would leave
-// when its patience is up, and have to begin anew at another gate.
+// missesDue reports whether a waiting call would miss its due time if it had to wait for the
+// given time from now on. A call with a maximum wait must not be overtaken beyond it: the call
+// would leave the queue when its wait times out, and start over at another gate.
 func (t *Ticket) missesDue(wait time.Duration, now time.Time) bool {
 	if t.maxWait > 0 {
 		return t.due.Sub(now) < wait
@@ -68,8 +68,9 @@
 	return t.due.Sub(now) < wait+margin
 }
 
-// noTimeError tells a call that has too little time left for the service time, or
-// for the queue.
+// noTimeError returns the error for a call whose remaining time is shorter than the expected
+// service time, or than the expected wait plus the service time. If the service time estimate
+// rather than the queue is the cause, it lowers the estimate.
 func (g *Gate) noTimeError(t *Ticket, left time.Duration, f forecast) error {
 	s := t.share
 	if f.wait(0) < s.serviceTime.value {
@@ -81,19 +82,21 @@
 	return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
 }
 
-// forecast is the expected wait in one customer's queue by position.
+// forecast is the expected wait in the queue of one share as a function of the position.
 type forecast struct {
-	// base is until the first slot is free, step the time per position.
+	// base is the expected time until a slot is free for the first position, step the additional
+	// time per position.
 	base, step time.Duration
 }
 
-// wait returns how long the call at a position, from 0, waits for its slot.
+// wait returns the expected wait of the call at a position, counted from 0.
 func (f forecast) wait(position int) time.Duration {
 	return f.base + time.Duration(position)*f.step
 }
 
-// forecast looks at the calls of others that go before the first and the last
-// of the share's and takes those between as evenly spread.
+// forecast returns the forecast for the queue of a share. It computes the slot time of the other
+// shares' calls that go before the first and before the last call of the share, and interpolates
+// linearly between the two.
 func (g *Gate) forecast(s *share) forecast {
 	q, n := g.queue, len(s.waiting)
 	slots := time.Duration(g.limit.allowed())
@@ -112,10 +115,10 @@
 	return f
 }
 
-// slotsLeftFor returns how many slots the share can count on beside what the
-// others use. Calls of others that are yet to arrive may go first as well. Shares
-// of a less urgent rank do not count, and the share's fair part holds within its
-// rank only: more urgent ones may take all but a little.
+// slotsLeftFor returns the number of slots that the share can expect to use beside the mean use
+// of the other shares, whose future calls may go first as well. Shares of a less urgent rank are
+// not counted. The fair share of the slots applies only within the rank of s: more urgent ranks
+// may use all slots but minRankSlots.
 func (g *Gate) slotsLeftFor(s *share) float64 {
 	slots := float64(g.limit.allowed())
 	sameRank, urgentUsage := 1, 0.0
@@ -133,8 +136,8 @@
 	return max(slots-urgentUsage-(g.queue.usage[s.rank]-s.usage), fair)
 }
 
-// aheadOf returns the slot time of the other shares' waiting calls that go before a
-// call of the share with the start tag.
+// aheadOf returns the slot time of the waiting calls of other shares that go before a call of s
+// with the given start tag.
 func (q *fairQueue) aheadOf(s *share, tag time.Duration) time.Duration {
 	var ahead time.Duration
 	for _, o := range q.active {
@@ -151,11 +154,11 @@
 	return ahead
 }
 
-// retryAfter tells a refused caller when the present queue will have been served or, if
-// that is sooner, half of the time in which the call could still begin and be answered
-// within its objective. Under a load that stays, a caller that comes back late finds the
-// same queue as one that comes back soon, but gets its answer late: of 8,657 lookups 4,495
-// were answered in time so, 4,167 without the bound.
+// retryAfter returns the retry-after time of a rejected call: the wait until the present queue
+// has been served or, if shorter, half of the time within which the call could still start and be
+// answered within its objective. Under sustained load, a caller that retries late finds the same
+// queue as one that retries early, but gets its answer late: of 8,657 lookups 4,495 were answered
+// within their objective with this bound, 4,167 without it.
 func (t *Ticket) retryAfter(wait time.Duration) time.Duration {
 	if t.objectiveWait > 0 && !t.gate.opts.RetryAfterIgnoresObjective {
 		wait = min(wait, t.objectiveWait/2)
@@ -163,8 +166,7 @@
 	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// lowerEstimate lowers the share's service time a little, so that the estimate is put
-// to the test now and then. A customer whose calls were slow for a while, and
-// which is refused ever since because of that, would never learn that they are
-// quick again.
+// lowerEstimate lowers the estimated service time of the share slightly, so that the estimate is
+// tested from time to time. Without this, a customer whose calls were slow for a while and are
+// rejected for that reason would stay rejected after its calls have become fast again.
 func (s *share) lowerEstimate() { s.serviceTime.value -= s.serviceTime.value / 64 }
--- a/gate/call.go
+++ b/gate/call.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Call is what a gate looks at.
+// Call describes a call that asks for admission.
 type Call struct {
 	Customer string
-	// Route names the kind of a call that belongs to no customer. Calls of a route share
-	// the slots with those of others as a customer's do, so that none of them pays for
-	// another's excess and the time that its calls take is known for each.
+	// Route identifies the kind of a call that belongs to no customer. Slot time is shared
+	// between routes as it is between customers, so that the excess load of one route does not
+	// delay the others and the service time is measured for each route.
 	Route string
-	// Nested calls are made by a service for a request that it works on. They go before
-	// all others: refused or late, they lose the work done for that request so far. In a
-	// minute of 11 hosts whose services call each other, 2,344 tries ended with a backend
-	// server's own failure, 13 with calls first.
+	// Nested marks a call that a service makes while it handles a request. Nested calls start
+	// before all others: if one is rejected or late, the work already done for the request is
+	// lost. In one minute on 11 hosts whose services call each other, 2,344 attempts ended with a
+	// failure of the backend server itself without this rule, and 13 with it.
 	Nested bool
-	// Priority ranks the other calls, 0 first. A call waits for none of a higher number.
+	// Priority ranks calls that are not nested; 0 is the most urgent. A call does not wait for
+	// calls with a higher number.
 	Priority int
-	// Remaining is how long the call may still take.
+	// Remaining is the time left until the call's deadline.
 	Remaining time.Duration
-	// MaxWait is how long the call may be expected to wait for its slot; with a
-	// longer wait ahead it is refused on arrival. 0 sets no bound but Remaining.
+	// MaxWait is the longest wait for a slot that the call accepts. A call with a longer expected
+	// wait is rejected on arrival. 0 means that only Remaining bounds the wait.
 	MaxWait time.Duration
-	// ObjectiveLeft is the time left until the call's latency objective, 0 for none.
-	// A wait after which the answer would be expected to come later counts as too
-	// long, but for a small part of it.
+	// ObjectiveLeft is the time left until the call's latency objective, or 0 if it has none. The
+	// call is also rejected if, after the expected wait, its answer would be expected later than
+	// that; a wait of a small part of ObjectiveLeft is always accepted.
 	ObjectiveLeft time.Duration
 }
 
-// key returns the key of the call's key.
+// key returns the key of the share that the call belongs to.
 func (c Call) key() shareKey {
 	if c.Nested {
 		return shareKey{customer: c.Customer, route: c.Route, rank: nestedRank}
@@ -35,8 +36,8 @@
 	return shareKey{customer: c.Customer, route: c.Route, rank: c.Priority}
 }
 
-// maxWait returns how long the call may have to wait where calls of its kind take
-// serviceTime.
+// maxWait returns the longest expected wait for a slot that the call accepts, given the service
+// time of its share.
 func (c Call) maxWait(serviceTime movingMean) time.Duration {
 	if c.MaxWait == 0 || c.ObjectiveLeft == 0 {
 		return c.MaxWait
@@ -44,8 +45,8 @@
 	return min(c.MaxWait, max(c.objectiveWait(serviceTime), c.ObjectiveLeft/minWaitDivisor))
 }
 
-// objectiveWait returns how long the call may wait and still be answered within its objective, as
-// most calls of its kind would be.
+// objectiveWait returns the longest wait after which most calls with this service time are still
+// answered within the call's objective.
 func (c Call) objectiveWait(serviceTime movingMean) time.Duration {
 	return c.ObjectiveLeft - serviceTime.value - serviceDeviations*serviceTime.deviation
 }
--- a/gate/chain_test.go
+++ b/gate/chain_test.go
@@ -27,8 +27,8 @@
 	bookingObjective        = 500 * ms
 	checkObjective          = 120 * ms
 	chainTime               = 30 * time.Second
-	// patience is the part of its objective that a call may have to wait.
-	patience = 0.6
+	// maxWaitShare is the part of its objective that a call may have to wait.
+	maxWaitShare = 0.6
 )
 
 // chain is the two services under one of the policies.
@@ -75,7 +75,7 @@
 func request(route string, priority int, objective, left time.Duration) gate.Call {
 	return gate.Call{
 		Route: route, Priority: priority, Remaining: left,
-		MaxWait: time.Duration(patience * float64(objective)), ObjectiveLeft: objective,
+		MaxWait: time.Duration(maxWaitShare * float64(objective)), ObjectiveLeft: objective,
 	}
 }
 
@@ -157,8 +157,8 @@
 	}
 }
 
-// play runs the load and returns the chain with its counts.
-func play(t *testing.T, nested bool, seed uint64) *chain {
+// runChain runs the load and returns the chain with its counts.
+func runChain(t *testing.T, nested bool, seed uint64) *chain {
 	t.Helper()
 	c := &chain{catalogue: newGate(6, 100), desk: newGate(6, 100), nested: nested, rnd: rand.New(rand.NewPCG(seed, 1))}
 	synctest.Test(t, func(t *testing.T) {
@@ -177,7 +177,7 @@
 // and 0.82 to 0.92 of the lookups in time, 0.63 to 0.67 and 0.61 to 0.64 of the bookings.
 func TestChainOfServicesDoesNotCollapse(t *testing.T) {
 	for seed := range uint64(3) {
-		before, after := play(t, false, seed), play(t, true, seed)
+		before, after := runChain(t, false, seed), runChain(t, true, seed)
 		for _, c := range []*chain{before, after} {
 			t.Logf("seed %d, nested calls first %v: lookups in time %.2f late %.2f failed or refused %.2f, runs a lookup %.2f, of them failed %.2f; bookings in time %.2f late %.2f refused %.2f",
 				seed, c.nested, c.lookups.share(&c.lookups.inTime), c.lookups.share(&c.lookups.late), c.lookups.share(&c.lookups.refused),
--- a/gate/fairqueue.go
+++ b/gate/fairqueue.go
@@ -6,62 +6,62 @@
 )
 
 const (
-	// maxShares bounds the customers remembered while they are idle.
+	// maxShares is the number of shares at which the idle ones are evicted before another is
+	// added.
 	maxShares = 1024
-	// maxDebt is how much slot time a customer can be behind the others at most
-	// when one of its calls takes longer than expected. Without a bound, the end
-	// of an hour-long upload would keep its customer out for as long as the
-	// others take to use an hour.
+	// maxDebt limits how far the tag of a share can advance beyond the virtual time when one of
+	// its calls takes longer than expected. Without a limit, the end of an hour-long upload would
+	// exclude its customer until the others have used an hour of slot time.
 	maxDebt = 10 * time.Second
-	// releaseScale is the unit of fairQueue.releases, in nanoseconds.
+	// releaseScale is the unit of time of fairQueue.releaseRate, in nanoseconds.
 	releaseScale = 1_000_000_000_000_000
 )
 
-// fairQueue shares slot time between customers by start-time fair queueing:
-// each customer has a tag that advances by the slot time its calls take, and
-// the waiting customer with the lowest tag goes next. Customers that were quiet
-// start at the present tag, so that quiet times earn no credit.
+// fairQueue shares slot time between customers by start-time fair queueing: each share has a tag
+// that advances by the slot time of its calls, and the waiting share with the lowest tag is
+// served next. The tag of a share that was idle starts at the current virtual time, so that idle
+// time earns no credit.
 type fairQueue struct {
 	shares map[shareKey]*share
 	// active lists the shares with waiting calls.
 	active []*share
 	len    int
-	// virtualTime is the start tag of the call started last.
+	// virtualTime is the start tag of the call that was started last.
 	virtualTime time.Duration
-	// releaseRate is how many slots the running calls are expected to free in
-	// releaseScale nanoseconds. It is a whole number so that adding and
-	// subtracting over months leaves no error behind.
+	// releaseRate is the number of slots that the running calls are expected to release in
+	// releaseScale nanoseconds. It is an integer so that additions and subtractions over months
+	// accumulate no rounding error.
 	releaseRate int64
 	serviceTime movingMean
-	// initialServiceTime is the service time of customers that have not been served yet.
+	// initialServiceTime is the assumed service time of a share without measured calls.
 	initialServiceTime time.Duration
-	// usage is the sum of the shares' usage by rank.
+	// usage is the sum of share.usage by rank.
 	usage   map[int]float64
 	reserve reserve
 }
 
-// shareKey names a share.
+// shareKey identifies a share.
 type shareKey struct {
 	customer, route string
-	// rank orders shares before fairness between customers does, lower ones first.
+	// rank orders shares before fairness between customers applies. Lower ranks are served first.
 	rank int
 }
 
-// nestedRank is the rank of nested calls, before all priorities.
+// nestedRank is the rank of nested calls. It precedes all priorities.
 const nestedRank = -1
 
-// share is one customer's or route's part of the gate at one rank.
+// share holds the queue and the statistics of one customer or route at one rank.
 type share struct {
 	shareKey
-	// tag is the slot time consumed, on the scale of fairQueue.present.
+	// tag is the slot time consumed, on the scale of fairQueue.virtualTime.
 	tag time.Duration
-	// waiting is sorted by due.
+	// waiting is sorted by Ticket.due.
 	waiting     []*Ticket
 	running     int
 	serviceTime movingMean
 	lastSeen    time.Time
-	// usedTime is the slot time usedTime since the latest review, usage the mean number
-	// of slots in use as of then.
+	// usedTime is the slot time of the calls that ended since the last update of usage. usage is
+	// the moving mean of the number of slots in use.
 	usedTime time.Duration
 	usage    float64
 	slow     bool
@@ -71,7 +71,7 @@
 	return &fairQueue{shares: make(map[shareKey]*share), usage: make(map[int]float64), serviceTime: movingMean{value: serviceTime, samples: 1}, initialServiceTime: serviceTime}
 }
 
-// before reports whether a share's calls go before another's.
+// before reports whether the calls of s are served before those of o.
 func (s *share) before(o *share) bool {
 	if s.rank != o.rank {
 		return s.rank < o.rank
@@ -79,7 +79,7 @@
 	return s.tag < o.tag
 }
 
-// share returns a share, a new one if there is none.
+// share returns the share with the key and creates it if it does not exist.
 func (q *fairQueue) share(k shareKey, now time.Time) *share {
 	s, ok := q.shares[k]
 	if !ok {
@@ -94,7 +94,7 @@
 	return s
 }
 
-// evictIdle drops customers without calls.
+// evictIdle removes the shares without calls.
 func (q *fairQueue) evictIdle() {
 	for k, s := range q.shares {
 		if s.running == 0 && len(s.waiting) == 0 {
@@ -103,8 +103,7 @@
 	}
 }
 
-// push puts a ticket into its share's queue, in which the one that is due first goes
-// first.
+// push inserts a ticket into its share's queue, which is ordered by due time.
 func (q *fairQueue) push(t *Ticket) {
 	s := t.share
 	if len(s.waiting) == 0 {
@@ -115,8 +114,8 @@
 	q.len++
 }
 
-// position returns where a call that is due at a time goes in the share's queue: behind
-// those that are due then or before.
+// position returns the index at which a call with the due time belongs in the share's queue:
+// behind all calls that are due at that time or earlier.
 func (s *share) position(due time.Time) int {
 	i, _ := slices.BinarySearchFunc(s.waiting, due, func(t *Ticket, d time.Time) int {
 		if t.due.After(d) {
@@ -127,7 +126,7 @@
 	return i
 }
 
-// remove takes a waiting ticket out.
+// remove removes a waiting ticket from its share's queue.
 func (q *fairQueue) remove(t *Ticket) {
 	s := t.share
 	i := slices.Index(s.waiting, t)
@@ -139,7 +138,7 @@
 	}
 }
 
-// longest returns the share with most waiting calls.
+// longest returns the share with the most waiting calls, or nil if no calls wait.
 func (q *fairQueue) longest() *share {
 	var longest *share
 	for _, s := range q.active {
@@ -150,8 +149,8 @@
 	return longest
 }
 
-// charge starts a ticket: it advances its share's tag by the slot time that the
-// call is expected to take.
+// charge accounts for the start of a ticket: it advances the tag of its share by the expected
+// slot time of the call.
 func (q *fairQueue) charge(t *Ticket) {
 	s := t.share
 	t.charged = max(s.serviceTime.value, 1)
@@ -168,7 +167,7 @@
 	}
 }
 
-// settle replaces the expected slot time of an ended call by the true one.
+// settle replaces the expected slot time of a call that ended by the measured one.
 func (q *fairQueue) settle(t *Ticket, now time.Time, o Outcome) {
 	s, held := t.share, now.Sub(t.started)
 	s.running--
@@ -183,7 +182,7 @@
 	s.usedTime += held
 	switch o {
 	case Failed:
-		// Cut short: it would have taken longer.
+		// The call was cut off and would have taken longer.
 		held = max(held, s.serviceTime.value)
 		fallthrough
 	case Answered:
@@ -192,17 +191,17 @@
 	}
 }
 
-// movingMean weighs the latest samples equally at first and then forgets old
-// ones. A shorter memory makes long forecasts waver by more than the margin of
-// a promise.
+// movingMean is a moving mean of durations. It weighs all samples equally until there are
+// maxSamples, then old samples decay. With a shorter memory, forecasts over many calls would vary
+// by more than the margin that checkWait allows.
 type movingMean struct {
 	value time.Duration
-	// deviation is the mean distance of the samples from the mean.
+	// deviation is the mean absolute deviation of the samples from the mean.
 	deviation time.Duration
 	samples   int
 }
 
-// maxSamples is the length of a moving mean's memory.
+// maxSamples is the number of samples that a moving mean covers.
 const maxSamples = 32
 
 func (m *movingMean) add(sample time.Duration) {
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -1,8 +1,8 @@
-// Package gate admits calls to one backend server. A gate counts the slots in
-// use, queues within the time that each call has left, and refuses before a
-// call starts what could not be answered in time. Calls of a more urgent rank go
-// first; within a rank slot time is shared fairly between customers, so that none
-// waits for another's excess.
+// Package gate implements admission control for the calls to one backend server. A gate limits
+// the calls in flight to the server's slots, queues the calls that can wait, and rejects a call
+// before it starts if it could not be answered in time. Calls of a more urgent rank start first.
+// Within a rank, slot time is shared fairly between customers, so that a customer's excess load
+// delays only its own calls.
 package gate
 
 import (
@@ -14,29 +14,30 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// Options holds the bounds of a Gate.
+// Options configures a Gate.
 type Options struct {
-	// Slots is how many calls the backend server runs at once.
+	// Slots is the number of calls that the backend server runs concurrently.
 	Slots int
-	// FixedSlots is whether a backend server that sheds calls while it has no more
-	// than its slots keeps all of them. It suits servers that shed part of their
-	// calls whatever their load: fewer slots would shed no less of them.
+	// FixedSlots keeps the announced number of slots even if the backend server sheds calls while
+	// it runs no more than that. It suits servers that shed a part of their calls at any load:
+	// fewer slots would not reduce the number of shed calls.
 	FixedSlots bool
-	// RetryAfterIgnoresObjective has refused callers come back when the queue will have been served,
-	// also where they can then no longer be answered within their objective.
+	// RetryAfterIgnoresObjective sets the retry-after time of a rejected call to the time in
+	// which the present queue will have been served, even if a retry at that time can no longer
+	// be answered within the call's latency objective.
 	RetryAfterIgnoresObjective bool
-	// MaxQueue is how many calls may wait. It bounds memory; the time that
-	// calls have left bounds the wait.
+	// MaxQueue is the maximum number of waiting calls. It bounds memory; the wait itself is
+	// bounded by the remaining time of each call.
 	MaxQueue int
-	// ServiceTime is the time that a call is assumed to hold its slot until
-	// the first ones have told.
+	// ServiceTime is the assumed time that a call holds its slot, used until calls have been
+	// measured.
 	ServiceTime time.Duration
-	// Now reads a monotonic clock. It must run with the runtime's timers, which
+	// Now returns the time of a monotonic clock. It must advance with the runtime's timers, which
 	// end the waits.
 	Now func() time.Time
 }
 
-// DefaultOptions suit a backend server with 10 slots and calls of a few
+// DefaultOptions returns options for a backend server with 10 slots and calls of a few
 // milliseconds.
 func DefaultOptions() Options {
 	return Options{
@@ -47,12 +48,12 @@
 	}
 }
 
-// Refusals are made once: under overload there are many, and none is worth a
-// stack trace.
+// The errors are allocated once: under overload many calls are rejected, and none of the errors
+// needs a stack trace.
 var (
-	errDraining      = errkind.New(errkind.Draining, "the backend server is leaving")
+	errDraining      = errkind.New(errkind.Draining, "the backend server is draining")
 	errOverloaded    = errkind.New(errkind.Overloaded, "the queue is too long for the time left")
-	errDisplaced     = errkind.New(errkind.Overloaded, "the place in the queue went to a customer below its share")
+	errDisplaced     = errkind.New(errkind.Overloaded, "displaced from the full queue by a customer with fewer waiting calls")
 	errTooLittleTime = errkind.New(errkind.DeadlineNotRun, "too little time is left to run the call")
 	errCanceled      = errkind.New(errkind.Canceled, "canceled before the call started")
 )
@@ -70,7 +71,7 @@
 	isIdle   bool
 	queue    *fairQueue
 
-	// nestedSlotReserved is set once a slot is kept for nested calls.
+	// nestedSlotReserved is set once a slot is reserved for nested calls.
 	nestedSlotReserved atomic.Bool
 }
 
@@ -86,16 +87,15 @@
 	return g
 }
 
-// Enter takes a slot for a call that must be answered within remaining. It
-// waits for a slot only as long as the call can still be answered in time. The
-// error is an *errkind.Error, and none of its kinds lets the call start:
-// Overloaded and DeadlineNotRun for lack of time, Draining, and Canceled when
-// ctx ends first.
+// Enter acquires a slot for a call that must be answered within the remaining time. It waits for
+// a slot only as long as the call can still be answered in time. The error is an *errkind.Error,
+// and the call must not start after an error of any kind: Overloaded or DeadlineNotRun if the
+// time does not suffice, Draining if the gate drains, and Canceled if ctx ends first.
 func (g *Gate) Enter(ctx context.Context, customer string, remaining time.Duration) (*Ticket, error) {
 	return g.Admit(ctx, Call{Customer: customer, Remaining: remaining})
 }
 
-// Admit is Enter for calls with a rank.
+// Admit acquires a slot as Enter does, for a call with a rank, a maximum wait or an objective.
 func (g *Gate) Admit(ctx context.Context, c Call) (*Ticket, error) {
 	if ctx.Err() != nil {
 		return nil, errCanceled
@@ -121,9 +121,9 @@
 	return t, nil
 }
 
-// Check returns the error with which Admit would refuse a call that came now, nil if
-// it would be let in. It takes no slot and queues nothing: what it finds may be outdated at
-// once.
+// Check returns the error that Admit would return for the call at this moment, or nil if Admit
+// would start or queue it. Check neither acquires a slot nor queues the call, so the result may
+// be outdated at once.
 func (g *Gate) Check(c Call) error {
 	if c.Remaining <= 0 {
 		return errTooLittleTime
@@ -136,9 +136,9 @@
 	return err
 }
 
-// decide reports whether the ticket may start at once; an error says why it may not
-// even wait. The caller holds mu. A free slot goes to the newcomer even if others
-// wait: dispatch has left it free because they may not have it.
+// decide reports whether the ticket may start immediately. A non-nil error is the reason why it
+// may not wait either. A free slot goes to the new call even if others wait: dispatch leaves a
+// slot free only if none of the waiting calls may use it. The caller holds mu.
 func (g *Gate) decide(t *Ticket, c Call, now time.Time) (start bool, err error) {
 	if g.draining {
 		return false, errDraining
@@ -157,7 +157,8 @@
 	return false, g.checkWait(t, now)
 }
 
-// startOrQueue starts the ticket, queues it or returns why neither. The caller holds mu.
+// startOrQueue starts the ticket, queues it, or returns the reason why it does neither. The
+// caller holds mu.
 func (g *Gate) startOrQueue(t *Ticket, c Call, now time.Time) error {
 	start, err := g.decide(t, c, now)
 	if err != nil {
@@ -180,9 +181,10 @@
 	return nil
 }
 
-// displaceFor makes room for a call of the share by refusing one of the customer
-// that has most calls waiting, if that is another one. A customer that fills
-// the queue thus fills it with its own calls only.
+// displaceFor makes room in a full queue for a call of the share by rejecting the last call of
+// the share with the most waiting calls, provided that it is another share and has at least two
+// more waiting calls. A customer that fills the queue therefore displaces only its own calls. It
+// reports whether it made room.
 func (g *Gate) displaceFor(s *share) bool {
 	longest := g.queue.longest()
 	if longest == nil || longest == s || len(longest.waiting) <= len(s.waiting)+1 {
@@ -192,14 +194,14 @@
 	return true
 }
 
-// reject takes a ticket out of the queue and tells its waiter.
+// reject removes a ticket from the queue and sends the error to its waiter.
 func (g *Gate) reject(t *Ticket, err error) {
 	g.queue.remove(t)
 	t.state = ended
 	t.ready <- err
 }
 
-// start gives the ticket a slot.
+// start assigns a slot to the ticket.
 func (g *Gate) start(t *Ticket, now time.Time) {
 	g.inUse++
 	t.state = running
@@ -208,9 +210,9 @@
 	g.queue.charge(t)
 }
 
-// dispatch fills free slots from the queue. Calls that have waited too long for
-// what they have left are refused instead of started: they would only take a
-// slot from one that can still be answered.
+// dispatch assigns free slots to queued calls. It rejects a call whose remaining time is shorter
+// than its expected service time, since the call would occupy a slot that another call can still
+// use in time.
 func (g *Gate) dispatch(now time.Time) {
 	for g.queue.len > 0 && g.inUse < g.limit.allowed() {
 		t := g.next()
@@ -227,9 +229,9 @@
 	}
 }
 
-// next returns the waiting ticket that goes next: of the most urgent rank and of
-// the customer with the lowest tag in it among those that may start, the one with
-// the earliest deadline.
+// next returns the ticket that starts next. Among the shares that may start a call, it selects
+// the most urgent rank, within the rank the share with the lowest tag, and within the share the
+// call with the earliest due time. It returns nil if no share may start a call.
 func (g *Gate) next() *Ticket {
 	var first *share
 	for _, s := range g.queue.active {
@@ -243,7 +245,7 @@
 	return first.waiting[0]
 }
 
-// wait blocks until the ticket has a slot, is refused, or its time is up.
+// wait blocks until the ticket has a slot, is rejected, or its wait times out.
 func (g *Gate) wait(ctx context.Context, t *Ticket) (*Ticket, error) {
 	timer := time.NewTimer(t.waitTimeout)
 	defer timer.Stop()
@@ -260,9 +262,10 @@
 	}
 }
 
-// waitTimeoutError is the reason of a call that has waited long enough: for its time, or
-// for what it was ready to wait. A more urgent rank may have gone before it, or calls
-// have taken longer than was to be expected.
+// waitTimeoutError returns the error for a call whose wait timed out: DeadlineNotRun if its
+// remaining time is too short to run it, Overloaded if only its maximum wait has passed. Waits
+// exceed the forecast if calls of a more urgent rank arrive or if calls take longer than
+// expected.
 func (g *Gate) waitTimeoutError(t *Ticket) *errkind.Error {
 	if t.maxWait > 0 && t.deadline.Sub(g.opts.Now()) > t.share.serviceTime.value {
 		return errOverloaded.After(t.retryAfter(g.Load().Wait))
@@ -270,9 +273,9 @@
 	return errTooLittleTime
 }
 
-// stopWaiting gives up waiting. A slot that was granted meanwhile is kept if only the
-// time ran out, since the grant made sure that enough was left, and given back
-// if the caller has gone.
+// stopWaiting ends the wait of a ticket and returns the reason as its error. If a slot was
+// assigned concurrently, the call keeps it when only its wait timed out, because dispatch has
+// checked that the remaining time suffices; if the caller canceled, the slot is released.
 func (g *Gate) stopWaiting(t *Ticket, reason *errkind.Error) (*Ticket, error) {
 	g.mu.Lock()
 	if t.state == waiting {
@@ -293,7 +296,8 @@
 	return t, nil
 }
 
-// SetSlots changes the number of slots. Calls beyond a lower number run on.
+// SetSlots changes the number of slots. If the number is reduced, the calls that already run
+// continue.
 func (g *Gate) SetSlots(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -302,9 +306,8 @@
 	g.publish()
 }
 
-// Drain refuses new calls from now on. Those that wait keep their place: they
-// were promised an answer in time, and refusing them would cost their callers a
-// second attempt.
+// Drain rejects new calls from now on. Waiting calls keep their place: they were admitted because
+// they can be answered in time, and rejecting them would cost their callers another attempt.
 func (g *Gate) Drain() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -312,8 +315,8 @@
 	g.publish()
 }
 
-// Evict refuses new calls from now on and those that wait as well. The backend
-// server will not serve them; another one may.
+// Evict rejects new calls from now on and all waiting calls as well. The backend server will not
+// serve them, but another one may.
 func (g *Gate) Evict() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -324,6 +327,6 @@
 	g.publish()
 }
 
-// Idle returns a channel that is closed once the gate drains and neither runs
-// nor holds a call.
+// Idle returns a channel that is closed once the gate is draining and has no running or waiting
+// calls.
 func (g *Gate) Idle() <-chan struct{} { return g.idleCh }
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -29,8 +29,8 @@
 	return ticket
 }
 
-// enterLater enters in the background; the channel gives the error's kind.
-func enterLater(ctx context.Context, g *gate.Gate, customer string) <-chan errkind.Kind {
+// enterAsync enters in the background; the channel gives the error's kind.
+func enterAsync(ctx context.Context, g *gate.Gate, customer string) <-chan errkind.Kind {
 	kind := make(chan errkind.Kind, 1)
 	go func() {
 		ticket, err := g.Enter(ctx, customer, time.Hour)
@@ -43,7 +43,7 @@
 	return kind
 }
 
-func TestRefusedAtOnce(t *testing.T) {
+func TestRejectsOnArrival(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		start := time.Now()
@@ -62,7 +62,7 @@
 
 // Before a large body is sent for, the gate is asked whether the call would be let in. It
 // says what Admit would say, and a question takes no slot.
-func TestCheckSaysWhatAdmitWould(t *testing.T) {
+func TestCheckMatchesAdmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		must.Eq(t, errkind.DeadlineNotRun, errkind.Of(g.Check(gate.Call{Customer: "a"})))
@@ -86,7 +86,7 @@
 		g := newGate(1, 10)
 		running := mustEnter(t, g, "a")
 		ctx, cancel := context.WithCancel(t.Context())
-		kind := enterLater(ctx, g, "a")
+		kind := enterAsync(ctx, g, "a")
 		must.Eq(t, 1, g.Load().Queued)
 		cancel()
 		must.Eq(t, errkind.Canceled, <-kind)
@@ -97,7 +97,7 @@
 		for range 100 {
 			ctx, cancel := context.WithCancel(t.Context())
 			running := mustEnter(t, g, "a")
-			kind := enterLater(ctx, g, "a")
+			kind := enterAsync(ctx, g, "a")
 			cancel()
 			running.Done(gate.Answered)
 			<-kind
@@ -109,7 +109,7 @@
 // The backend server has become slow while a call waited. What the call has left
 // is enough by the old estimate and not by the new one: it is refused, since it
 // would hold the slot for nothing.
-func TestTooLateAtItsTurn(t *testing.T) {
+func TestRejectsQueuedCallWithTooLittleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		running := mustEnter(t, g, "a")
@@ -126,9 +126,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		running := mustEnter(t, g, "a")
-		waiting := enterLater(t.Context(), g, "a")
+		waiting := enterAsync(t.Context(), g, "a")
 		g.Drain()
-		must.Eq(t, errkind.Draining, <-enterLater(t.Context(), g, "b"))
+		must.Eq(t, errkind.Draining, <-enterAsync(t.Context(), g, "b"))
 		select {
 		case <-g.Idle():
 			t.Fatal("idle while a call runs")
@@ -142,16 +142,16 @@
 
 // One customer fills the queue, then another one's call arrives. It gets a place
 // and the first customer's newest call loses its own, not the other way round.
-func TestFullQueueDisplacesTheLongest(t *testing.T) {
+func TestFullQueueDisplacesLongestCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 3)
 		running := mustEnter(t, g, "a")
 		var a []<-chan errkind.Kind
 		for range 3 {
-			a = append(a, enterLater(t.Context(), g, "a"))
+			a = append(a, enterAsync(t.Context(), g, "a"))
 		}
-		must.Eq(t, errkind.Overloaded, <-enterLater(t.Context(), g, "a"))
-		b := enterLater(t.Context(), g, "b")
+		must.Eq(t, errkind.Overloaded, <-enterAsync(t.Context(), g, "a"))
+		b := enterAsync(t.Context(), g, "b")
 		must.Eq(t, errkind.Overloaded, <-a[2])
 		running.Done(gate.Answered)
 		must.Eq(t, errkind.None, <-b)
@@ -162,7 +162,7 @@
 
 // A customer's calls were slow once and the slots have been taken by others ever
 // since. The gate refuses its calls for the time they took then, but not forever.
-func TestEstimateIsPutToTheTest(t *testing.T) {
+func TestServiceTimeEstimateRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		slow := mustEnter(t, g, "a")
@@ -201,7 +201,7 @@
 				ticket.Done(gate.Answered)
 			}()
 		}
-		a := enterLater(t.Context(), g, "a")
+		a := enterAsync(t.Context(), g, "a")
 		start := time.Now()
 		long.Done(gate.Answered)
 		must.Eq(t, errkind.None, <-a)
@@ -215,11 +215,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		running := mustEnter(t, g, "a")
-		waiting := enterLater(t.Context(), g, "a")
+		waiting := enterAsync(t.Context(), g, "a")
 		g.SetSlots(2)
 		must.Eq(t, errkind.None, <-waiting)
 		g.SetSlots(1)
-		waiting = enterLater(t.Context(), g, "a")
+		waiting = enterAsync(t.Context(), g, "a")
 		must.Eq(t, 1, g.Load().Queued)
 		running.Done(gate.Answered)
 		must.Eq(t, errkind.None, <-waiting)
@@ -281,8 +281,8 @@
 	})
 }
 
-// BenchmarkRefuse has all slots taken and a full queue of one customer in front.
-func BenchmarkRefuse(b *testing.B) {
+// BenchmarkReject has all slots taken and a full queue of one customer in front.
+func BenchmarkReject(b *testing.B) {
 	for _, queued := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
 			g := newGate(1, queued)
@@ -308,7 +308,7 @@
 // A backend server sheds half of its calls whatever its load. With slots that shrink
 // at each shed, one is left after a few calls, and callers are refused though the
 // server could run the other half.
-func TestTrustedSlotsStayUnderSheds(t *testing.T) {
+func TestFixedSlotsIgnoreSheds(t *testing.T) {
 	for _, trusted := range []bool{false, true} {
 		opts := gate.DefaultOptions()
 		opts.Slots, opts.FixedSlots = 9, trusted
--- a/gate/limit.go
+++ b/gate/limit.go
@@ -3,15 +3,14 @@
 import "time"
 
 const (
-	// growInterval is how long no call must have been shed before the limit grows
-	// by one slot.
+	// growInterval is the time without a shed call after which the limit grows by one slot.
 	growInterval = time.Second
 )
 
-// limit is how many slots are handed out: those that were announced, or fewer
-// while the backend server sheds calls although it has had no more than that.
+// limit is the number of slots that may be in use: the announced number, or fewer while the
+// backend server sheds calls although no more than the announced slots are in use.
 type limit struct {
-	// fixed is whether sheds change nothing.
+	// fixed disables the adaptation to shed calls.
 	fixed     bool
 	announced int
 	current   int
@@ -25,7 +24,8 @@
 
 func (l *limit) allowed() int { return l.current }
 
-// setAnnounced takes over an announcement. A repeated one changes nothing.
+// setAnnounced applies an announced number of slots. Announcing the same number again has no
+// effect.
 func (l *limit) setAnnounced(slots int) {
 	if slots == l.announced {
 		return
@@ -34,9 +34,9 @@
 	l.current = l.announced
 }
 
-// recordOutcome adapts the limit to the outcome of a call that was the level-th in use at
-// its start. Shed as the seventh, it shows that there is room for six. Without
-// this, each freed slot would be handed to the next call in the queue, which is
+// recordOutcome adapts the limit to the outcome of a call that had inUseAtStart slots in use at
+// its start, its own included. If the call was shed with seven slots in use, the limit becomes
+// six. Without this, each released slot would go to the next call in the queue, which would be
 // shed in turn, until the queue is empty.
 func (l *limit) recordOutcome(o Outcome, inUseAtStart int, now time.Time) {
 	switch {
--- a/gate/load.go
+++ b/gate/load.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Load is what a gate tells of itself.
+// Load is the load that a gate reports.
 type Load struct {
 	InUse    int
 	Queued   int
@@ -13,19 +13,19 @@
 	Draining bool
 	// ServiceTime is the moving mean of the time that a call holds its slot.
 	ServiceTime time.Duration
-	// Wait is how long a call that arrives now is expected to wait for its slot.
+	// Wait is the expected wait for a slot of a call that arrives now.
 	Wait time.Duration
 }
 
-// counters hold the latest Load for readers without the gate's mutex. A reader
-// may see the fields of two neighbouring moments.
+// counters holds the latest Load for readers that do not hold the gate's mutex. A reader may see
+// a mix of two consecutive states.
 type counters struct {
 	inUse, queued, slots atomic.Int64
 	draining             atomic.Bool
 	serviceTime, wait    atomic.Int64
 }
 
-// Load returns the gate's load of this moment without waiting for anyone.
+// Load returns the current load without blocking.
 func (g *Gate) Load() Load {
 	return Load{
 		InUse:       int(g.load.inUse.Load()),
@@ -37,8 +37,8 @@
 	}
 }
 
-// publish makes the state visible to Load and closes the idle channel when it
-// is time. The caller holds mu.
+// publish updates the state that Load returns, and closes the idle channel once the gate is
+// draining and has no calls left. The caller holds mu.
 func (g *Gate) publish() {
 	g.load.inUse.Store(int64(g.inUse))
 	g.load.queued.Store(int64(g.queue.len))
@@ -52,8 +52,8 @@
 	}
 }
 
-// expectedWait is for a call that comes last and takes as long as the mean. The caller
-// holds mu.
+// expectedWait returns the expected wait for a slot of a call that is queued last and has the
+// mean service time. The caller holds mu.
 func (g *Gate) expectedWait() time.Duration {
 	if g.inUse+g.reservedForNested() < g.limit.allowed() {
 		return 0
--- a/gate/model_test.go
+++ b/gate/model_test.go
@@ -13,17 +13,17 @@
 	"github.com/crocuscross/crocuscross/gate"
 )
 
-// entrance is what the model sends calls through: the gate or what it is
+// admitter is what the model sends calls through: the gate or what it is
 // compared with.
-type entrance interface {
-	enter(customer string, remaining time.Duration) (leave func(gate.Outcome), err error)
+type admitter interface {
+	admit(customer string, remaining time.Duration) (leave func(gate.Outcome), err error)
 }
 
-type gateEntrance struct{ *gate.Gate }
+type gateAdmitter struct{ *gate.Gate }
 
-func newGateEntrance() entrance { return gateEntrance{gate.New(gate.DefaultOptions())} }
+func newGateAdmitter() admitter { return gateAdmitter{gate.New(gate.DefaultOptions())} }
 
-func (e gateEntrance) enter(customer string, remaining time.Duration) (func(gate.Outcome), error) {
+func (e gateAdmitter) admit(customer string, remaining time.Duration) (func(gate.Outcome), error) {
 	t, err := e.Enter(context.Background(), customer, remaining)
 	if err != nil {
 		return nil, err
@@ -54,11 +54,11 @@
 	return slices.Index(waiting, first)
 }
 
-func (o order) entrance() entrance {
+func (o order) newAdmitter() admitter {
 	return &plainQueue{free: gate.DefaultOptions().Slots, order: o}
 }
 
-func (q *plainQueue) enter(_ string, remaining time.Duration) (func(gate.Outcome), error) {
+func (q *plainQueue) admit(_ string, remaining time.Duration) (func(gate.Outcome), error) {
 	q.mu.Lock()
 	if q.free > 0 {
 		q.free--
@@ -108,27 +108,27 @@
 // tally counts what became of a source's calls: answered whole, cut by their
 // deadline, shed by the backend server, refused on arrival or after a wait.
 type tally struct {
-	offered, inTime, late, shed, atOnce, afterWait int
+	offered, inTime, late, shed, onArrival, afterWait int
 }
 
-func (t *tally) of(n int) float64 { return float64(n) / float64(max(t.offered, 1)) }
+func (t *tally) share(n int) float64 { return float64(n) / float64(max(t.offered, 1)) }
 
 func (t *tally) add(o tally) {
 	t.offered += o.offered
 	t.inTime += o.inTime
 	t.late += o.late
 	t.shed += o.shed
-	t.atOnce += o.atOnce
+	t.onArrival += o.onArrival
 	t.afterWait += o.afterWait
 }
 
 // model runs sources against an entrance with a virtual clock.
 type model struct {
-	entrance func() entrance
-	// room is how many calls the backend server runs; it sheds the others.
-	room    int
-	length  time.Duration
-	sources []source
+	newAdmitter func() admitter
+	// backendSlots is how many calls the backend server runs; it sheds the others.
+	backendSlots int
+	length       time.Duration
+	sources      []source
 }
 
 const modelWarmup = 2 * time.Second
@@ -141,7 +141,7 @@
 	synctest.Test(t, func(*testing.T) {
 		var mu sync.Mutex
 		var group sync.WaitGroup
-		e, running := m.entrance(), make(chan struct{}, m.room)
+		e, running := m.newAdmitter(), make(chan struct{}, m.backendSlots)
 		start := time.Now()
 		for i, src := range m.sources {
 			rng := rand.New(rand.NewPCG(1, uint64(i)))
@@ -165,13 +165,13 @@
 	return tallies
 }
 
-func call(e entrance, src source, service time.Duration, running chan struct{}) tally {
+func call(e admitter, src source, service time.Duration, running chan struct{}) tally {
 	start := time.Now()
-	leave, err := e.enter(src.customer, src.deadline)
+	leave, err := e.admit(src.customer, src.deadline)
 	waited := time.Since(start)
 	switch {
 	case err != nil && waited == 0:
-		return tally{offered: 1, atOnce: 1}
+		return tally{offered: 1, onArrival: 1}
 	case err != nil:
 		return tally{offered: 1, afterWait: 1}
 	}
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -18,8 +18,8 @@
 
 func nestedCall() gate.Call { return gate.Call{Route: "check", Nested: true, Remaining: time.Second} }
 
-// admitLater admits in the background and tells when it was let in.
-func admitLater(t *testing.T, g *gate.Gate, c gate.Call, hold time.Duration) <-chan error {
+// admitAsync admits in the background and tells when it was let in.
+func admitAsync(t *testing.T, g *gate.Gate, c gate.Call, hold time.Duration) <-chan error {
 	t.Helper()
 	done := make(chan error, 1)
 	go func() {
@@ -41,8 +41,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		running := mustEnter(t, g, "")
-		first := admitLater(t, g, gate.Call{Route: "booking", Remaining: time.Second}, 0)
-		nested := admitLater(t, g, nestedCall(), 100*time.Millisecond)
+		first := admitAsync(t, g, gate.Call{Route: "booking", Remaining: time.Second}, 0)
+		nested := admitAsync(t, g, nestedCall(), 100*time.Millisecond)
 		running.Done(gate.Answered)
 		must.NoError(t, <-nested)
 		synctest.Wait()
@@ -55,7 +55,7 @@
 // A service calls itself. Requests of callers take all slots, and each then needs one for
 // the call that it makes: they wait for each other until their time is up, and all fail.
 // With a slot kept for nested calls each gets its turn.
-func TestRingOfCallsDoesNotLockUp(t *testing.T) {
+func TestNestedCallCycleDoesNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(2, 100)
 		g.ReserveNestedSlot()
@@ -93,7 +93,7 @@
 		}
 		for range 3 {
 			for range 6 {
-				admitLater(t, g, lookup(0), 200*time.Millisecond)
+				admitAsync(t, g, lookup(0), 200*time.Millisecond)
 			}
 			must.Eq(t, 6, g.Load().InUse)
 			time.Sleep(time.Second)
@@ -105,7 +105,7 @@
 // patience left, and go before them. Each of these may only as long as the two are served
 // within their patience and a quarter of it: they would leave after a wait in vain, and
 // begin anew elsewhere.
-func TestPatienceIsKept(t *testing.T) {
+func TestNewcomersRespectMaxWaitOfQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opts := gate.DefaultOptions()
 		opts.Slots, opts.ServiceTime = 1, 40*time.Millisecond
@@ -114,16 +114,16 @@
 		must.NoError(t, err)
 		var served []<-chan error
 		for range 2 {
-			served = append(served, admitLater(t, g, lookup(100*time.Millisecond), 40*time.Millisecond))
+			served = append(served, admitAsync(t, g, lookup(100*time.Millisecond), 40*time.Millisecond))
 		}
-		served = append(served, admitLater(t, g, lookup(50*time.Millisecond), 40*time.Millisecond))
+		served = append(served, admitAsync(t, g, lookup(50*time.Millisecond), 40*time.Millisecond))
 		for _, patience := range []time.Duration{48, 46, 44} {
-			must.Eq(t, errkind.Overloaded, errkind.Of(<-admitLater(t, g, lookup(patience*time.Millisecond), 0)))
+			must.Eq(t, errkind.Overloaded, errkind.Of(<-admitAsync(t, g, lookup(patience*time.Millisecond), 0)))
 		}
 		// An early deadline is no reason to go before those that came first.
 		hurried := lookup(100 * time.Millisecond)
 		hurried.Remaining = 200 * time.Millisecond
-		must.Eq(t, errkind.Overloaded, errkind.Of(<-admitLater(t, g, hurried, 0)))
+		must.Eq(t, errkind.Overloaded, errkind.Of(<-admitAsync(t, g, hurried, 0)))
 		time.Sleep(40 * time.Millisecond)
 		running.Done(gate.Answered)
 		for _, s := range served {
@@ -135,7 +135,7 @@
 
 // Senders pass a gate over whose queue is too long for a call. What it tells counts the
 // calls that wait by the time that each of them takes, and the slots kept for nested calls.
-func TestExpectedWaitCountsWhatWaits(t *testing.T) {
+func TestExpectedWaitUsesServiceTimesOfQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
 		for range 40 {
@@ -150,8 +150,8 @@
 		}
 		must.Eq(t, 0, g.Load().Wait)
 		running := mustEnter(t, g, "")
-		admitLater(t, g, lookup(0), 0)
-		admitLater(t, g, lookup(0), 0)
+		admitAsync(t, g, lookup(0), 0)
+		admitAsync(t, g, lookup(0), 0)
 		must.Between(t, 200*time.Millisecond, g.Load().Wait, 300*time.Millisecond)
 		running.Done(gate.Answered)
 		synctest.Wait()
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	ample     = 1000
-	ms        = time.Millisecond
-	capacity  = 1000.0 // calls of 10 ms per second in 10 slots
-	modelTime = 4 * time.Second
+	unlimitedSlots = 1000
+	ms             = time.Millisecond
+	capacity       = 1000.0 // calls of 10 ms per second in 10 slots
+	modelTime      = 4 * time.Second
 )
 
 // deadlineMix offers load times the capacity with calls that may take 30 ms,
@@ -31,17 +31,17 @@
 func TestGoodputUnderOverload(t *testing.T) {
 	for _, e := range []struct {
 		name  string
-		new   func() entrance
+		new   func() admitter
 		loads []float64
 	}{
-		{"oldest first", order(oldest).entrance, []float64{1, 2}},
-		{"newest first", order(newest).entrance, []float64{1, 2}},
-		{"earliest deadline first", order(earliest).entrance, []float64{1, 2}},
-		{"gate", newGateEntrance, []float64{1, 2, 4}},
+		{"oldest first", order(oldest).newAdmitter, []float64{1, 2}},
+		{"newest first", order(newest).newAdmitter, []float64{1, 2}},
+		{"earliest deadline first", order(earliest).newAdmitter, []float64{1, 2}},
+		{"gate", newGateAdmitter, []float64{1, 2, 4}},
 	} {
 		var atCapacity float64
 		for _, load := range e.loads {
-			ts := model{e.new, ample, modelTime, deadlineMix(load)}.run(t)
+			ts := model{e.new, unlimitedSlots, modelTime, deadlineMix(load)}.run(t)
 			var all tally
 			for _, x := range ts {
 				all.add(x)
@@ -51,50 +51,50 @@
 				atCapacity = goodput
 			}
 			t.Logf("%-23s %.0fx: goodput %4.0f/s (%.2f), late %.3f, refused at once %.3f, after a wait %.3f; in time by deadline %.2f %.2f %.2f",
-				e.name, load, goodput, goodput/atCapacity, all.of(all.late), all.of(all.atOnce), all.of(all.afterWait),
-				ts[0].of(ts[0].inTime), ts[1].of(ts[1].inTime), ts[2].of(ts[2].inTime))
+				e.name, load, goodput, goodput/atCapacity, all.share(all.late), all.share(all.onArrival), all.share(all.afterWait),
+				ts[0].share(ts[0].inTime), ts[1].share(ts[1].inTime), ts[2].share(ts[2].inTime))
 			if e.name != "gate" {
 				continue
 			}
 			must.GreaterEq(t, 0.97*capacity, atCapacity)
 			must.GreaterEq(t, 0.95, goodput/atCapacity)
-			must.Less(t, 0.01, all.of(all.late)+all.of(all.afterWait))
-			must.GreaterEq(t, 0.8/load, min(ts[0].of(ts[0].inTime), ts[1].of(ts[1].inTime), ts[2].of(ts[2].inTime)))
+			must.Less(t, 0.01, all.share(all.late)+all.share(all.afterWait))
+			must.GreaterEq(t, 0.8/load, min(ts[0].share(ts[0].inTime), ts[1].share(ts[1].inTime), ts[2].share(ts[2].inTime)))
 		}
 	}
 }
 
 // One customer sends four times the capacity, two others a tenth each. The
 // others are answered as if they were alone.
-func TestFloodIsPaidByItsCustomer(t *testing.T) {
+func TestFloodAffectsOnlyItsCustomer(t *testing.T) {
 	sources := []source{
 		{"flood", 4 * capacity, 10 * ms, 1000 * ms},
 		{"b", 0.1 * capacity, 10 * ms, 50 * ms},
 		{"c", 0.1 * capacity, 10 * ms, 50 * ms},
 	}
-	plain := model{order(oldest).entrance, ample, modelTime, sources}.run(t)
-	ts := model{newGateEntrance, ample, modelTime, sources}.run(t)
+	plain := model{order(oldest).newAdmitter, unlimitedSlots, modelTime, sources}.run(t)
+	ts := model{newGateAdmitter, unlimitedSlots, modelTime, sources}.run(t)
 	t.Logf("in time of flood, b, c: %.3f %.3f %.3f, first come first served: %.3f %.3f %.3f",
-		ts[0].of(ts[0].inTime), ts[1].of(ts[1].inTime), ts[2].of(ts[2].inTime),
-		plain[0].of(plain[0].inTime), plain[1].of(plain[1].inTime), plain[2].of(plain[2].inTime))
-	must.GreaterEq(t, 0.99, ts[1].of(ts[1].inTime))
-	must.GreaterEq(t, 0.99, ts[2].of(ts[2].inTime))
-	must.Less(t, 0.02, ts[0].of(ts[0].late)+ts[0].of(ts[0].afterWait))
+		ts[0].share(ts[0].inTime), ts[1].share(ts[1].inTime), ts[2].share(ts[2].inTime),
+		plain[0].share(plain[0].inTime), plain[1].share(plain[1].inTime), plain[2].share(plain[2].inTime))
+	must.GreaterEq(t, 0.99, ts[1].share(ts[1].inTime))
+	must.GreaterEq(t, 0.99, ts[2].share(ts[2].inTime))
+	must.Less(t, 0.02, ts[0].share(ts[0].late)+ts[0].share(ts[0].afterWait))
 	must.GreaterEq(t, 0.75*capacity*modelTime.Seconds(), float64(ts[0].inTime))
 }
 
 // One customer uploads at twice the capacity, each a second long, another looks
 // up at a twentieth of it. All slots are taken by uploads, and a lookup cannot
 // wait for the end of one. With the headroom it need not.
-func TestUploadsLeaveRoomForLookups(t *testing.T) {
+func TestUploadsLeaveSlotsForLookups(t *testing.T) {
 	sources := []source{
 		{"uploads", 20, time.Second, 4 * time.Second},
 		{"lookups", 100, 5 * ms, 50 * ms},
 	}
-	ts := model{newGateEntrance, ample, 3 * modelTime, sources}.run(t)
+	ts := model{newGateAdmitter, unlimitedSlots, 3 * modelTime, sources}.run(t)
 	used := float64(ts[0].inTime) / (10 * 3 * modelTime.Seconds())
-	t.Logf("lookups in time %.3f, slots used by uploads %.2f", ts[1].of(ts[1].inTime), used)
-	must.GreaterEq(t, 0.95, ts[1].of(ts[1].inTime))
+	t.Logf("lookups in time %.3f, slots used by uploads %.2f", ts[1].share(ts[1].inTime), used)
+	must.GreaterEq(t, 0.95, ts[1].share(ts[1].inTime))
 	must.GreaterEq(t, 0.8, used)
 }
 
@@ -102,10 +102,10 @@
 // shed frees its slot at once for the next one, which is shed as well.
 func TestLimitFollowsShedding(t *testing.T) {
 	sources := []source{{"a", 0.8 * capacity, 10 * ms, 200 * ms}}
-	plain := model{order(oldest).entrance, 6, modelTime, sources}.run(t)[0]
-	x := model{newGateEntrance, 6, modelTime, sources}.run(t)[0]
+	plain := model{order(oldest).newAdmitter, 6, modelTime, sources}.run(t)[0]
+	x := model{newGateAdmitter, 6, modelTime, sources}.run(t)[0]
 	t.Logf("shed %.4f, in time %.3f; with a fixed limit: shed %.4f, in time %.3f",
-		x.of(x.shed), x.of(x.inTime), plain.of(plain.shed), plain.of(plain.inTime))
-	must.Less(t, 0.01, x.of(x.shed))
-	must.GreaterEq(t, 0.65, x.of(x.inTime))
+		x.share(x.shed), x.share(x.inTime), plain.share(plain.shed), plain.share(plain.inTime))
+	must.Less(t, 0.01, x.share(x.shed))
+	must.GreaterEq(t, 0.65, x.share(x.inTime))
 }
--- a/gate/reserve.go
+++ b/gate/reserve.go
@@ -3,41 +3,44 @@
 import "time"
 
 const (
-	// classifyInterval is how often customers are told apart by the time their
-	// calls take.
+	// classifyInterval is the interval at which customers are classified as slow or fast by their
+	// service time.
 	classifyInterval = time.Second
-	// reserveDuration is how long after its latest call a customer's headroom is
-	// kept.
+	// reserveDuration is how long slots stay reserved for a fast customer after its last call
+	// arrived.
 	reserveDuration = 10 * time.Second
-	// minReserveWait is the expected wait for a slot below which no headroom is
-	// kept: one is free soon enough.
+	// minReserveWait is the expected wait for a slot below which no slots are reserved for fast
+	// customers: one is free soon enough.
 	minReserveWait = 2 * time.Millisecond
-	// minSlowRatio is how many times as long as the quickest customer's a slow
-	// one's calls take at least, however few the slots are.
+	// minSlowRatio is the minimum ratio of a slow customer's service time to that of the fastest
+	// customer, however few slots there are.
 	minSlowRatio = 10
 )
 
-// reserve keeps slots free for nested calls, and for customers whose calls are quick.
-// Without it, ten long uploads of one customer hold all slots, and another one's lookups,
-// though first in line, wait for the end of an upload.
+// reserve is the state by which the gate keeps slots free for nested calls and for customers with
+// short calls. Without it, ten long uploads of one customer occupy all slots, and the lookups of
+// another customer, although first in line, wait for the end of an upload.
 type reserve struct {
 	classifiedAt time.Time
-	// classifyDue asks for a review ahead of time, for a customer not seen before.
+	// classifyDue requests a classification before the interval has passed, for a customer that
+	// was not known before.
 	classifyDue bool
-	// fastShares counts the fastShares customers seen of late, fastRunning their calls.
+	// fastShares is the number of fast customers with a call within reserveDuration, fastRunning
+	// the number of running calls of fast customers.
 	fastShares, fastRunning int
-	// fastUsage is the slots that they hold on average.
+	// fastUsage is the mean number of slots that those customers use.
 	fastUsage float64
-	// nestedSlots is how many slots nestedRunning calls have for themselves, nestedRunning how many they hold.
+	// nestedSlots is the number of slots that are reserved for nested calls, nestedRunning the
+	// number of slots that nested calls hold.
 	nestedSlots, nestedRunning int
 }
 
-// ReserveNestedSlot keeps a slot for nested calls from now on. Where services call each other in
-// a ring, all slots may else be held by calls that wait, at the end of the ring, for one of
-// those very slots: nothing moves until their time is up. One is enough, since the calls
-// that have it end by themselves, one after the other.
+// ReserveNestedSlot reserves one slot for nested calls from now on. If services call each other
+// in a cycle, all slots could otherwise be held by calls that wait, at the end of the cycle, for
+// one of the same slots, and no call would make progress until its deadline. One slot is enough,
+// since the calls that get it end without waiting for others, one after the other.
 func (g *Gate) ReserveNestedSlot() {
-	// Each nested call asks for it; one takes the lock.
+	// Every nested call requests the reservation; only the first one takes the lock.
 	if g.nestedSlotReserved.Swap(true) {
 		return
 	}
@@ -46,7 +49,7 @@
 	g.queue.reserve.nestedSlots = 1
 }
 
-// reservedForNested returns how many free slots are left to nested calls.
+// reservedForNested returns the number of free slots that only nested calls may take.
 func (g *Gate) reservedForNested() int {
 	if g.limit.allowed() == 1 {
 		return 0
@@ -54,9 +57,9 @@
 	return max(g.queue.reserve.nestedSlots-g.queue.reserve.nestedRunning, 0)
 }
 
-// classifyShares tells slow customers from quick ones. A customer is slow if waiting
-// for one of its calls to free a slot would cost the quickest customer more
-// than its own call takes.
+// classifyShares classifies the customers as slow or fast. A customer is slow if waiting for one
+// of its calls to release a slot would take the fastest customer longer than the fastest
+// customer's own call.
 func (q *fairQueue) classifyShares(slots int, now time.Time) {
 	r := &q.reserve
 	elapsed := now.Sub(r.classifiedAt)
@@ -81,7 +84,7 @@
 	}
 }
 
-// updateUsage updates the customers' mean use of slots.
+// updateUsage updates the mean number of slots that each share uses.
 func (q *fairQueue) updateUsage(now time.Time, elapsed time.Duration) {
 	if elapsed < classifyInterval {
 		return
@@ -95,10 +98,10 @@
 	q.reserve.classifiedAt = now
 }
 
-// mayStart reports whether the share may take one of the free slots. Those kept for nested
-// calls are left to them. A slow customer that has its fair part leaves those that the quick
-// ones use on average and do not hold at the moment, and one more so that their use can
-// grow.
+// mayStart reports whether the share may take one of the free slots. Slots reserved for nested
+// calls are available to nested calls only. A slow customer that already has its fair share of
+// the slots must leave free the slots that the fast customers use on average but do not hold at
+// the moment, plus one so that their use can grow.
 func (g *Gate) mayStart(s *share) bool {
 	r := &g.queue.reserve
 	slots := g.limit.allowed()
--- a/gate/ticket.go
+++ b/gate/ticket.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Outcome tells how a call that had a slot ended.
+// Outcome is the result of a call that held a slot.
 type Outcome uint8
 
 const (
-	// Answered calls got the backend server's answer, whatever its status but
-	// for Shed.
+	// Answered means that the backend server answered the call, with any status but the one of
+	// Shed.
 	Answered Outcome = iota + 1
-	// Shed calls were turned away by the backend server itself for lack of
-	// room: status 503. A 429 is about the caller and counts as answered.
+	// Shed means that the backend server rejected the call for lack of capacity, with status 503.
+	// Status 429 concerns the caller and counts as Answered.
 	Shed
-	// Failed calls got no whole answer.
+	// Failed means that the call got no complete answer.
 	Failed
-	// NotStarted calls gave the slot back unused.
+	// NotStarted means that the slot was released unused.
 	NotStarted
 )
 
@@ -26,36 +26,37 @@
 	ended
 )
 
-// Ticket is a call's hold on one slot.
+// Ticket represents a call that waits for a slot or holds one.
 type Ticket struct {
 	gate     *Gate
 	share    *share
 	deadline time.Time
-	// due orders the waiting calls of a share: the deadline or, for a call that may wait
-	// so long only, when it leaves.
+	// due orders the waiting calls of a share. It is the deadline or, for a call with a maximum
+	// wait, the time at which it leaves the queue.
 	due time.Time
-	// ready tells a waiting call that it has a slot, or why not.
+	// ready receives nil when a waiting call gets a slot, or the error with which it is rejected.
 	ready chan error
-	// maxWait is how long the call may be expected to wait, 0 for no bound.
+	// maxWait is the longest expected wait that the call accepts, 0 for no limit.
 	maxWait time.Duration
-	// objectiveWait is how long it may wait and still be answered within its objective; below 0
-	// where it has none or it is too late for that.
+	// objectiveWait is the longest wait after which the call is expected to be answered within
+	// its objective. It is negative if the call has no objective or can no longer meet it.
 	objectiveWait time.Duration
-	// waitTimeout is how long the call may wait and still be answered in time.
+	// waitTimeout is how long the call waits at most: until its due time, or if it has no maximum
+	// wait, until its remaining time is the expected service time.
 	waitTimeout time.Duration
 
-	// The rest is guarded by the gate's mutex.
+	// The fields below are guarded by the gate's mutex.
 	state   ticketState
 	started time.Time
-	// inUseAtStart is how many slots were in use from the start on, this one included.
+	// inUseAtStart is the number of slots in use right after the start, this one included.
 	inUseAtStart int
-	// charged is the slot time that the customer was charged at the start.
+	// charged is the expected slot time that the share was charged at the start.
 	charged time.Duration
-	// fast is whether the customer was fast at the start.
+	// fast is whether the customer was classified as fast at the start.
 	fast bool
 }
 
-// Done gives the slot back. Only the first call has an effect.
+// Done releases the slot and records the outcome. Only the first call of Done has an effect.
 func (t *Ticket) Done(o Outcome) {
 	g := t.gate
 	now := g.opts.Now()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -2,20 +2,20 @@
 
 import "sync/atomic"
 
-// BudgetOptions sizes a Budget.
+// BudgetOptions configures a Budget.
 type BudgetOptions struct {
-	// Ratio is the share of first attempts that may be sent again.
+	// Ratio is the number of retries permitted per first attempt.
 	Ratio float64
-	// Burst is how many may be sent again at once after a quiet time.
+	// Burst is the number of retries permitted at once after a period without retries.
 	Burst int
 }
 
-// unitsPerRetry is the unit of the balance: a thousandth of a retry.
+// unitsPerRetry is the number of balance units that one retry costs.
 const unitsPerRetry = 1000
 
-// Budget bounds retries to a share of first attempts. One is shared by all calls under
-// customers' contracts, since a budget for each customer would bound nothing in sum. It is
-// safe for concurrent use.
+// Budget limits retries to a fraction of the first attempts. One budget is shared by all calls
+// under customers' contracts, since separate budgets for each customer would not limit the sum.
+// It is safe for concurrent use.
 type Budget struct {
 	deposit int64
 	limit   atomic.Int64
@@ -30,8 +30,8 @@
 	return b
 }
 
-// SetBurst changes the burst, in retries. A daemon's part of what a whole fleet may
-// send again shrinks as the fleet grows; what it holds beyond that is lost at once.
+// SetBurst sets the burst, in retries. The part of the fleet's retries that is assigned to one
+// daemon shrinks as the fleet grows; a balance above the new burst is dropped immediately.
 func (b *Budget) SetBurst(retries float64) {
 	limit := int64(retries * unitsPerRetry)
 	b.limit.Store(limit)
@@ -43,8 +43,8 @@
 	}
 }
 
-// Deposit counts one first attempt. A full budget is only read, so that
-// requests share no written cache line while nothing fails.
+// Deposit credits one first attempt. If the budget is full, Deposit only reads it, so that
+// requests do not write to a shared cache line while nothing fails.
 func (b *Budget) Deposit() {
 	for {
 		old := b.balance.Load()
@@ -57,10 +57,11 @@
 	}
 }
 
-// Withdraw takes one retry and reports whether there was one.
+// Withdraw takes one retry from the budget and reports whether it was available.
 func (b *Budget) Withdraw() bool { return b.withdrawUnits(unitsPerRetry) }
 
-// withdrawUnits takes so many thousandths of a retry.
+// withdrawUnits takes the amount, in units of unitsPerRetry, from the balance and reports whether
+// it was available.
 func (b *Budget) withdrawUnits(amount int64) bool {
 	for {
 		old := b.balance.Load()
--- a/retry/budgets.go
+++ b/retry/budgets.go
@@ -5,24 +5,23 @@
 	"sync/atomic"
 )
 
-// Budgets holds a Budget for each service. What may be sent to a service again is a share
-// of the requests that callers send to it; calls between services earn it nothing. A
-// request that is sent again makes its calls again, at the services that it calls: they
-// are taken from the budgets of those. It is safe for concurrent use.
+// Budgets holds a Budget for each service. The retries to a service are limited to a fraction of
+// the requests that callers send to it; calls between services earn no retries. A retried request
+// repeats its calls to other services, and these calls are charged to the budgets of those
+// services. It is safe for concurrent use.
 //
-// Budgets start empty. A daemon that restarts would else hand out its part of the burst
-// once more: with one restart after the other through a fleet, twice the fleet's within
-// one window.
+// Budgets start empty. Otherwise, a restarted daemon would grant its part of the burst again: a
+// rolling restart of the fleet would grant twice the fleet's burst within one window.
 type Budgets struct {
 	opts     BudgetOptions
 	burst    atomic.Int64
 	services sync.Map
 }
 
-// ServiceCost is what sending a request again costs at one service.
+// ServiceCost is the cost of retrying a request at one service.
 type ServiceCost struct {
 	Service string
-	// Calls is how many calls it is expected to bring there.
+	// Calls is the number of calls that the retry is expected to cause at the service.
 	Calls float64
 }
 
@@ -33,7 +32,7 @@
 	return b
 }
 
-// SetBurst changes the burst of each service, in retries.
+// SetBurst sets the burst of each service, in retries.
 func (b *Budgets) SetBurst(retries float64) {
 	b.burst.Store(int64(retries * unitsPerRetry))
 	b.services.Range(func(_, budget any) bool {
@@ -42,10 +41,10 @@
 	})
 }
 
-// Deposit counts one request of a caller to a service.
+// Deposit credits one request from a caller to the service.
 func (b *Budgets) Deposit(service string) { b.budget(service).Deposit() }
 
-// Withdraw takes all of the needs, or nothing, and reports which.
+// Withdraw takes either all of the costs or none, and reports whether it took them.
 func (b *Budgets) Withdraw(costs ...ServiceCost) bool {
 	for i, n := range costs {
 		if b.budget(n.Service).withdrawUnits(int64(n.Calls * unitsPerRetry)) {
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -35,7 +35,7 @@
 	opts := BudgetOptions{Ratio: ratio, Burst: burst}
 	f := newFleet(daemons, opts)
 	rnd := rand.New(rand.NewPCG(1, 2))
-	again := map[string]float64{}
+	repeats := map[string]float64{}
 	bookings := 0
 	for i := range lookups {
 		n := rnd.IntN(daemons)
@@ -49,14 +49,14 @@
 			d.Deposit("desk")
 		}
 		if rnd.IntN(2) == 0 && d.Withdraw(ServiceCost{"catalogue", 1}, ServiceCost{"desk", callsOfDesk}) {
-			again["catalogue"]++
-			again["desk"] += callsOfDesk
+			repeats["catalogue"]++
+			repeats["desk"] += callsOfDesk
 		}
-		must.LessEq(t, ratio*float64(i+1)+burst, again["catalogue"])
-		must.LessEq(t, ratio*float64(bookings)+burst, again["desk"])
+		must.LessEq(t, ratio*float64(i+1)+burst, repeats["catalogue"])
+		must.LessEq(t, ratio*float64(bookings)+burst, repeats["desk"])
 	}
 	// Most of what the desk may get again is used.
-	must.Greater(t, 0.8*ratio*float64(bookings), again["desk"])
+	must.Greater(t, 0.8*ratio*float64(bookings), repeats["desk"])
 }
 
 // A need that cannot be met leaves the others' budgets as they were.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,19 +1,18 @@
-// Package retry decides whether a daemon sends a call again.
+// Package retry decides whether a daemon retries a call.
 //
-// Calls are nested up to 15 deep: a backend server that runs a call calls other
-// services through its own daemon, and so on. If each daemon on the way sends
-// again what fails below it, the tries multiply from layer to layer, and even a
-// budget of a tenth at each layer lets a failing server at the bottom see four
-// times the calls. What bounds the load is that only the daemon nearest to the
-// failure sends again:
+// Calls are nested up to 15 levels deep: a backend server that runs a call calls other services
+// through its own daemon, and so on. If the daemon at each level retried what fails below it, the
+// attempts would multiply from level to level. Even with a budget of a tenth at each level, a
+// failing server at the deepest level would get four times the calls. The load is limited by the
+// rule that only the daemon closest to the failure retries:
 //
-//   - A backend server's own answer is passed on, whatever its status. Where the
-//     cause lies deeper, the daemons there have done what could be done. This
-//     needs no word from the backend server, which may not pass on headers.
-//   - A call that arrives as a second attempt of a layer above is not sent again
-//     here. Its number is carried down, by backend servers that pass it on.
-//   - The rest is bounded by a budget for the whole process and by the time that
-//     the call has left, which is carried down too.
+//   - The answer of a backend server is returned unchanged, whatever its status. If the cause
+//     lies deeper, the daemons there have already retried. This needs no cooperation of the
+//     backend server, which may not propagate headers.
+//   - A call that arrives as a second attempt from a level above is not retried here. The
+//     attempt number is propagated by the backend servers that pass on headers.
+//   - The remaining retries are limited by a budget for the whole process and by the remaining
+//     time of the call, which is propagated as well.
 package retry
 
 import (
@@ -23,79 +22,80 @@
 )
 
 const (
-	// MaxAttempts bounds the attempts of one call at a daemon, the first
-	// included.
+	// MaxAttempts is the maximum number of attempts of one call at a daemon, including the first.
 	MaxAttempts = 3
-	// maxNoCostAttempts bounds them where the attempts cost nothing. A zone that
-	// is stopped turns away a call at each of its backend servers in turn.
+	// maxNoCostAttempts is the maximum number of attempts that cost no backend server any work. A
+	// zone that is being stopped rejects a call at each of its backend servers in turn.
 	maxNoCostAttempts = 10
-	// maxOverloadedAttempts bounds them where gates refuse for the length of their queues.
-	// Under overload all do, and each further try takes from the hosts what they
-	// need to serve others.
+	// maxOverloadedAttempts is the maximum number of attempts that gates reject because their
+	// queues are too long. Under overload all gates do so, and each further attempt takes
+	// resources of the hosts that they need to serve other calls.
 	maxOverloadedAttempts = 3
-	// maxCrashes is how many servers may have ended under a request that is sent to
-	// another. At a first crash most of those that ran are bystanders; one that was in two
-	// is likely what ended both, and would end a third.
+	// maxCrashes is the maximum number of servers that may have crashed while they ran a request
+	// that is still retried. At a first crash, most of the requests that ran are unrelated to it.
+	// A request that ran in two crashed servers probably caused both crashes and would crash a
+	// third server.
 	maxCrashes = 1
 )
 
-// Reason tells why a call is not sent again.
+// Reason is the reason why a call is not retried.
 type Reason string
 
-// The reasons.
 const (
 	ReasonNone Reason = ""
-	// ReasonAnswered is a backend server's own answer.
+	// ReasonAnswered means that the backend server answered.
 	ReasonAnswered Reason = "answered"
-	// ReasonNotRetryable is an error that another backend server would not mend.
+	// ReasonNotRetryable means an error that another backend server would return as well.
 	ReasonNotRetryable Reason = "final"
-	// ReasonMayHaveRun is a non-idempotent call that may have run.
+	// ReasonMayHaveRun means a non-idempotent call that may have run.
 	ReasonMayHaveRun Reason = "may_have_run"
-	// ReasonRetriedAbove is a call that a layer above is sending again.
+	// ReasonRetriedAbove means a call that a level above is already retrying.
 	ReasonRetriedAbove Reason = "retried_above"
-	// ReasonCrashLimit is a call under which more servers than one have ended.
+	// ReasonCrashLimit means a call during which more than one server has crashed.
 	ReasonCrashLimit Reason = "deadly"
-	// ReasonAttempts and ReasonTime mean that there were enough attempts, and
-	// that too little time is left for another.
+	// ReasonAttempts means that the maximum number of attempts was made, ReasonTime that too
+	// little time is left for another attempt.
 	ReasonAttempts Reason = "attempts"
 	ReasonTime     Reason = "time"
 )
 
-// Decision is whether to send a call again.
+// Decision is the decision whether to retry a call.
 type Decision struct {
 	Retry bool
-	// BudgetExempt retries take nothing from the budget: the attempt before cost no
-	// backend server any work, and there is one for each server that leaves.
+	// BudgetExempt retries are not charged to the budget: the failed attempt cost no backend
+	// server any work, and there is at most one such retry for each server that drains.
 	BudgetExempt bool
-	// Reason is set where Retry is false.
+	// Reason is set if Retry is false.
 	Reason Reason
 }
 
-// Call is what the rule looks at.
+// Call describes a call after one of its attempts has ended.
 type Call struct {
-	// InheritedAttempt is the attempt number that the call arrived with, from 1; above
-	// 1 a layer above is sending it again.
+	// InheritedAttempt is the attempt number with which the call arrived, starting at 1. If it is
+	// above 1, a level above is retrying the call.
 	InheritedAttempt int
-	// Attempts is how many this daemon has made, the failed one included.
+	// Attempts is the number of attempts that this daemon has made, including the failed one.
 	Attempts int
-	// MaxAttempts bounds Attempts, 0 for the constant of this name.
+	// MaxAttempts is the limit of Attempts, or 0 for the default given by the constant
+	// MaxAttempts.
 	MaxAttempts int
-	// Refusals is how many attempts were turned away before they reached a backend
-	// server; they count in Attempts only where Unsent is not told of them.
+	// Refusals is the number of attempts that were rejected before they reached a backend server.
+	// They count in Attempts only if the caller does not set Unsent for them.
 	Refusals int
-	// Unsent is whether the failed attempt is one of them. It has cost no backend
-	// server any work.
+	// Unsent means that the failed attempt is one of Refusals. It has cost no backend server any
+	// work.
 	Unsent bool
-	// Crashes is how many backend servers are known to have ended under the request.
+	// Crashes is the number of backend servers that are known to have crashed while they ran the
+	// request.
 	Crashes int
-	// NonIdempotent calls are sent again only if they have not run.
+	// NonIdempotent calls are retried only if they have not run.
 	NonIdempotent bool
-	// Remaining is the time left, Expected what an attempt usually takes.
+	// Remaining is the time left for the call, Expected the usual duration of an attempt.
 	Remaining, Expected time.Duration
 }
 
-// Allowed decides after an attempt ended with kind; errkind.None is a backend
-// server's own answer.
+// Allowed decides whether to retry a call whose latest attempt ended with kind. The kind
+// errkind.None is an answer of the backend server.
 func Allowed(kind errkind.Kind, c Call) Decision {
 	budgetExempt := kind == errkind.Draining || c.Unsent
 	attempts, limit := c.Attempts, MaxAttempts
@@ -129,9 +129,9 @@
 	return Decision{Retry: true, BudgetExempt: budgetExempt}
 }
 
-// otherServerMayAnswer reports whether another backend server may do better. The table of
-// errkind tells callers what is worth sending again later; a limit of the
-// customer's contract, for one, is the same at all servers.
+// otherServerMayAnswer reports whether another backend server may answer after an error of this
+// kind. The table in errkind is different: it informs callers which errors are worth a later
+// retry. A limit of the customer's contract, for example, is the same at all servers.
 func otherServerMayAnswer(kind errkind.Kind) bool {
 	switch kind {
 	case errkind.Overloaded, errkind.Shed, errkind.Draining, errkind.Unreachable, errkind.DeadlineNotRun,
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -85,16 +85,16 @@
 // rule decides whether to send again.
 type rule func(l *layer, kind errkind.Kind, inherited, attempts int) bool
 
-func ours(l *layer, kind errkind.Kind, inherited, attempts int) bool {
+func allowedRule(l *layer, kind errkind.Kind, inherited, attempts int) bool {
 	d := retry.Allowed(kind, retry.Call{InheritedAttempt: inherited, Attempts: attempts, Remaining: time.Second})
 	return d.Retry && (d.BudgetExempt || l.budget.Withdraw())
 }
 
-// naive sends all that failed again, up to three times.
-func naive(_ *layer, _ errkind.Kind, _, attempts int) bool { return attempts < 3 }
+// alwaysRule sends all that failed again, up to three times.
+func alwaysRule(_ *layer, _ errkind.Kind, _, attempts int) bool { return attempts < 3 }
 
-// budgeted does so within a budget.
-func budgeted(l *layer, _ errkind.Kind, _, attempts int) bool {
+// budgetRule does so within a budget.
+func budgetRule(l *layer, _ errkind.Kind, _, attempts int) bool {
 	return attempts < 3 && l.budget.Withdraw()
 }
 
@@ -147,23 +147,23 @@
 // The deepest of 15 services fails all calls. Each daemon above sees errors and
 // could send again; the failing server sees little more than the calls made at
 // the top, also if no backend server passes on a header.
-func TestNoMultiplicationOverDepth(t *testing.T) {
+func TestAttemptsDoNotMultiplyOverDepth(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.None, errkind.Overloaded, errkind.Unreachable, errkind.BackendFailed} {
-		got := deepestRuns(2000, layer{rule: ours, fails: &kind})
+		got := deepestRuns(2000, layer{rule: allowedRule, fails: &kind})
 		t.Logf("deepest fails with %q: %.3f attempts per call", kind, got)
 		must.Between(t, 1, got, 1.2)
 	}
 	kind := errkind.BackendFailed
-	t.Logf("naive with a budget of a tenth: %.2f", deepestRuns(2000, layer{rule: budgeted, fails: &kind}))
-	t.Logf("naive: %.0f", deepestRuns(1, layer{rule: naive, fails: &kind}))
+	t.Logf("naive with a budget of a tenth: %.2f", deepestRuns(2000, layer{rule: budgetRule, fails: &kind}))
+	t.Logf("naive: %.0f", deepestRuns(1, layer{rule: alwaysRule, fails: &kind}))
 }
 
 // At each of 15 layers one answer in ten breaks off after the call has run.
 // Numbers that are passed down keep what one layer sends again from being sent
 // again below.
 func TestAttemptNumberIsPassedDown(t *testing.T) {
-	passed := deepestRuns(5000, layer{rule: ours, breaks: 0.1, passOn: true})
-	lost := deepestRuns(5000, layer{rule: ours, breaks: 0.1})
+	passed := deepestRuns(5000, layer{rule: allowedRule, breaks: 0.1, passOn: true})
+	lost := deepestRuns(5000, layer{rule: allowedRule, breaks: 0.1})
 	t.Logf("attempts at the deepest: number passed on %.2f, lost %.2f", passed, lost)
 	must.Less(t, 0.8*lost, passed)
 }
@@ -215,7 +215,7 @@
 // Gates refuse a call before it reaches a backend server. That draws on no budget and
 // counts as no attempt; under overload it is tried at three gates at most, and at more
 // where backend servers only leave.
-func TestRefusalsAreFreeAndBounded(t *testing.T) {
+func TestRefusalsAreBudgetExemptAndBounded(t *testing.T) {
 	c := retry.Call{InheritedAttempt: 1, MaxAttempts: 2, NonIdempotent: true, Remaining: time.Second, Unsent: true}
 	for refusals, again := range map[int]bool{1: true, 2: true, 3: false} {
 		c.Refusals = refusals
