--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// The picker prefers the own availability zone, and leaves out what a call has
-// tried already. Each result is evidence for the next choice.
+// The picker prefers servers in its own availability zone and skips the servers that a call has
+// already tried. Each result updates the statistics for later picks.
 func Example() {
 	servers := backend.NewSet([]*backend.Server{
 		{ID: backend.ID{Host: "near", Service: "sign-feed"}, AvailabilityZone: "boston", Slots: 10},
--- a/balance/model_test.go
+++ b/balance/model_test.go
@@ -17,8 +17,8 @@
 	"github.com/crocuscross/crocuscross/gate"
 )
 
-// The model: daemons in four availability zones send calls to ten backend
-// servers behind their gates, with a virtual clock.
+// The model: daemons in four availability zones send calls to ten backend servers behind their
+// gates, with a virtual clock.
 const (
 	zones       = 4
 	daemons     = 24
@@ -28,7 +28,7 @@
 	callTime    = 200 * time.Millisecond
 	localHop    = 100 * time.Microsecond
 	zoneHop     = 500 * time.Microsecond
-	connectTime = 50 * time.Millisecond // until a host that is gone is given up
+	connectTime = 50 * time.Millisecond // until a connection attempt to an unreachable host fails
 	warmUp      = 500 * time.Millisecond
 )
 
@@ -37,7 +37,7 @@
 type (
 	exclude func(backend.ID) bool
 	done    func(balance.Result)
-	// chooser is what the model compares.
+	// chooser selects a server; the model compares choosers.
 	chooser func([]*backend.Server, exclude) (*backend.Server, done)
 	// newChooser returns the chooser of a daemon in a zone.
 	newChooser func(zone int, rng *rand.Rand) chooser
@@ -56,14 +56,14 @@
 	}
 }
 
-// newUniform picks at random.
+// newUniform returns a chooser that selects a server at random.
 func newUniform(_ int, rng *rand.Rand) chooser {
 	return func(servers []*backend.Server, ex exclude) (*backend.Server, done) {
 		return leastOf(servers, ex, rng, nil), func(balance.Result) {}
 	}
 }
 
-// newLeastLoad picks the server with the least load known.
+// newLeastLoad returns a chooser that selects the server with the lowest load reported.
 func newLeastLoad(_ int, rng *rand.Rand) chooser {
 	loads := make(map[backend.ID]int)
 	return func(servers []*backend.Server, ex exclude) (*backend.Server, done) {
@@ -90,37 +90,37 @@
 // target is one backend server.
 type target struct {
 	gate *gate.Gate
-	// slowness is the factor by which its calls take longer at an age of the
-	// run, failing the part of them that fails at once.
+	// slowness returns the factor by which the server's calls take longer at an age of the run.
+	// failing is the fraction of its calls that fail immediately.
 	slowness func(age time.Duration) float64
 	failing  float64
-	// gone is the age from which its host is not reached.
+	// gone is the age of the run from which on the server's host is unreachable.
 	gone time.Duration
-	// hidesLoad reports no load.
+	// hidesLoad makes the server report no load.
 	hidesLoad bool
 }
 
 func steady(time.Duration) float64 { return 1 }
 
-// scenario is one run of the model.
+// scenario describes one run of the model.
 type scenario struct {
 	name string
-	// load is the part of the capacity of all targets that is offered.
+	// load is the offered load as a fraction of the capacity of all targets.
 	load   float64
 	length time.Duration
-	// oneZone has all calls come from one availability zone.
+	// oneZone makes all calls come from one availability zone.
 	oneZone bool
-	// worst bounds the picker's 99.9 in 100 latency, as a multiple of that in
-	// calm.
+	// worst limits the picker's 99.9th percentile latency, as a multiple of that in the calm
+	// scenario.
 	worst  float64
 	change func([]*target)
-	// view changes the servers that the daemons know of at an age.
+	// view changes the servers as the daemons know them.
 	view func([]*backend.Server)
-	// viewAt is the age at which view is applied.
+	// viewAt is the age of the run at which view is applied.
 	viewAt time.Duration
 }
 
-// run holds the state of a scenario under one chooser; mu guards all of it.
+// run holds the state of a scenario with one chooser. The fields below mu are guarded by it.
 type run struct {
 	scenario
 	start    time.Time
@@ -130,7 +130,7 @@
 	calls    map[backend.ID]int
 	answered []time.Duration
 	offered  int
-	leftZone int // calls that left the availability zone
+	leftZone int // attempts outside the availability zone
 }
 
 func (sc scenario) run(t *testing.T, choose newChooser) *run {
@@ -190,7 +190,7 @@
 	})
 }
 
-// call makes up to three attempts at different servers, while they do not run.
+// call makes up to three attempts at different servers, as long as the attempts do not run.
 func (r *run) call(c chooser, zone int, work, luck float64) {
 	start := time.Now()
 	counted := r.age() > warmUp
@@ -260,7 +260,7 @@
 	return result
 }
 
-// quantile returns a quantile of the answered calls' latency.
+// quantile returns a quantile of the latency of the answered calls.
 func (r *run) quantile(q float64) time.Duration {
 	slices.Sort(r.answered)
 	return r.answered[int(q*float64(len(r.answered)-1))]
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// harness is a picker with a clock that the test moves, and servers that are long
-// known, all in the picker's own zone.
+// harness is a picker with a clock that the test controls, and servers in the picker's own zone
+// that have been known for long.
 type harness struct {
 	*Picker
 	clock   time.Time
@@ -35,8 +35,7 @@
 	return b
 }
 
-// run makes n calls, one each millisecond, and returns the part that went to the
-// first server.
+// run makes n calls, one per millisecond, and returns the fraction that went to the first server.
 func (b *harness) run(n int, result func(first bool) Result) float64 {
 	var toFirst float64
 	for range n {
@@ -56,7 +55,8 @@
 
 func good(bool) Result { return Result{Status: 200, Latency: 5 * time.Millisecond} }
 
-// firstGives returns a result for the first server and a good one for others.
+// firstGives returns a function that gives the result for the first server and a good one for the
+// others.
 func firstGives(r Result) func(bool) Result {
 	return func(first bool) Result {
 		if first {
@@ -66,8 +66,8 @@
 	}
 }
 
-// What the caller did wrong, what we refused and what was cut before it could be
-// answered tells nothing of the server: it keeps its part of the calls.
+// Errors of the caller, rejections by the daemons and calls that are aborted early indicate
+// nothing about the server, which must keep its share of the calls.
 func TestNeutralResultsDoNotAffectPicking(t *testing.T) {
 	for _, r := range []Result{
 		{Status: 404, Latency: 5 * time.Millisecond},
@@ -85,8 +85,8 @@
 	}
 }
 
-// Most servers shed calls, which is quick. The one that runs them is not taken
-// for slow.
+// Most servers shed calls, which takes little time. The server that runs its calls must not be
+// treated as slow in comparison.
 func TestSheddingDoesNotLowerBaselineLatency(t *testing.T) {
 	b := newHarness(4)
 	b.run(200, good)
@@ -98,8 +98,8 @@
 	}))
 }
 
-// The latency of calls varies. No server is ejected for that, least of all on the
-// first few calls, which do not yet tell what is usual.
+// The latency of calls varies. No server must be ejected for that, in particular not after the
+// first few calls, which do not determine the typical latency yet.
 func TestLatencyVarianceDoesNotEject(t *testing.T) {
 	for seed := range uint64(300) {
 		b := newHarness(10)
@@ -117,8 +117,8 @@
 	}
 }
 
-// A server is somewhat slow for a while, so that it is passed over, but not
-// enough to be ejected. It gets calls again when what was seen has become old.
+// A server is slow enough for a while to get few calls but not enough to be ejected. It must get
+// calls again once the observations have decayed.
 func TestLatencyDecays(t *testing.T) {
 	b := newHarness(4)
 	b.run(500, good)
@@ -129,8 +129,8 @@
 	must.Greater(t, 0.2, b.run(1000, good))
 }
 
-// An ejected server is slow in most calls, not in all. A lucky trial does not
-// bring it back.
+// An ejected server is slow in most calls but not in all. A single fast trial must not restore
+// it.
 func TestSingleFastTrialDoesNotRestore(t *testing.T) {
 	b := newHarness(4)
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -144,8 +144,8 @@
 	must.Less(t, 0.001, b.run(200_000, mostlySlow))
 }
 
-// A server fails, is slow or stays silent while its peers do not. It soon gets
-// no calls but a trickle, and its part again once it is well.
+// A server fails, is slow or does not answer while its peers are healthy. It must soon get trial
+// calls only, and its full share again after it has recovered.
 func TestEjectedAndRestored(t *testing.T) {
 	for _, r := range []Result{
 		{Status: 500, Latency: time.Millisecond},
@@ -167,7 +167,7 @@
 	}
 }
 
-// All servers fail, one after the other. Calls still go to all of them.
+// All servers fail, one after the other. Calls must still go to all of them.
 func TestAllFailingServersStillPicked(t *testing.T) {
 	b := newHarness(4)
 	b.run(500, good)
@@ -176,8 +176,8 @@
 	must.Between(t, 0.1, b.run(1000, failed), 0.4)
 }
 
-// Most servers fail. The one that is left gets all calls, until waiting there
-// would cost more than a failure, even if the others are ejected.
+// Most servers fail. The remaining one must get all calls until a wait there would cost more than
+// a failure elsewhere, even if the others are ejected.
 func TestRemainingServerIsUsed(t *testing.T) {
 	b := newHarness(4)
 	b.run(500, good)
@@ -200,8 +200,8 @@
 	must.Between(t, 50, b.stats[b.servers[0].ID].inFlight.Load(), 200)
 }
 
-// Some of the calls fail at all servers but one, which shows that the calls are
-// not to blame: the one gets most of them.
+// Some of the calls fail at all servers but one, which shows that the calls do not cause the
+// failures. This server must get most of the calls.
 func TestOneHealthyServerGetsMostCalls(t *testing.T) {
 	b := newHarness(4)
 	rng := rand.New(rand.NewPCG(2, 2))
@@ -215,8 +215,8 @@
 	must.Greater(t, 0.9, b.run(1000, failSome))
 }
 
-// A new server joins. It gets a small part of the calls at first and its full
-// part after the slow start.
+// A new server joins. It must get a small share of the calls at first and its full share after
+// the slow start.
 func TestSlowStart(t *testing.T) {
 	b := newHarness(4)
 	b.run(500, good)
@@ -227,8 +227,7 @@
 	must.Greater(t, 0.2, b.run(1000, good))
 }
 
-// A gate says that it drains. No call follows, and the server takes part again
-// when the word has become old.
+// A gate reports that it drains. Its server must get no more calls until the report has expired.
 func TestDrainingGate(t *testing.T) {
 	b := newHarness(2)
 	b.run(100, firstGives(Result{Kind: errkind.Draining, Latency: time.Millisecond}))
@@ -237,8 +236,8 @@
 	must.Greater(t, 0.3, b.run(1000, good))
 }
 
-// Whatever was seen of the servers, one that drains or is excluded is not
-// picked, a suspect one only when no other is left, and one that is left always.
+// Whatever was observed, a draining or excluded server is never picked, a suspect one only if no
+// other server is eligible, and an eligible one is always found.
 func TestPickedServerIsEligible(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		b := newHarness(rapid.IntRange(1, 5).Draw(rt, "servers"))
@@ -322,7 +321,7 @@
 	}
 }
 
-// Each attempt of each call picks once.
+// Every attempt of every call picks once, so a pick must allocate only its lease.
 func TestPickAllocationsWithManyServers(t *testing.T) {
 	servers := newHarness(100).servers
 	p := New(DefaultOptions())
--- a/balance/pickoptions_test.go
+++ b/balance/pickoptions_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// completeCall makes a call at a server end with a latency and a wait told by its gate.
+// completeCall completes a call at a server with the given latency and the given wait in the
+// gate's load report.
 func completeCall(t *testing.T, p *Picker, servers []*backend.Server, host string, latency, wait time.Duration) {
 	t.Helper()
 	l, err := p.PickWithOptions(servers, PickOptions{Exclude: func(id backend.ID) bool { return id.Host != host }})
@@ -33,9 +34,9 @@
 	l.Done(Result{Status: 200, Latency: latency, Load: &Load{Slots: 9, Wait: wait}})
 }
 
-// The near server takes 350 ms, the far one 100 ms. With an objective of 600 ms either is
-// in time, and the call's bytes stay in the availability zone; with one of 150 ms only
-// the far one is.
+// The near server takes 350 ms, the far one 100 ms. With an objective of 600 ms either server
+// meets it, and the call must stay in the availability zone. With an objective of 150 ms only the
+// far server does.
 func TestStaysInZoneWhenObjectiveIsMet(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for objective, want := range map[time.Duration]string{600 * time.Millisecond: "near", 150 * time.Millisecond: "far"} {
@@ -51,9 +52,9 @@
 	}
 }
 
-// Gates have just told of queues longer than the call may wait. It is refused without
-// being sent, with the time after which the shortest will have been served; a moment
-// later the word is old and the servers are tried again.
+// Gates have just reported waits longer than the call's maximum wait. The call must be rejected
+// without an attempt, and its retry-after time is the shortest of the waits. Once the reports
+// have expired, the servers are tried again.
 func TestSkipsServersWithLongQueues(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p, servers := newTestPicker(&now), twoServers()
--- a/balance/policy_test.go
+++ b/balance/policy_test.go
@@ -14,8 +14,8 @@
 	return func(time.Duration) float64 { return factor }
 }
 
-// coldFrom returns the slowness of a server that starts anew at an age, ten times
-// as slow as before, and warms up by half each half second.
+// coldFrom returns the slowness of a server that restarts at an age of the run: it becomes ten
+// times as slow, and the excess halves every half second.
 func coldFrom(from time.Duration) func(time.Duration) float64 {
 	return func(age time.Duration) float64 {
 		if age < from {
@@ -36,7 +36,8 @@
 	{name: "one cold", worst: 1.25, load: 0.6, length: 2 * time.Second, change: func(ts []*target) { ts[0].slowness = coldFrom(time.Second) },
 		viewAt: time.Second, view: func(servers []*backend.Server) { servers[0].FirstSeen = time.Now() }},
 	{name: "one failing", worst: 1.25, load: 0.6, length: time.Second, change: func(ts []*target) { ts[0].failing = 0.2 }},
-	// Three of ten hosts are gone; 1.5 s later membership suspects them.
+	// The hosts of three of the ten servers are unreachable; 1.5 s later membership suspects
+	// them.
 	{name: "zone gone", worst: 2, load: 0.5, length: 3 * time.Second,
 		change: func(ts []*target) {
 			for i := 0; i < len(ts); i += zones {
@@ -52,10 +53,10 @@
 	},
 }
 
-// TestPolicies compares the picker with a random choice and with the least known
-// load, on the same calls. It has to be as good as the better of the two, in calm
-// leave its availability zone half as often, and lose little to a server that is
-// not well.
+// TestPolicies compares the picker with a random choice and with a choice by the lowest load
+// known, on the same calls. The picker must be nearly as good as the better of the two, leave its
+// availability zone at most half as often as the random choice in the calm scenario, and lose
+// little to an unhealthy server.
 func TestPolicies(t *testing.T) {
 	var calm time.Duration
 	for _, sc := range scenarios {
--- a/gate/chain_test.go
+++ b/gate/chain_test.go
@@ -15,52 +15,52 @@
 	"github.com/crocuscross/crocuscross/gate"
 )
 
-// Two services with one server of 6 slots each. A lookup runs 120 ms at the catalogue and
-// makes two calls of 30 ms to the desk at once; a booking runs 160 ms at the desk. Together
-// they ask for 0.6 of the catalogue's time, some 0.85 with the wait for the calls, and 1.5
-// of the desk's.
+// The model has two services with one server of 6 slots each. A lookup runs 120 ms at the
+// catalogue and makes two concurrent calls of 30 ms to the desk; a booking runs 160 ms at the
+// desk. Together they demand 0.6 of the catalogue's slot time, about 0.85 with the wait for the
+// calls, and 1.5 of the desk's.
 const (
-	lookupRate, bookingRate = 30.0, 44.0 // a second
+	lookupRate, bookingRate = 30.0, 44.0 // requests per second
 	lookupWork, bookingWork = 120 * ms, 160 * ms
 	checkWork               = 30 * ms
 	lookupObjective         = 400 * ms
 	bookingObjective        = 500 * ms
 	checkObjective          = 120 * ms
 	chainTime               = 30 * time.Second
-	// maxWaitShare is the part of its objective that a call may have to wait.
+	// maxWaitShare is the fraction of its objective that a call accepts as its wait.
 	maxWaitShare = 0.6
 )
 
-// chain is the two services under one of the policies.
+// chain holds the two services with or without the rule for nested calls.
 type chain struct {
 	catalogue, desk *gate.Gate
-	// nested tells the gates which calls services make.
+	// nested marks the calls between the services as nested.
 	nested bool
 
 	mu  sync.Mutex
 	rnd *rand.Rand
-	// runs counts the lookups that ran at the catalogue, failed those of them that failed
-	// for a call.
+	// runs is the number of lookups that ran at the catalogue, failed the number of those that
+	// failed because one of their calls did.
 	runs, failed atomic.Int64
 	lookups      chainTally
 	bookings     chainTally
 }
 
-// chainTally counts requests by what their callers got.
+// chainTally counts requests by the result that their callers got.
 type chainTally struct{ offered, inTime, late, refused atomic.Int64 }
 
 func (t *chainTally) share(n *atomic.Int64) float64 {
 	return float64(n.Load()) / float64(max(t.offered.Load(), 1))
 }
 
-// spread returns a work time between half and one and a half of the mean.
+// spread returns a work time between 0.5 and 1.5 times the mean.
 func (c *chain) spread(mean time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return mean/2 + time.Duration(c.rnd.Int64N(int64(mean)))
 }
 
-// run takes a slot and holds it while work goes on.
+// run acquires a slot and holds it during work.
 func run(g *gate.Gate, call gate.Call, work func() error) error {
 	ticket, err := g.Admit(context.Background(), call)
 	if err != nil {
@@ -71,7 +71,7 @@
 	return err
 }
 
-// request is a caller's call, or one between services that is taken for a caller's.
+// request returns a caller's call, or a call between the services that is not marked as nested.
 func request(route string, priority int, objective, left time.Duration) gate.Call {
 	return gate.Call{
 		Route: route, Priority: priority, Remaining: left,
@@ -79,7 +79,7 @@
 	}
 }
 
-// check is one of a lookup's calls to the desk.
+// check makes one of a lookup's calls to the desk.
 func (c *chain) check(left time.Duration) error {
 	call := request("check", 1, checkObjective, left)
 	if c.nested {
@@ -91,7 +91,7 @@
 	})
 }
 
-// work is a lookup's run at the catalogue. It fails with either of its calls.
+// work is the run of a lookup at the catalogue. It fails if either of its calls fails.
 func (c *chain) work(deadline time.Time) error {
 	c.runs.Add(1)
 	time.Sleep(c.spread(lookupWork))
@@ -107,7 +107,7 @@
 	return errkind.New(errkind.BackendFailed, "a call failed")
 }
 
-// lookup is a caller's lookup. One whose run failed is sent again, once.
+// lookup sends a caller's lookup, and retries it once if its run failed.
 func (c *chain) lookup() {
 	deadline := time.Now().Add(time.Second)
 	c.count(&c.lookups, lookupObjective, func() error {
@@ -132,7 +132,7 @@
 	})
 }
 
-// count runs a request and counts what its caller gets.
+// count serves a request and counts the result that its caller gets.
 func (c *chain) count(t *chainTally, objective time.Duration, serve func() error) {
 	start := time.Now()
 	t.offered.Add(1)
@@ -146,7 +146,7 @@
 	}
 }
 
-// offer sends requests at random intervals until the time is up.
+// offer sends requests at random intervals until chainTime has passed.
 func (c *chain) offer(rate float64, send func()) {
 	for end := time.Now().Add(chainTime); time.Now().Before(end); {
 		c.mu.Lock()
@@ -169,12 +169,13 @@
 	return c
 }
 
-// The desk is short. Taken for callers' requests, the lookups' calls are refused there by
-// an objective of their own of 120 ms. Each that is refused costs the lookup's run of 120
-// ms; the lookup runs again, makes its calls again, and fails again: load that the services
-// bring on themselves and of which no caller gets anything. Calls that go first do not fail.
-// Over six plays, before and after: 0.26 to 0.33 and 0.00 of the runs failed, 0.59 to 0.65
-// and 0.82 to 0.92 of the lookups in time, 0.63 to 0.67 and 0.61 to 0.64 of the bookings.
+// Guards against congestion collapse when the deeper service, the desk, is overloaded. If the
+// lookups' calls are treated like callers' requests, they are rejected by their own objective of
+// 120 ms. Each rejection wastes a lookup's run of 120 ms; the lookup is retried, repeats its
+// calls and fails again, so the services add load that serves no caller. Nested calls, which
+// start first, do not fail. In six runs without and with the rule, 0.26 to 0.33 and 0.00 of the
+// runs failed, 0.59 to 0.65 and 0.82 to 0.92 of the lookups were answered in time, and 0.63 to
+// 0.67 and 0.61 to 0.64 of the bookings.
 func TestChainOfServicesDoesNotCollapse(t *testing.T) {
 	for seed := range uint64(3) {
 		before, after := runChain(t, false, seed), runChain(t, true, seed)
--- a/gate/example_test.go
+++ b/gate/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/crocuscross/crocuscross/gate"
 )
 
-// A backend server with one slot is busy. A call that cannot wait is refused at
-// once, before it has cost anything; one that can gets the slot.
+// A backend server with one slot is busy. A call that cannot wait is rejected immediately, before
+// it has cost anything. A call that can wait gets the slot.
 func Example() {
 	opts := gate.DefaultOptions()
 	opts.Slots, opts.ServiceTime = 1, 5*time.Millisecond
--- a/gate/gate_test.go
+++ b/gate/gate_test.go
@@ -29,7 +29,7 @@
 	return ticket
 }
 
-// enterAsync enters in the background; the channel gives the error's kind.
+// enterAsync calls Enter in the background. The channel receives the kind of the error.
 func enterAsync(ctx context.Context, g *gate.Gate, customer string) <-chan errkind.Kind {
 	kind := make(chan errkind.Kind, 1)
 	go func() {
@@ -60,8 +60,8 @@
 	})
 }
 
-// Before a large body is sent for, the gate is asked whether the call would be let in. It
-// says what Admit would say, and a question takes no slot.
+// Check is called before a large body is requested from the sender. It must return the same kind
+// of error as Admit and must acquire no slot.
 func TestCheckMatchesAdmit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
@@ -79,8 +79,8 @@
 	})
 }
 
-// A call waits, its caller goes away, and the slot gets free at the same moment
-// or later. The slot is neither lost nor given twice.
+// The caller of a waiting call cancels at the moment at which the slot is released, or before it.
+// The slot must be neither lost nor assigned twice.
 func TestCanceledWhileWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
@@ -106,9 +106,9 @@
 	})
 }
 
-// The backend server has become slow while a call waited. What the call has left
-// is enough by the old estimate and not by the new one: it is refused, since it
-// would hold the slot for nothing.
+// The backend server becomes slow while a call waits. The call's remaining time suffices by the
+// old service time estimate but not by the new one, so the call must be rejected: it would hold
+// the slot in vain.
 func TestRejectsQueuedCallWithTooLittleTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
@@ -120,8 +120,8 @@
 	})
 }
 
-// A backend server leaves while calls run and wait. New calls are refused, the
-// others end as if nothing had happened, and only then the gate is idle.
+// The gate drains while calls run and wait. New calls are rejected, the other calls end normally,
+// and the gate is idle only after they have ended.
 func TestDrain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
@@ -140,8 +140,8 @@
 	})
 }
 
-// One customer fills the queue, then another one's call arrives. It gets a place
-// and the first customer's newest call loses its own, not the other way round.
+// One customer fills the queue before a call of another customer arrives. The newest call of the
+// first customer must be displaced, and the call of the second customer must be queued.
 func TestFullQueueDisplacesLongestCustomer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 3)
@@ -160,8 +160,8 @@
 	})
 }
 
-// A customer's calls were slow once and the slots have been taken by others ever
-// since. The gate refuses its calls for the time they took then, but not forever.
+// A customer's calls were slow once, and other customers have used the slots since. Its calls are
+// rejected for the old service time estimate, which must not last forever.
 func TestServiceTimeEstimateRecovers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
@@ -185,9 +185,8 @@
 	})
 }
 
-// A customer's call has run for an hour, on its own at first. Now others wait for
-// the slot as well. The customer's next call goes after some of theirs, not after
-// an hour's worth.
+// A customer's call has run for an hour when other customers start to wait for the slot. The
+// customer's next call must wait for some of their calls, not for an hour's worth of them.
 func TestDebtIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 100)
@@ -226,8 +225,8 @@
 	})
 }
 
-// Calls of several customers come, wait, give up and end in any order. Never
-// more run than there are slots, and in the end nothing is left behind.
+// Calls of several customers arrive, wait, give up and end in any order. The calls in flight must
+// never exceed the slots, and no call or slot must be left over at the end.
 func TestSlotsAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		slots := rapid.IntRange(1, 4).Draw(rt, "slots")
@@ -281,7 +280,7 @@
 	})
 }
 
-// BenchmarkReject has all slots taken and a full queue of one customer in front.
+// BenchmarkReject measures rejections with all slots in use and a full queue of one customer.
 func BenchmarkReject(b *testing.B) {
 	for _, queued := range []int{0, 100, 1000} {
 		b.Run(fmt.Sprintf("queued=%d", queued), func(b *testing.B) {
@@ -305,9 +304,9 @@
 	}
 }
 
-// A backend server sheds half of its calls whatever its load. With slots that shrink
-// at each shed, one is left after a few calls, and callers are refused though the
-// server could run the other half.
+// A backend server sheds half of its calls at any load. If each shed call reduced the slots, a
+// single slot would be left after a few calls, and callers would be rejected although the server
+// can run the other half.
 func TestFixedSlotsIgnoreSheds(t *testing.T) {
 	for _, trusted := range []bool{false, true} {
 		opts := gate.DefaultOptions()
@@ -322,9 +321,9 @@
 	}
 }
 
-// All slots are taken by calls of 100 ms. A call with 150 ms until its objective must not
-// wait for one: it would come late, and so would those behind it. One with more time
-// may.
+// All slots are in use by calls of 100 ms. A call with 150 ms left until its objective must not
+// wait for one: it would be late, and so would the calls behind it. A call with more time left
+// may wait.
 func TestWaitIsBoundedByTheObjective(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opts := gate.DefaultOptions()
--- a/gate/model_test.go
+++ b/gate/model_test.go
@@ -13,8 +13,7 @@
 	"github.com/crocuscross/crocuscross/gate"
 )
 
-// admitter is what the model sends calls through: the gate or what it is
-// compared with.
+// admitter is the target of the model's calls: the gate or a queue to which it is compared.
 type admitter interface {
 	admit(customer string, remaining time.Duration) (leave func(gate.Outcome), err error)
 }
@@ -31,7 +30,8 @@
 	return t.Done, nil
 }
 
-// plainQueue waits for a slot until the time is up: no estimate, no customers.
+// plainQueue waits for a slot until the deadline, without estimates and without fairness between
+// customers.
 type plainQueue struct {
 	mu      sync.Mutex
 	free    int
@@ -44,7 +44,7 @@
 	granted  chan struct{}
 }
 
-// order returns the index of the one that goes next.
+// order returns the index of the waiter that is served next.
 type order func(waiting []*waiter) int
 
 func oldest([]*waiter) int         { return 0 }
@@ -100,13 +100,13 @@
 	customer string
 	// rate is in calls per second.
 	rate float64
-	// service is the mean time that a call runs; it varies by half.
+	// service is the mean service time; it varies by half in both directions.
 	service  time.Duration
 	deadline time.Duration
 }
 
-// tally counts what became of a source's calls: answered whole, cut by their
-// deadline, shed by the backend server, refused on arrival or after a wait.
+// tally counts the calls of a source by their result: answered in time, cut off by the deadline,
+// shed by the backend server, and rejected on arrival or after a wait.
 type tally struct {
 	offered, inTime, late, shed, onArrival, afterWait int
 }
@@ -122,10 +122,11 @@
 	t.afterWait += o.afterWait
 }
 
-// model runs sources against an entrance with a virtual clock.
+// model runs sources against an admitter with a virtual clock.
 type model struct {
 	newAdmitter func() admitter
-	// backendSlots is how many calls the backend server runs; it sheds the others.
+	// backendSlots is the number of calls that the backend server runs concurrently. It sheds
+	// further calls.
 	backendSlots int
 	length       time.Duration
 	sources      []source
@@ -133,8 +134,8 @@
 
 const modelWarmup = 2 * time.Second
 
-// run returns a tally of each source: of the calls that ended between the warm-up
-// and the end.
+// run returns a tally for each source, which covers the calls that ended between the warm-up and
+// the end of the run.
 func (m model) run(t *testing.T) []tally {
 	t.Helper()
 	tallies := make([]tally, len(m.sources))
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -18,7 +18,8 @@
 
 func nestedCall() gate.Call { return gate.Call{Route: "check", Nested: true, Remaining: time.Second} }
 
-// admitAsync admits in the background and tells when it was let in.
+// admitAsync calls Admit in the background and holds the slot for the given time. The channel
+// receives the error of Admit.
 func admitAsync(t *testing.T, g *gate.Gate, c gate.Call, hold time.Duration) <-chan error {
 	t.Helper()
 	done := make(chan error, 1)
@@ -34,9 +35,9 @@
 	return done
 }
 
-// All slots are taken and callers' requests wait. A service calls for a request that it has
-// worked on for 100 ms. Behind the others it would come too late for its parent, whose work
-// is lost then; it goes first, however urgent the others are.
+// All slots are in use, and callers' requests wait. A service makes a nested call for a request
+// on which it has worked for 100 ms. Behind the other calls it would be too late, and the work on
+// the request would be lost, so it must start first, however urgent the others are.
 func TestNestedCallsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
@@ -52,9 +53,9 @@
 	})
 }
 
-// A service calls itself. Requests of callers take all slots, and each then needs one for
-// the call that it makes: they wait for each other until their time is up, and all fail.
-// With a slot kept for nested calls each gets its turn.
+// A service calls itself. Callers' requests take all slots, and each then needs another slot for
+// its nested call: all of them wait for each other until their deadlines and fail. With a slot
+// reserved for nested calls, every request is answered.
 func TestNestedCallCycleDoesNotDeadlock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(2, 100)
@@ -78,9 +79,9 @@
 	})
 }
 
-// Quick requests of one route come now and then, long ones of another all the time. What
-// the gate keeps free for customers with quick calls would leave a sixth of the slots
-// unused here: routes are ranked by their priorities, and use all.
+// Short requests of one route arrive occasionally, long requests of another route constantly.
+// Slots are reserved for customers with short calls, but must not be for routes, which have
+// priorities: a sixth of the slots would stay unused.
 func TestRoutesUseAllSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(6, 100)
@@ -101,10 +102,10 @@
 	})
 }
 
-// Two requests may wait 100 ms, and will have to wait 40 and 80. Others come that have less
-// patience left, and go before them. Each of these may only as long as the two are served
-// within their patience and a quarter of it: they would leave after a wait in vain, and
-// begin anew elsewhere.
+// Two requests with a maximum wait of 100 ms are expected to wait 40 and 80 ms. New requests with
+// a shorter maximum wait overtake them. Each may do so only as long as the two still start within
+// their maximum wait and a quarter of it. Otherwise they would leave the queue after waiting in
+// vain, and start over at another gate.
 func TestNewcomersRespectMaxWaitOfQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opts := gate.DefaultOptions()
@@ -120,7 +121,8 @@
 		for _, patience := range []time.Duration{48, 46, 44} {
 			must.Eq(t, errkind.Overloaded, errkind.Of(<-admitAsync(t, g, lookup(patience*time.Millisecond), 0)))
 		}
-		// An early deadline is no reason to go before those that came first.
+		// A call with an early deadline but the same maximum wait does not overtake the earlier
+		// calls.
 		hurried := lookup(100 * time.Millisecond)
 		hurried.Remaining = 200 * time.Millisecond
 		must.Eq(t, errkind.Overloaded, errkind.Of(<-admitAsync(t, g, hurried, 0)))
@@ -133,8 +135,8 @@
 	})
 }
 
-// Senders pass a gate over whose queue is too long for a call. What it tells counts the
-// calls that wait by the time that each of them takes, and the slots kept for nested calls.
+// Senders skip a gate whose expected wait is too long for a call. The expected wait must use the
+// service time of each waiting call's share, not the mean over all shares.
 func TestExpectedWaitUsesServiceTimesOfQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
--- a/gate/policy_test.go
+++ b/gate/policy_test.go
@@ -14,8 +14,8 @@
 	modelTime      = 4 * time.Second
 )
 
-// deadlineMix offers load times the capacity with calls that may take 30 ms,
-// 100 ms and 1 s.
+// deadlineMix offers a load, as a multiple of the capacity, of calls with deadlines of 30 ms, 100
+// ms and 1 s.
 func deadlineMix(load float64) []source {
 	return []source{
 		{"a", 0.3 * load * capacity, 10 * ms, 30 * ms},
@@ -24,10 +24,10 @@
 	}
 }
 
-// Callers offer two and four times what the backend server can do. A queue that
-// only waits spends slots on calls that then miss their deadline, and lets the
-// others wait in vain. The gate answers as many as at capacity, of each deadline
-// the same part, and refuses the rest on arrival.
+// Callers offer two and four times the capacity of the backend server. A queue without forecasts
+// spends slots on calls that then miss their deadline, and lets others wait in vain. The gate
+// must answer nearly as many calls in time as at capacity, with similar fractions for each
+// deadline, and reject the rest on arrival.
 func TestGoodputUnderOverload(t *testing.T) {
 	for _, e := range []struct {
 		name  string
@@ -64,8 +64,8 @@
 	}
 }
 
-// One customer sends four times the capacity, two others a tenth each. The
-// others are answered as if they were alone.
+// One customer sends four times the capacity, two others a tenth of it each. The others' calls
+// must be answered as if the first customer sent none.
 func TestFloodAffectsOnlyItsCustomer(t *testing.T) {
 	sources := []source{
 		{"flood", 4 * capacity, 10 * ms, 1000 * ms},
@@ -83,9 +83,9 @@
 	must.GreaterEq(t, 0.75*capacity*modelTime.Seconds(), float64(ts[0].inTime))
 }
 
-// One customer uploads at twice the capacity, each a second long, another looks
-// up at a twentieth of it. All slots are taken by uploads, and a lookup cannot
-// wait for the end of one. With the headroom it need not.
+// One customer sends uploads of one second at twice the capacity, another one lookups at a
+// twentieth of it. Uploads could occupy all slots, and a lookup cannot wait for the end of one.
+// The slots reserved for fast customers must prevent that.
 func TestUploadsLeaveSlotsForLookups(t *testing.T) {
 	sources := []source{
 		{"uploads", 20, time.Second, 4 * time.Second},
@@ -98,8 +98,8 @@
 	must.GreaterEq(t, 0.8, used)
 }
 
-// A backend server announces 10 slots and sheds what goes beyond 6. Each call
-// shed frees its slot at once for the next one, which is shed as well.
+// A backend server announces 10 slots and sheds calls beyond 6. Without a limit that follows,
+// each shed call would release its slot at once to the next call, which would be shed as well.
 func TestLimitFollowsShedding(t *testing.T) {
 	sources := []source{{"a", 0.8 * capacity, 10 * ms, 200 * ms}}
 	plain := model{order(oldest).newAdmitter, 6, modelTime, sources}.run(t)[0]
--- a/retry/budgets_test.go
+++ b/retry/budgets_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fleet is daemons that share what may be sent again.
+// fleet is a set of daemons that share the retries of the services.
 type fleet []*Budgets
 
 func newFleet(n int, opts BudgetOptions) fleet {
@@ -19,10 +19,11 @@
 	return f
 }
 
-// The servers of a catalogue shed half of what comes. Each lookup that is sent again makes
-// two calls of the desk again, which counts them as repeats and is given only a share of
-// its own few bookings. Taken from the catalogue's budget alone the desk would get twice
-// the catalogue's, more than its share; restarts hand nothing out twice.
+// The servers of a catalogue shed half of their calls. Each retried lookup repeats its two calls
+// to the desk, whose budget allows retries for only a fraction of its own few bookings. If
+// retries were charged to the catalogue's budget alone, the desk would get twice as many repeated
+// calls as the catalogue, more than its budget allows. Restarted daemons must not grant the burst
+// again.
 func TestBudgets_ChainOfServices(t *testing.T) {
 	const (
 		ratio, burst = 0.2, 64
@@ -55,11 +56,11 @@
 		must.LessEq(t, ratio*float64(i+1)+burst, repeats["catalogue"])
 		must.LessEq(t, ratio*float64(bookings)+burst, repeats["desk"])
 	}
-	// Most of what the desk may get again is used.
+	// Most of the desk's budget is used.
 	must.Greater(t, 0.8*ratio*float64(bookings), repeats["desk"])
 }
 
-// A need that cannot be met leaves the others' budgets as they were.
+// If one cost cannot be met, the budgets of the other services stay unchanged.
 func TestBudgets_AllOrNothing(t *testing.T) {
 	b := NewBudgets(BudgetOptions{Ratio: 1, Burst: 10})
 	b.Deposit("a")
@@ -69,7 +70,7 @@
 	must.False(t, b.Withdraw(ServiceCost{"a", 1}))
 }
 
-// A daemon that has just started has earned nothing yet.
+// A daemon that has just started has no retries yet.
 func TestBudgets_StartEmpty(t *testing.T) {
 	b := NewBudgets(BudgetOptions{Ratio: 0.2, Burst: 64})
 	must.False(t, b.Withdraw(ServiceCost{"a", 1}))
--- a/retry/example_test.go
+++ b/retry/example_test.go
@@ -8,9 +8,8 @@
 	"github.com/crocuscross/crocuscross/retry"
 )
 
-// The link to a backend server broke after the call was sent. A lookup is sent
-// to another one, within the budget; a permit hold is not, since it may have
-// run.
+// The connection to a backend server broke after the call was sent. A lookup is retried at
+// another server, within the budget. A hold of a permit is not retried, since it may have run.
 func Example() {
 	budget := retry.NewBudget(retry.BudgetOptions{Ratio: 0.1, Burst: 10})
 	call := retry.Call{InheritedAttempt: 1, Attempts: 1, Remaining: time.Second}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -13,7 +13,7 @@
 	"github.com/crocuscross/crocuscross/retry"
 )
 
-// tenth holds the extra load on backend servers to a tenth.
+// tenth limits the additional load on backend servers to a tenth.
 var tenth = retry.BudgetOptions{Ratio: 0.1, Burst: 10}
 
 func TestAllowed(t *testing.T) {
@@ -52,8 +52,8 @@
 	}
 }
 
-// A non-idempotent call that may have run is sent again for no kind and under no
-// circumstances.
+// A non-idempotent call that may have run must not be retried, whatever the kind of the error and
+// the other parameters.
 func TestMayHaveRunIsNeverRetried(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		kind := rapid.SampledFrom(errkind.Kinds()).Draw(t, "kind")
@@ -67,22 +67,22 @@
 	})
 }
 
-// layer is one daemon of a nested call and the backend server behind it, which
-// calls the next layer. passOn is whether it passes on the attempt number.
+// layer is one daemon of a nested call and the backend server behind it, which calls the next
+// layer. passOn means that the backend server propagates the attempt number.
 type layer struct {
 	rule   rule
 	passOn bool
 	budget *retry.Budget
 	below  *layer
-	// fails is how the attempts of the deepest layer end, if they do.
+	// fails is the kind with which the attempts of the deepest layer end, or nil if they succeed.
 	fails *errkind.Kind
-	// breaks is the chance that an answer breaks off after the call has run.
+	// breaks is the probability that an answer breaks off after the call has run.
 	breaks float64
 	rng    *rand.Rand
 	runs   int
 }
 
-// rule decides whether to send again.
+// rule decides whether a layer retries a call.
 type rule func(l *layer, kind errkind.Kind, inherited, attempts int) bool
 
 func allowedRule(l *layer, kind errkind.Kind, inherited, attempts int) bool {
@@ -90,10 +90,10 @@
 	return d.Retry && (d.BudgetExempt || l.budget.Withdraw())
 }
 
-// alwaysRule sends all that failed again, up to three times.
+// alwaysRule retries every failed call, up to three attempts.
 func alwaysRule(_ *layer, _ errkind.Kind, _, attempts int) bool { return attempts < 3 }
 
-// budgetRule does so within a budget.
+// budgetRule retries every failed call within a budget, up to three attempts.
 func budgetRule(l *layer, _ errkind.Kind, _, attempts int) bool {
 	return attempts < 3 && l.budget.Withdraw()
 }
@@ -124,8 +124,8 @@
 	return errkind.None, ok
 }
 
-// deepestRuns returns the attempts at the deepest of 15 layers like l per call at
-// the top.
+// deepestRuns returns the number of attempts at the deepest of 15 layers, configured as l, per
+// call at the top.
 func deepestRuns(calls int, l layer) float64 {
 	const depth = 15
 	var top, deepest *layer
@@ -144,9 +144,9 @@
 	return float64(deepest.runs) / float64(calls)
 }
 
-// The deepest of 15 services fails all calls. Each daemon above sees errors and
-// could send again; the failing server sees little more than the calls made at
-// the top, also if no backend server passes on a header.
+// The deepest of 15 services fails all calls. Each daemon above sees errors and could retry. The
+// failing server must get little more than the number of calls made at the top, even if no
+// backend server propagates headers.
 func TestAttemptsDoNotMultiplyOverDepth(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.None, errkind.Overloaded, errkind.Unreachable, errkind.BackendFailed} {
 		got := deepestRuns(2000, layer{rule: allowedRule, fails: &kind})
@@ -158,9 +158,8 @@
 	t.Logf("naive: %.0f", deepestRuns(1, layer{rule: alwaysRule, fails: &kind}))
 }
 
-// At each of 15 layers one answer in ten breaks off after the call has run.
-// Numbers that are passed down keep what one layer sends again from being sent
-// again below.
+// At each of 15 layers one answer in ten breaks off after the call has run. A propagated attempt
+// number must prevent the layers below from retrying what a layer above retries.
 func TestAttemptNumberIsPassedDown(t *testing.T) {
 	passed := deepestRuns(5000, layer{rule: allowedRule, breaks: 0.1, passOn: true})
 	lost := deepestRuns(5000, layer{rule: allowedRule, breaks: 0.1})
@@ -180,7 +179,7 @@
 	must.Eq(t, 10, n)
 }
 
-// All of many goroutines together get a tenth and the burst, not more.
+// Many goroutines together must get a tenth of their first attempts and the burst, not more.
 func TestBudget(t *testing.T) {
 	b := retry.NewBudget(retry.BudgetOptions{Ratio: 0.1, Burst: 10})
 	var group sync.WaitGroup
@@ -212,9 +211,9 @@
 	})
 }
 
-// Gates refuse a call before it reaches a backend server. That draws on no budget and
-// counts as no attempt; under overload it is tried at three gates at most, and at more
-// where backend servers only leave.
+// Calls that gates reject before they reach a backend server take nothing from the budget and do
+// not count as attempts. A call is sent to at most three gates that are overloaded, and to more
+// gates whose backend servers drain.
 func TestRefusalsAreBudgetExemptAndBounded(t *testing.T) {
 	c := retry.Call{InheritedAttempt: 1, MaxAttempts: 2, NonIdempotent: true, Remaining: time.Second, Unsent: true}
 	for refusals, again := range map[int]bool{1: true, 2: true, 3: false} {
@@ -233,8 +232,8 @@
 	must.False(t, d.BudgetExempt)
 }
 
-// The fleet has grown, and with it the number of daemons that share the retries: what a
-// daemon holds beyond its part is lost at once.
+// The fleet grows, and with it the number of daemons that share the retries. A daemon must drop
+// immediately what its balance exceeds the new burst by.
 func TestBudgetShrinks(t *testing.T) {
 	b := retry.NewBudget(retry.BudgetOptions{Burst: 10})
 	b.SetBurst(1.5)
