--- a/balance/model_test.go
+++ b/balance/model_test.go
@@ -94,8 +94,8 @@
 	// failing is the fraction of its calls that fail immediately.
 	slowness func(age time.Duration) float64
 	failing  float64
-	// gone is the age of the run from which on the server's host is unreachable.
-	gone time.Duration
+	// goneFrom is the age of the run from which on the server's host is unreachable.
+	goneFrom time.Duration
 	// hidesLoad makes the server report no load.
 	hidesLoad bool
 }
@@ -148,11 +148,11 @@
 		var calls sync.WaitGroup
 		for r.age() < sc.length+warmUp {
 			time.Sleep(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
-			daemon, work, luck := rng.IntN(daemons), rng.ExpFloat64()*float64(service), rng.Float64()
+			daemon, work, failureDraw := rng.IntN(daemons), rng.ExpFloat64()*float64(service), rng.Float64()
 			if sc.oneZone {
 				daemon -= daemon % zones
 			}
-			calls.Go(func() { r.call(choosers[daemon], daemon, work, luck) })
+			calls.Go(func() { r.call(choosers[daemon], daemon, work, failureDraw) })
 		}
 		calls.Wait()
 	})
@@ -168,7 +168,7 @@
 			ID:               backend.ID{Host: fmt.Sprint(i), Service: "s"},
 			AvailabilityZone: zoneName(i), Slots: slots, FirstSeen: r.start.Add(-time.Hour),
 		}
-		x := &target{gate: gate.New(gate.DefaultOptions()), slowness: steady, gone: time.Hour}
+		x := &target{gate: gate.New(gate.DefaultOptions()), slowness: steady, goneFrom: time.Hour}
 		r.servers, r.targets[s.ID], all = append(r.servers, s), x, append(all, x)
 	}
 	if r.change != nil {
@@ -191,7 +191,7 @@
 }
 
 // call makes up to three attempts at different servers, as long as the attempts do not run.
-func (r *run) call(c chooser, zone int, work, luck float64) {
+func (r *run) call(c chooser, zone int, work, failureDraw float64) {
 	start := time.Now()
 	counted := r.age() > warmUp
 	var tried []backend.ID
@@ -201,7 +201,7 @@
 		s, end := c(r.servers, func(id backend.ID) bool { return slices.Contains(tried, id) })
 		r.mu.Unlock()
 		tried = append(tried, s.ID)
-		result := r.attempt(s, zone, work, luck, start.Add(callTime))
+		result := r.attempt(s, zone, work, failureDraw, start.Add(callTime))
 		r.mu.Lock()
 		end(result)
 		if counted {
@@ -225,12 +225,12 @@
 	}
 }
 
-func (r *run) attempt(s *backend.Server, zone int, work, luck float64, deadline time.Time) balance.Result {
+func (r *run) attempt(s *backend.Server, zone int, work, failureDraw float64, deadline time.Time) balance.Result {
 	start, x, hop := time.Now(), r.targets[s.ID], zoneHop
 	if s.AvailabilityZone == zoneName(zone) {
 		hop = localHop
 	}
-	if r.age() > x.gone {
+	if r.age() > x.goneFrom {
 		time.Sleep(connectTime)
 		return balance.Result{Kind: errkind.Unreachable, Latency: connectTime}
 	}
@@ -240,7 +240,7 @@
 	switch {
 	case err != nil:
 		result.Kind = errkind.Of(err)
-	case luck < x.failing:
+	case failureDraw < x.failing:
 		result.Status = http.StatusInternalServerError
 		ticket.Done(gate.Answered)
 	default:
@@ -266,13 +266,13 @@
 	return r.answered[int(q*float64(len(r.answered)-1))]
 }
 
-func (r *run) crossed() float64 { return float64(r.leftZone) / float64(r.offered) }
+func (r *run) remoteShare() float64 { return float64(r.leftZone) / float64(r.offered) }
 
 func (r *run) log(t *testing.T, chooser string) {
 	t.Helper()
 	t.Logf("%-19s %-10s p50 %5.1f p99 %5.1f p99.9 %5.1f ms, refused %.4f, out of zone %.2f, at the first server %.3f",
 		r.name, chooser, ms(r.quantile(0.5)), ms(r.quantile(0.99)), ms(r.quantile(0.999)), r.refused(),
-		r.crossed(), float64(r.calls[r.servers[0].ID])/float64(r.offered))
+		r.remoteShare(), float64(r.calls[r.servers[0].ID])/float64(r.offered))
 }
 
 func (r *run) refused() float64 { return 1 - float64(len(r.answered))/float64(r.offered) }
--- a/balance/picker_test.go
+++ b/balance/picker_test.go
@@ -160,8 +160,8 @@
 		b := newHarness(4)
 		b.run(500, good)
 		b.run(200, firstGives(r))
-		trickle := b.run(20_000, firstGives(r))
-		must.Between(t, 0.0001, trickle, 0.002, must.Sprint(r))
+		trialShare := b.run(20_000, firstGives(r))
+		must.Between(t, 0.0001, trialShare, 0.002, must.Sprint(r))
 		b.run(20_000, good)
 		must.Greater(t, 0.2, b.run(1000, good), must.Sprint(r))
 	}
@@ -246,7 +246,7 @@
 			return results[rapid.IntRange(0, len(results)-1).Draw(rt, "result")]
 		})
 		excluded := make(map[backend.ID]bool)
-		var sound, suspect int
+		var healthy, suspect int
 		servers := make([]*backend.Server, 0, len(b.servers))
 		for _, old := range b.servers {
 			s := *old
@@ -257,19 +257,19 @@
 				suspect++
 			}
 			if !s.Draining && !excluded[s.ID] && !s.Suspect {
-				sound++
+				healthy++
 			}
 			servers = append(servers, &s)
 		}
 		for range 20 {
 			l, err := b.Pick(servers, func(id backend.ID) bool { return excluded[id] })
-			if sound+suspect == 0 {
+			if healthy+suspect == 0 {
 				must.Eq(rt, errkind.NoBackend, errkind.Of(err))
 				return
 			}
 			must.NoError(rt, err)
 			s := l.Server()
-			must.False(rt, s.Draining || excluded[s.ID] || s.Suspect && sound > 0)
+			must.False(rt, s.Draining || excluded[s.ID] || s.Suspect && healthy > 0)
 			l.Done(good(false))
 		}
 	})
--- a/balance/policy_test.go
+++ b/balance/policy_test.go
@@ -30,7 +30,7 @@
 	{name: "busy", worst: 1.25, load: 0.9, length: time.Second},
 	{name: "demand in one zone", worst: 1.25, load: 0.7, length: time.Second, oneZone: true},
 	{name: "one slow", worst: 1.8, load: 0.6, length: time.Second, change: func(ts []*target) { ts[0].slowness = slowBy(10) }},
-	{name: "one slow and lying", worst: 1.25, load: 0.6, length: time.Second, change: func(ts []*target) {
+	{name: "one slow, no load", worst: 1.25, load: 0.6, length: time.Second, change: func(ts []*target) {
 		ts[0].slowness, ts[0].hidesLoad = slowBy(5), true
 	}},
 	{name: "one cold", worst: 1.25, load: 0.6, length: 2 * time.Second, change: func(ts []*target) { ts[0].slowness = coldFrom(time.Second) },
@@ -41,7 +41,7 @@
 	{name: "zone gone", worst: 2, load: 0.5, length: 3 * time.Second,
 		change: func(ts []*target) {
 			for i := 0; i < len(ts); i += zones {
-				ts[i].gone = time.Second
+				ts[i].goneFrom = time.Second
 			}
 		},
 		viewAt: 2500 * time.Millisecond,
@@ -70,7 +70,7 @@
 		must.LessEq(t, 0.2*u.refused()+0.001, p.refused(), must.Sprint(sc.name))
 		if sc.name == "calm" {
 			calm = p.quantile(0.999)
-			must.Less(t, 0.5*u.crossed(), p.crossed())
+			must.Less(t, 0.5*u.remoteShare(), p.remoteShare())
 		}
 		must.Less(t, sc.worst*ms(calm), ms(p.quantile(0.999)), must.Sprint(sc.name))
 	}
--- a/balance/stats.go
+++ b/balance/stats.go
@@ -12,9 +12,10 @@
 	// failure rate and the slow rate.
 	latencyWeight = 0.05
 	rateWeight    = 0.07
-	// latencyHalfLife and failureHalfLife are the times without a call after which half of an
-	// observation is replaced by the typical value of the pool. Without this decay, a server that
-	// gets no calls because of old observations would never get calls again.
+	// latencyHalfLife is the time without a call after which half of an observed latency is
+	// replaced by the baseline, failureHalfLife the time after which the failure rate and the slow
+	// rate are halved. Without this decay, a server that gets no calls because of old observations
+	// would never get calls again.
 	latencyHalfLife = instant(2 * time.Second)
 	failureHalfLife = instant(10 * time.Second)
 	// slowRatio is the multiple of the baseline latency from which on a call is slow,
--- a/gate/admit.go
+++ b/gate/admit.go
@@ -4,7 +4,7 @@
 
 const (
 	// queuedMargin is the minimum time, as a multiple of the service time, that a waiting call
-	// must be expected to have left at its start after a new call of the same share overtakes it.
+	// must be expected to have left at its start for a new call of the same share to be queued.
 	queuedMargin = 2
 	// forecastErrorDivisor is the inverse of the relative error that is assumed for a forecast,
 	// which is based on the mean over a few calls.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -22,9 +22,9 @@
 	// it runs no more than that. It suits servers that shed a part of their calls at any load:
 	// fewer slots would not reduce the number of shed calls.
 	FixedSlots bool
-	// RetryAfterIgnoresObjective sets the retry-after time of a rejected call to the time in
-	// which the present queue will have been served, even if a retry at that time can no longer
-	// be answered within the call's latency objective.
+	// RetryAfterIgnoresObjective sets the retry-after time of a rejected call to the expected
+	// time until the current queue is served, even if a retry at that time can no longer be
+	// answered within the call's latency objective.
 	RetryAfterIgnoresObjective bool
 	// MaxQueue is the maximum number of waiting calls. It bounds memory; the wait itself is
 	// bounded by the remaining time of each call.
@@ -122,8 +122,8 @@
 }
 
 // Check returns the error that Admit would return for the call at this moment, or nil if Admit
-// would start or queue it. Check neither acquires a slot nor queues the call, so the result may
-// be outdated at once.
+// would start or queue it. It does not consider MaxQueue. Check neither acquires a slot nor queues
+// the call, so the result may be outdated at once.
 func (g *Gate) Check(c Call) error {
 	if c.Remaining <= 0 {
 		return errTooLittleTime
--- a/gate/model_test.go
+++ b/gate/model_test.go
@@ -15,7 +15,7 @@
 
 // admitter is the target of the model's calls: the gate or a queue to which it is compared.
 type admitter interface {
-	admit(customer string, remaining time.Duration) (leave func(gate.Outcome), err error)
+	admit(customer string, remaining time.Duration) (release func(gate.Outcome), err error)
 }
 
 type gateAdmitter struct{ *gate.Gate }
@@ -63,27 +63,27 @@
 	if q.free > 0 {
 		q.free--
 		q.mu.Unlock()
-		return q.leave, nil
+		return q.release, nil
 	}
 	w := &waiter{deadline: time.Now().Add(remaining), granted: make(chan struct{})}
 	q.waiting = append(q.waiting, w)
 	q.mu.Unlock()
 	select {
 	case <-w.granted:
-		return q.leave, nil
+		return q.release, nil
 	case <-time.After(remaining):
 	}
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	i := slices.Index(q.waiting, w)
 	if i < 0 {
-		return q.leave, nil
+		return q.release, nil
 	}
 	q.waiting = slices.Delete(q.waiting, i, i+1)
 	return nil, errkind.New(errkind.DeadlineNotRun, "too late")
 }
 
-func (q *plainQueue) leave(gate.Outcome) {
+func (q *plainQueue) release(gate.Outcome) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if len(q.waiting) == 0 {
@@ -168,7 +168,7 @@
 
 func call(e admitter, src source, service time.Duration, running chan struct{}) tally {
 	start := time.Now()
-	leave, err := e.admit(src.customer, src.deadline)
+	release, err := e.admit(src.customer, src.deadline)
 	waited := time.Since(start)
 	switch {
 	case err != nil && waited == 0:
@@ -180,13 +180,13 @@
 	case running <- struct{}{}:
 	default:
 		time.Sleep(100 * time.Microsecond)
-		leave(gate.Shed)
+		release(gate.Shed)
 		return tally{offered: 1, shed: 1}
 	}
 	left := src.deadline - waited
 	time.Sleep(min(service, left))
 	<-running
-	leave(gate.Answered)
+	release(gate.Answered)
 	if service > left {
 		return tally{offered: 1, late: 1}
 	}
--- a/gate/nested_test.go
+++ b/gate/nested_test.go
@@ -123,9 +123,9 @@
 		}
 		// A call with an early deadline but the same maximum wait does not overtake the earlier
 		// calls.
-		hurried := lookup(100 * time.Millisecond)
-		hurried.Remaining = 200 * time.Millisecond
-		must.Eq(t, errkind.Overloaded, errkind.Of(<-admitAsync(t, g, hurried, 0)))
+		earlyDeadline := lookup(100 * time.Millisecond)
+		earlyDeadline.Remaining = 200 * time.Millisecond
+		must.Eq(t, errkind.Overloaded, errkind.Of(<-admitAsync(t, g, earlyDeadline, 0)))
 		time.Sleep(40 * time.Millisecond)
 		running.Done(gate.Answered)
 		for _, s := range served {
@@ -136,7 +136,8 @@
 }
 
 // Senders skip a gate whose expected wait is too long for a call. The expected wait must use the
-// service time of each waiting call's share, not the mean over all shares.
+// service time of each waiting call's share, not the mean over all shares, and counts a slot
+// reserved for nested calls as in use.
 func TestExpectedWaitUsesServiceTimesOfQueuedCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newGate(1, 10)
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -60,8 +60,8 @@
 // Withdraw takes one retry from the budget and reports whether it was available.
 func (b *Budget) Withdraw() bool { return b.withdrawUnits(unitsPerRetry) }
 
-// withdrawUnits takes the amount, in units of unitsPerRetry, from the balance and reports whether
-// it was available.
+// withdrawUnits takes the amount, in balance units, from the balance and reports whether it was
+// available.
 func (b *Budget) withdrawUnits(amount int64) bool {
 	for {
 		old := b.balance.Load()
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -27,7 +27,7 @@
 	// maxNoCostAttempts is the maximum number of attempts that cost no backend server any work. A
 	// zone that is being stopped rejects a call at each of its backend servers in turn.
 	maxNoCostAttempts = 10
-	// maxOverloadedAttempts is the maximum number of attempts that gates reject because their
+	// maxOverloadedAttempts is the maximum number of attempts if gates reject them because their
 	// queues are too long. Under overload all gates do so, and each further attempt takes
 	// resources of the hosts that they need to serve other calls.
 	maxOverloadedAttempts = 3
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -74,12 +74,13 @@
 	passOn bool
 	budget *retry.Budget
 	below  *layer
-	// fails is the kind with which the attempts of the deepest layer end, or nil if they succeed.
-	fails *errkind.Kind
-	// breaks is the probability that an answer breaks off after the call has run.
-	breaks float64
-	rng    *rand.Rand
-	runs   int
+	// failureKind is the kind with which the attempts of the deepest layer end, or nil if they
+	// succeed.
+	failureKind *errkind.Kind
+	// breakProbability is the probability that an answer breaks off after the call has run.
+	breakProbability float64
+	rng              *rand.Rand
+	runs             int
 }
 
 // rule decides whether a layer retries a call.
@@ -111,14 +112,14 @@
 
 func (l *layer) attempt(number int) (errkind.Kind, bool) {
 	l.runs++
-	if l.below == nil && l.fails != nil {
-		return *l.fails, false
+	if l.below == nil && l.failureKind != nil {
+		return *l.failureKind, false
 	}
 	if !l.passOn {
 		number = 1
 	}
 	ok := l.below == nil || l.below.call(number)
-	if l.rng.Float64() < l.breaks {
+	if l.rng.Float64() < l.breakProbability {
 		return errkind.BackendFailed, false
 	}
 	return errkind.None, ok
@@ -149,20 +150,20 @@
 // backend server propagates headers.
 func TestAttemptsDoNotMultiplyOverDepth(t *testing.T) {
 	for _, kind := range []errkind.Kind{errkind.None, errkind.Overloaded, errkind.Unreachable, errkind.BackendFailed} {
-		got := deepestRuns(2000, layer{rule: allowedRule, fails: &kind})
+		got := deepestRuns(2000, layer{rule: allowedRule, failureKind: &kind})
 		t.Logf("deepest fails with %q: %.3f attempts per call", kind, got)
 		must.Between(t, 1, got, 1.2)
 	}
 	kind := errkind.BackendFailed
-	t.Logf("naive with a budget of a tenth: %.2f", deepestRuns(2000, layer{rule: budgetRule, fails: &kind}))
-	t.Logf("naive: %.0f", deepestRuns(1, layer{rule: alwaysRule, fails: &kind}))
+	t.Logf("retry of every failure with a budget of a tenth: %.2f", deepestRuns(2000, layer{rule: budgetRule, failureKind: &kind}))
+	t.Logf("retry of every failure: %.0f", deepestRuns(1, layer{rule: alwaysRule, failureKind: &kind}))
 }
 
 // At each of 15 layers one answer in ten breaks off after the call has run. A propagated attempt
 // number must prevent the layers below from retrying what a layer above retries.
 func TestAttemptNumberIsPassedDown(t *testing.T) {
-	passed := deepestRuns(5000, layer{rule: allowedRule, breaks: 0.1, passOn: true})
-	lost := deepestRuns(5000, layer{rule: allowedRule, breaks: 0.1})
+	passed := deepestRuns(5000, layer{rule: allowedRule, breakProbability: 0.1, passOn: true})
+	lost := deepestRuns(5000, layer{rule: allowedRule, breakProbability: 0.1})
 	t.Logf("attempts at the deepest: number passed on %.2f, lost %.2f", passed, lost)
 	must.Less(t, 0.8*lost, passed)
 }
