--- a/balance/member.go
+++ b/balance/member.go
@@ -33,8 +33,8 @@
 	// hop is the additional network time of a call to the server, in seconds.
 	hop   float64
 	local bool
-	// since is when the server became known.
-	since     instant
+	// firstSeen is the instant at which the server became known.
+	firstSeen instant
 	slowStart instant
 }
 
@@ -42,7 +42,7 @@
 	m := &member{
 		server:    s,
 		stats:     st,
-		since:     instant(s.FirstSeen.Sub(p.epoch)),
+		firstSeen: instant(s.FirstSeen.Sub(p.epoch)),
 		slowStart: instant(p.opts.SlowStart),
 	}
 	switch {
@@ -79,7 +79,7 @@
 // slowStartWeight returns the fraction of its calls that the server gets, which is 1 after its
 // slow start.
 func (m *member) slowStartWeight(now instant) float64 {
-	age := now - m.since
+	age := now - m.firstSeen
 	if age >= m.slowStart {
 		return 1
 	}
