--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -60,7 +60,7 @@
 func TestLostAnswersLeaveAWholeCheckpoint(t *testing.T) {
 	svc, stream := newStream()
 	svc.LoseRequests(1)
-	svc.LoseAnswers(1)
+	svc.LoseResponses(1)
 	st := bigState()
 	must.NoError(t, NewWriter(stream, "h", options()).Write(t.Context(), st))
 	got, err := Latest(t.Context(), stream)
@@ -130,7 +130,7 @@
 		}
 		bounds, _ := stream.Bounds(context.Background())
 		first := rapid.Uint64Range(bounds.First, bounds.End).Draw(t, "first")
-		stream.Cut(first)
+		stream.TruncateBefore(first)
 
 		got, err := Latest(context.Background(), stream)
 		whole := slices.DeleteFunc(writers, func(w *writer) bool {
@@ -225,7 +225,7 @@
 	w := NewWriter(stream, "h", options())
 	s := NewScanner(stream)
 	for i, drop := range []func(){
-		func() { b, _ := stream.Bounds(t.Context()); stream.Cut(b.End) },
+		func() { b, _ := stream.Bounds(t.Context()); stream.TruncateBefore(b.End) },
 		func() { b, _ := stream.Bounds(t.Context()); stream.TruncateEnd(b.First) },
 	} {
 		must.NoError(t, w.Write(t.Context(), stateAt(i+1)))
--- a/eventlog/directory.go
+++ b/eventlog/directory.go
@@ -12,17 +12,17 @@
 	List(ctx context.Context) ([][]byte, error)
 }
 
-// Tail is a Directory over the latest records of a log whose values name their
+// TailDirectory is a Directory over the latest records of a log whose values name their
 // keys themselves. What is removed, and what lies further back than the tail, is
 // not told apart: it suits hints, such as contacts.
-type Tail struct {
+type TailDirectory struct {
 	Log Log
-	// Records is how many of the latest records are looked at.
-	Records uint64
+	// MaxRecords is how many of the latest records are looked at.
+	MaxRecords uint64
 }
 
 // Put implements Directory.
-func (t Tail) Put(ctx context.Context, _ string, value []byte) error {
+func (t TailDirectory) Put(ctx context.Context, _ string, value []byte) error {
 	if len(value) == 0 {
 		return nil
 	}
@@ -31,19 +31,19 @@
 }
 
 // List implements Directory. It returns older values of a key as well.
-func (t Tail) List(ctx context.Context) ([][]byte, error) {
+func (t TailDirectory) List(ctx context.Context) ([][]byte, error) {
 	b, err := t.Log.Bounds(ctx)
 	if err != nil {
 		return nil, err
 	}
 	from := b.First
-	if b.End > b.First+t.Records {
-		from = b.End - t.Records
+	if b.End > b.First+t.MaxRecords {
+		from = b.End - t.MaxRecords
 	}
 	if from >= b.End {
 		return nil, nil
 	}
-	records, err := t.Log.Read(ctx, from, int(t.Records), 0)
+	records, err := t.Log.Read(ctx, from, int(t.MaxRecords), 0)
 	if err != nil {
 		return nil, err
 	}
--- a/eventlog/eventlog.go
+++ b/eventlog/eventlog.go
@@ -71,12 +71,12 @@
 
 // TruncatedError means that the records asked for are no longer retained.
 type TruncatedError struct {
-	Asked, First Offset
+	Requested, First Offset
 }
 
 // Error gives both offsets.
 func (e *TruncatedError) Error() string {
-	return fmt.Sprintf("offset %d is no longer retained, the first is %d", e.Asked, e.First)
+	return fmt.Sprintf("offset %d is no longer retained, the first is %d", e.Requested, e.First)
 }
 
 // Log is one stream of the service. Implementations are safe for concurrent
--- a/eventlog/example_test.go
+++ b/eventlog/example_test.go
@@ -30,7 +30,7 @@
 	svc.SetOutage(true)
 	add()
 	svc.SetOutage(false)
-	svc.LoseAnswers(1)
+	svc.LoseResponses(1)
 	add()
 	// Output:
 	// in the log at 1
--- a/eventlog/httplog/httplog_test.go
+++ b/eventlog/httplog/httplog_test.go
@@ -71,14 +71,14 @@
 	recs, err = log.Read(t.Context(), 4, 10, time.Millisecond)
 	must.NoError(t, err)
 	must.SliceEmpty(t, recs)
-	s.Stream("config").Cut(3)
+	s.Stream("config").TruncateBefore(3)
 	b, err := log.Bounds(t.Context())
 	must.NoError(t, err)
 	must.Eq(t, eventlog.Bounds{First: 3, End: 4}, b)
 	_, err = log.Read(t.Context(), 2, 10, 0)
 	var trunc *eventlog.TruncatedError
 	must.True(t, errors.As(err, &trunc))
-	must.Eq(t, eventlog.TruncatedError{Asked: 2, First: 3}, *trunc)
+	must.Eq(t, eventlog.TruncatedError{Requested: 2, First: 3}, *trunc)
 }
 
 // The record is in the log, then the connection ends without an answer. The
@@ -89,7 +89,7 @@
 	log := s.client.Stream("config")
 	_, err := log.Append(t.Context(), []byte("before"))
 	must.NoError(t, err)
-	s.LoseAnswers(1)
+	s.LoseResponses(1)
 	_, err = log.Append(t.Context(), []byte("x"))
 	mustBeUnknown(t, err)
 	must.Eq(t, 2, s.Counters().Appends)
--- a/eventlog/httplog/protocol.go
+++ b/eventlog/httplog/protocol.go
@@ -28,19 +28,19 @@
 	ParamWait = "wait"
 )
 
-// AppendAnswer is the JSON body that answers an append.
-type AppendAnswer struct {
+// AppendResponse is the JSON body that answers an append.
+type AppendResponse struct {
 	Offset eventlog.Offset `json:"offset"`
 }
 
-// TruncatedAnswer is the JSON body that answers a read of records that are no
+// TruncatedResponse is the JSON body that answers a read of records that are no
 // longer retained.
-type TruncatedAnswer struct {
+type TruncatedResponse struct {
 	First eventlog.Offset `json:"first"`
 }
 
-// BoundsAnswer is the JSON body that answers a request for the bounds.
-type BoundsAnswer struct {
+// BoundsResponse is the JSON body that answers a request for the bounds.
+type BoundsResponse struct {
 	First eventlog.Offset `json:"first"`
 	End   eventlog.Offset `json:"end"`
 }
--- a/eventlog/httplog/stream.go
+++ b/eventlog/httplog/stream.go
@@ -62,7 +62,7 @@
 func appendAnswer(resp *http.Response) (eventlog.Offset, error) {
 	switch {
 	case resp.StatusCode == http.StatusCreated:
-		var a AppendAnswer
+		var a AppendResponse
 		if err := decodeSmall(resp, &a); err != nil {
 			return 0, eventlog.Unknown(err)
 		}
@@ -118,7 +118,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return eventlog.Bounds{}, readError(resp)
 	}
-	var a BoundsAnswer
+	var a BoundsResponse
 	if err := decodeSmall(resp, &a); err != nil {
 		return eventlog.Bounds{}, eventlog.Unavailable(err)
 	}
@@ -168,14 +168,14 @@
 }
 
 func truncated(resp *http.Response, asked eventlog.Offset) error {
-	var a TruncatedAnswer
+	var a TruncatedResponse
 	if err := decodeSmall(resp, &a); err != nil {
 		return eventlog.Unavailable(err)
 	}
 	if a.First <= asked {
 		return eventlog.Unavailable(errors.Newf("log service answered that %d is no longer retained and %d is", asked, a.First))
 	}
-	return &eventlog.TruncatedError{Asked: asked, First: a.First}
+	return &eventlog.TruncatedError{Requested: asked, First: a.First}
 }
 
 // readError maps the status of a read that failed. Nothing was read, whatever
--- a/eventlog/memlog/example_test.go
+++ b/eventlog/memlog/example_test.go
@@ -16,7 +16,7 @@
 	svc := memlog.New(memlog.DefaultOptions())
 	log := svc.Stream(eventlog.StreamConfig)
 
-	svc.LoseAnswers(1)
+	svc.LoseResponses(1)
 	_, err := log.Append(ctx, []byte("bundle"))
 	fmt.Println("unknown:", errors.Is(err, eventlog.ErrUnknown))
 
--- a/eventlog/memlog/faults.go
+++ b/eventlog/memlog/faults.go
@@ -60,9 +60,9 @@
 	return len(s.faults.waiting)
 }
 
-// LoseAnswers makes the next n appends take effect and return
+// LoseResponses makes the next n appends take effect and return
 // eventlog.ErrUnknown.
-func (s *Service) LoseAnswers(n int) {
+func (s *Service) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.loseAnswers = n
--- a/eventlog/memlog/memlog_test.go
+++ b/eventlog/memlog/memlog_test.go
@@ -30,7 +30,7 @@
 			},
 			"cut": func(t *rapid.T) {
 				n := rapid.IntRange(0, len(model)).Draw(t, "n")
-				st.Cut(first + eventlog.Offset(n))
+				st.TruncateBefore(first + eventlog.Offset(n))
 				first, model = first+eventlog.Offset(n), model[n:]
 			},
 			"truncate end": func(t *rapid.T) {
@@ -68,7 +68,7 @@
 	svc := New(DefaultOptions())
 	st := svc.Stream("s")
 	svc.LoseRequests(1)
-	svc.LoseAnswers(1)
+	svc.LoseResponses(1)
 	for range 2 {
 		_, err := st.Append(t.Context(), []byte("x"))
 		must.ErrorIs(t, err, eventlog.ErrUnknown)
--- a/eventlog/memlog/stream.go
+++ b/eventlog/memlog/stream.go
@@ -97,9 +97,9 @@
 	return eventlog.Bounds{First: st.first, End: st.end()}, nil
 }
 
-// Cut drops the records before first, as the service does when their time is
+// TruncateBefore drops the records before first, as the service does when their time is
 // up.
-func (st *Stream) Cut(first eventlog.Offset) {
+func (st *Stream) TruncateBefore(first eventlog.Offset) {
 	st.svc.mu.Lock()
 	defer st.svc.mu.Unlock()
 	st.cut(first)
@@ -169,7 +169,7 @@
 	}
 	st.expire()
 	if from < st.first {
-		return nil, nil, &eventlog.TruncatedError{Asked: from, First: st.first}
+		return nil, nil, &eventlog.TruncatedError{Requested: from, First: st.first}
 	}
 	var recs []eventlog.Record
 	size := 0
--- a/fold/restore_test.go
+++ b/fold/restore_test.go
@@ -11,7 +11,7 @@
 // folded returns the state after records, each at the index of its place, in an epoch.
 func folded(t *testing.T, epoch uint32, records ...[]byte) *State {
 	t.Helper()
-	s := EmptyAt(eventlog.At(epoch, 0))
+	s := EmptyAt(eventlog.MakeOffset(epoch, 0))
 	for _, data := range records {
 		next, _, err := Apply(s, s.Offset+1, data)
 		must.NoError(t, err)
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -199,7 +199,7 @@
 	config := log.Stream(eventlog.StreamConfig)
 	st, err := (&configlog.Reader{Log: config, Checkpoint: func(context.Context) (*fold.State, error) { return fold.Empty(), nil }}).Load(t.Context())
 	must.NoError(t, err)
-	config.Cut(2)
+	config.TruncateBefore(2)
 	out := expect(t, command.StatusFailed, "contract", "list", "--platform", url)
 	must.StrContains(t, out, "no checkpoint covers it")
 
--- a/internal/configlog/reader_test.go
+++ b/internal/configlog/reader_test.go
@@ -38,7 +38,7 @@
 func TestLoadFoldsCheckpointAndTail(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions()).Stream("config")
 	states := fill(t, log, 6)
-	log.Cut(4)
+	log.TruncateBefore(4)
 	for _, start := range []uint64{3, 4, 6} {
 		st, err := (&configlog.Reader{Log: log, Checkpoint: from(states[start])}).Load(t.Context())
 		must.NoError(t, err)
@@ -52,7 +52,7 @@
 func TestAdvanceAfterRecordsExpired(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions()).Stream("config")
 	states := fill(t, log, 6)
-	log.Cut(5)
+	log.TruncateBefore(5)
 	st, err := (&configlog.Reader{Log: log, Checkpoint: from(states[5])}).Advance(t.Context(), states[1])
 	must.NoError(t, err)
 	must.Eq(t, states[6].Chain, st.Chain)
--- a/internal/controller/contacts/contacts_test.go
+++ b/internal/controller/contacts/contacts_test.go
@@ -23,7 +23,7 @@
 	board := &blackboard.Board{}
 	board.Source.Store(&blackboard.Source{Reader: true})
 	return New(Options{
-		Board: board, Directory: eventlog.Tail{Log: log.Stream(eventlog.StreamContacts), Records: TailRecords}, Host: host,
+		Board: board, Directory: eventlog.TailDirectory{Log: log.Stream(eventlog.StreamContacts), MaxRecords: TailRecords}, Host: host,
 		PeerAddr: netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port),
 		Logger:   slog.New(slog.DiscardHandler), Now: c.Now,
 	})
--- a/internal/controller/contacts/entry_test.go
+++ b/internal/controller/contacts/entry_test.go
@@ -174,15 +174,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		d := newDirectory(t, 0)
 		_, board := startController(t, d, 3)
-		board.State.Store(fold.EmptyAt(eventlog.At(4, 0)))
+		board.State.Store(fold.EmptyAt(eventlog.MakeOffset(4, 0)))
 		time.Sleep(time.Minute)
 		must.Eq(t, 1, d.counts().puts)
 		for epoch := range uint32(3) {
 			d.mu.Lock()
 			clear(d.entries)
 			d.mu.Unlock()
-			board.State.Store(fold.EmptyAt(eventlog.At(6+epoch, 3)))
-			board.State.Store(fold.EmptyAt(eventlog.At(6+epoch, 4)))
+			board.State.Store(fold.EmptyAt(eventlog.MakeOffset(6+epoch, 3)))
+			board.State.Store(fold.EmptyAt(eventlog.MakeOffset(6+epoch, 4)))
 			time.Sleep(2 * restoreDelay)
 			must.True(t, d.has("new"))
 			must.Eq(t, 2+int(epoch), d.counts().puts)
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -224,7 +224,7 @@
 // Guards against verdicts and addresses that are missing from the store after it lost its end.
 func TestStore_EntriesOutliveARestore(t *testing.T) {
 	f := newStoreFleet(t, 4)
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.document(3)
 	servers, arrivals := newCrashServers(f)
 	verdict := f.quarantineAtAll(servers, arrivals)
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -253,7 +253,7 @@
 			p.stream(eventlog.StreamCheckpoints), keeping),
 	}
 	p.checkpointLoop = p.checkpoints.Run
-	directory := eventlog.Directory(eventlog.Tail{Log: p.stream(eventlog.StreamContacts), Records: contacts.TailRecords})
+	directory := eventlog.Directory(eventlog.TailDirectory{Log: p.stream(eventlog.StreamContacts), MaxRecords: contacts.TailRecords})
 	if p.adapter != nil {
 		directory = p.adapter.Contacts
 		// The store itself keeps the newest document.
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -151,7 +151,7 @@
 func TestStore_RollbackOutlivesARestore(t *testing.T) {
 	f, _, _ := rolloutFleet(t, http.StatusInternalServerError)
 	f.eventually("the rollout is in progress", func() bool { return strings.Contains(f.store.RolloutStatus("signs"), "running") })
-	older := f.store.Copy()
+	older := f.store.Backup()
 	f.callUntil("rolled_back")
 	f.eventually("the new servers' gates are closed", f.newGatesClosed)
 	f.store.Restore(older)
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -258,7 +258,7 @@
 func TestStore_StartWithTheStoreAway(t *testing.T) {
 	f := newStoreFleet(t, 2)
 	f.document(3)
-	f.store.Fail(storetest.Unavailable)
+	f.store.SetFault(storetest.Unavailable)
 	contact := f.daemons[0].ln.peers.Addr().String()
 	change := f.change
 	f.change = func(s *settings.Settings) {
@@ -290,12 +290,12 @@
 func TestStore_JoinsWhenTheStoreReturns(t *testing.T) {
 	f := newStoreFleet(t, 1)
 	f.document(3)
-	f.store.Fail(storetest.Unavailable)
+	f.store.SetFault(storetest.Unavailable)
 	d := f.start()
 	f.eventually("the daemon has looked for the others a few times", func() bool {
 		return f.store.Calls(storetest.PathNewest) >= 12
 	})
-	f.store.Fail(storetest.None)
+	f.store.SetFault(storetest.None)
 	f.eventually("both know each other", func() bool {
 		return len(d.board.Members.Load().Live()) == 2 && len(f.daemons[0].board.Members.Load().Live()) == 2
 	})
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -58,7 +58,7 @@
 	must.Eq(t, []uint64{3, 6}, []uint64{items[0].Offset, items[1].Offset})
 
 	// The records before the retention's cut are gone; the rest is still told.
-	log.Cut(6)
+	log.TruncateBefore(6)
 	items, err = history.Read(t.Context(), log, st, history.Filter{})
 	must.NoError(t, err)
 	must.Eq(t, 6, items[0].Offset)
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -133,7 +133,7 @@
 		s.HighestOffset = max(s.HighestOffset, d.Offset, r.Status.GetKnownOffset())
 	}
 	for i := range s.Daemons {
-		s.Daemons[i].Lag = eventlog.Between(s.Daemons[i].Offset, s.HighestOffset)
+		s.Daemons[i].Lag = eventlog.RecordsBetween(s.Daemons[i].Offset, s.HighestOffset)
 	}
 	return s
 }
--- a/internal/publish/publish_test.go
+++ b/internal/publish/publish_test.go
@@ -82,7 +82,7 @@
 // the publisher finds its own record in the log and does not append again.
 func TestLostAnswerIsFound(t *testing.T) {
 	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
-		svc.LoseAnswers(1)
+		svc.LoseResponses(1)
 		r, err := publisher(svc.Stream("config")).Publish(ctx, request("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Accepted, r.Outcome)
--- a/internal/standin/logserver/admin.go
+++ b/internal/standin/logserver/admin.go
@@ -97,7 +97,7 @@
 func (s *Server) loseAnswers(r bunrouter.Request) error {
 	n, err := strconv.Atoi(r.URL.Query().Get("count"))
 	if err == nil {
-		s.log.LoseAnswers(n)
+		s.log.LoseResponses(n)
 	}
 	return err
 }
@@ -117,7 +117,7 @@
 	}
 	first, err := strconv.ParseUint(r.URL.Query().Get("first"), 10, 64)
 	if err == nil {
-		st.Cut(first)
+		st.TruncateBefore(first)
 	}
 	return err
 }
--- a/internal/standin/logserver/server.go
+++ b/internal/standin/logserver/server.go
@@ -75,7 +75,7 @@
 	if err != nil {
 		return answerError(w, err)
 	}
-	return serve.WriteJSON(w, http.StatusCreated, httplog.AppendAnswer{Offset: off})
+	return serve.WriteJSON(w, http.StatusCreated, httplog.AppendResponse{Offset: off})
 }
 
 func (s *Server) read(w http.ResponseWriter, r bunrouter.Request) error {
@@ -113,7 +113,7 @@
 	if err != nil {
 		return answerError(w, err)
 	}
-	return serve.WriteJSON(w, http.StatusOK, httplog.BoundsAnswer{First: b.First, End: b.End})
+	return serve.WriteJSON(w, http.StatusOK, httplog.BoundsResponse{First: b.First, End: b.End})
 }
 
 func (s *Server) stream(r bunrouter.Request) (*memlog.Stream, error) {
@@ -154,7 +154,7 @@
 	var truncated *eventlog.TruncatedError
 	switch {
 	case errors.As(err, &truncated):
-		return serve.WriteJSON(w, http.StatusGone, httplog.TruncatedAnswer{First: truncated.First})
+		return serve.WriteJSON(w, http.StatusGone, httplog.TruncatedResponse{First: truncated.First})
 	case errors.As(err, &rejected):
 		http.Error(w, rejected.Reason, http.StatusBadRequest)
 		return nil
--- a/internal/telemetry/board.go
+++ b/internal/telemetry/board.go
@@ -112,7 +112,7 @@
 	out.gauge(c.inForce, flag(snap != nil))
 	out.gauge(c.documentVersion, float64(version))
 	out.gauge(c.known, float64(known))
-	out.gauge(c.lag, float64(eventlog.Between(offset, known)))
+	out.gauge(c.lag, float64(eventlog.RecordsBetween(offset, known)))
 }
 
 func (c *BoardCollector) collectSource(out emitter) {
--- a/internal/telemetry/board_test.go
+++ b/internal/telemetry/board_test.go
@@ -143,7 +143,7 @@
 	log := NewAppendMeter(reg).Stream("contacts", svc.Stream(eventlog.StreamContacts))
 	must.MapContainsKey(t, gathered(t, reg), "crocuscross_log_appends_total ok contacts")
 	_, _ = log.Append(t.Context(), []byte("a"))
-	svc.LoseAnswers(1)
+	svc.LoseResponses(1)
 	_, _ = log.Append(t.Context(), []byte("b"))
 	_, _ = log.Append(t.Context(), make([]byte, eventlog.MaxRecordBytes+1))
 	svc.SetOutage(true)
--- a/internal/telemetry/store.go
+++ b/internal/telemetry/store.go
@@ -16,7 +16,7 @@
 		Help: "Calls to the platform's store, by kind (read, newest, put), subject (configuration, contacts) and result.",
 	}, []string{"call", "subject", "result"})}
 	reg.MustRegister(m.calls)
-	for _, call := range platform.Calls() {
+	for _, call := range platform.CallKinds() {
 		for _, subject := range platform.Subjects() {
 			for _, ok := range []bool{true, false} {
 				m.calls.WithLabelValues(string(call), string(subject), resultLabel(ok))
@@ -26,8 +26,8 @@
 	return m
 }
 
-// Called implements platform.Meter.
-func (m *StoreMeter) Called(call platform.Call, about platform.Subject, ok bool) {
+// CountCall implements platform.Meter.
+func (m *StoreMeter) CountCall(call platform.CallKind, about platform.Subject, ok bool) {
 	m.calls.WithLabelValues(string(call), string(about), resultLabel(ok)).Inc()
 }
 
--- a/once/claims_test.go
+++ b/once/claims_test.go
@@ -125,7 +125,7 @@
 		must.NotEq(t, got[0], other)
 	})
 	f.run("lost answer", func(t *testing.T, f *claimFleet, a, b *claimer) {
-		f.svc.LoseAnswers(1)
+		f.svc.LoseResponses(1)
 		first, err := a.claim("k")
 		must.NoError(t, err)
 		synctest.Wait()
@@ -208,10 +208,10 @@
 		blind bool
 	}{
 		"nothing lost":       {func(*claimFleet) {}, false},
-		"cut too early":      {func(f *claimFleet) { f.log.Cut(2) }, true},
-		"whole log cut":      {func(f *claimFleet) { f.log.Cut(10) }, true},
+		"cut too early":      {func(f *claimFleet) { f.log.TruncateBefore(2) }, true},
+		"whole log cut":      {func(f *claimFleet) { f.log.TruncateBefore(10) }, true},
 		"end lost, idle":     {func(f *claimFleet) { f.log.TruncateEnd(2) }, true},
-		"cut after the life": {func(f *claimFleet) { time.Sleep(3 * time.Hour); f.log.Cut(2) }, false},
+		"cut after the life": {func(f *claimFleet) { time.Sleep(3 * time.Hour); f.log.TruncateBefore(2) }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -405,7 +405,7 @@
 				case 0:
 					f.svc.SetOutage(r.IntN(2) == 0)
 				case 1:
-					f.svc.LoseAnswers(r.IntN(3))
+					f.svc.LoseResponses(r.IntN(3))
 				case 2:
 					f.svc.LoseRequests(r.IntN(3))
 				case 3:
@@ -415,7 +415,7 @@
 				case 5:
 					if r.IntN(4) == 0 {
 						b, _ := f.log.Bounds(context.Background())
-						f.log.Cut(b.First + eventlog.Offset(r.IntN(3)))
+						f.log.TruncateBefore(b.First + eventlog.Offset(r.IntN(3)))
 					}
 				case 6:
 					mu.Lock()
--- a/recovery/property_test.go
+++ b/recovery/property_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	f.peers.known += rapid.IntRange(0, 8).Draw(t, "not answering")
-	f.config.Cut(eventlog.Offset(rapid.IntRange(1, end+1).Draw(t, "first")))
+	f.config.TruncateBefore(eventlog.Offset(rapid.IntRange(1, end+1).Draw(t, "first")))
 	return f, end
 }
 
--- a/recovery/recover_test.go
+++ b/recovery/recover_test.go
@@ -208,7 +208,7 @@
 	f := newFleet(9)
 	f.checkpoint(2)
 	f.checkpoint(6)
-	f.config.Cut(7)
+	f.config.TruncateBefore(7)
 	f.opts.Own = f.states[3]
 	res := f.mustServe(t, 9, NoProblem)
 	must.Eq(t, FromCheckpoint, res.From)
@@ -219,7 +219,7 @@
 // holds the state, and a daemon that starts gets it from them.
 func TestRecover_StateHeldByPeersOnly(t *testing.T) {
 	f := newFleet(9)
-	f.config.Cut(10)
+	f.config.TruncateBefore(10)
 	f.mustWait(t, ProblemRetentionGap)
 	f.peer("a", 9, 9)
 	res := f.mustServe(t, 9, NoProblem)
@@ -230,7 +230,7 @@
 // report the problem. A daemon that starts does the same unless version 5 is below its floor.
 func TestRecover_RecordsExpireUnread(t *testing.T) {
 	f := newFleet(9)
-	f.config.Cut(8)
+	f.config.TruncateBefore(8)
 	f.peer("a", 5, 5)
 	f.mustServe(t, 5, ProblemRetentionGap)
 	f.opts.Own = f.states[4]
@@ -290,7 +290,7 @@
 func TestRecover_LogFailsWhileCatchingUp(t *testing.T) {
 	f := newFleet(9)
 	f.checkpoint(3)
-	f.config.Cut(3)
+	f.config.TruncateBefore(3)
 	f.svc.SetOutage(true)
 	res, err := f.recover(func(round int) { f.svc.SetOutage(round%2 == 0) })
 	must.NoError(t, err)
@@ -354,7 +354,7 @@
 	f := newFleet(1)
 	var lines bytes.Buffer
 	f.opts.Logger = slog.New(slog.NewTextHandler(&lines, nil))
-	f.config.Cut(2)
+	f.config.TruncateBefore(2)
 	f.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) {
 		return fold.FromDocument(1, contractRecord("no document", 1))
 	}
--- a/recovery/restore_test.go
+++ b/recovery/restore_test.go
@@ -18,7 +18,7 @@
 	data []byte
 }
 
-var restoredEnd = eventlog.At(2, 5)
+var restoredEnd = eventlog.MakeOffset(2, 5)
 
 func (l restoredLog) Bounds(context.Context) (eventlog.Bounds, error) {
 	return eventlog.Bounds{First: restoredEnd - 1, End: restoredEnd}, nil
@@ -51,7 +51,7 @@
 			f.opts.Config = restoredLog{data: data}
 			f.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) { return inLog, nil }
 			f.opts.Stagger, f.opts.PreferPeers = 0, true
-			theirs, _ := documentAt(t, eventlog.At(1, 8), version)
+			theirs, _ := documentAt(t, eventlog.MakeOffset(1, 8), version)
 			f.peerWith("a", theirs, theirs.Offset)
 			f.peers.known = 20
 			res := f.mustServe(t, restoredEnd-1, NoProblem)
--- a/rollout/role_test.go
+++ b/rollout/role_test.go
@@ -96,7 +96,7 @@
 	must.True(t, ok)
 	must.Eq(t, ended, e)
 	other := ended.Order
-	other.Offset = eventlog.At(1, 3)
+	other.Offset = eventlog.MakeOffset(1, 3)
 	must.True(t, e.Matches(ended.Order))
 	must.True(t, e.Matches(other), must.Sprint("the same order, appended again after a restore"))
 	must.False(t, RecordedOutcome{other, RolledBack}.Matches(ended.Order))
--- a/spread/pull.go
+++ b/spread/pull.go
@@ -244,7 +244,7 @@
 	if s.history.offset() == st.Offset {
 		return 0, errNoProgress
 	}
-	return int(eventlog.Between(st.Offset, s.history.offset())), nil
+	return int(eventlog.RecordsBetween(st.Offset, s.history.offset())), nil
 }
 
 // applyAnswer applies the state or records of an answer to a pull.
--- a/spread/read.go
+++ b/spread/read.go
@@ -118,14 +118,14 @@
 // recoverTruncated obtains a state beyond the records that the log no longer retains: from other
 // daemons, or else from the platform's checkpoints.
 func (s *Spreader) recoverTruncated(ctx context.Context, cause *eventlog.TruncatedError) error {
-	if cause.First <= cause.Asked {
+	if cause.First <= cause.Requested {
 		// The log retains nothing after the requested offset. Other daemons are not asked: they
 		// would count as caught up with cause.First-1 without progress, and the log would be read
 		// again without a pause.
 		s.updateLogError(cause)
 		return cause
 	}
-	s.opts.Logger.Warn("spread: log has dropped the next record", "asked", cause.Asked, "first", cause.First)
+	s.opts.Logger.Warn("spread: log has dropped the next record", "asked", cause.Requested, "first", cause.First)
 	if s.pullFromZone(cause.First - 1) {
 		return nil
 	}
--- a/spread/restore_test.go
+++ b/spread/restore_test.go
@@ -24,7 +24,7 @@
 func (l *shorterLog) Read(_ context.Context, from eventlog.Offset, _ int, _ time.Duration) ([]eventlog.Record, error) {
 	l.reads++
 	time.Sleep(5 * time.Millisecond)
-	return nil, &eventlog.TruncatedError{Asked: from, First: 1}
+	return nil, &eventlog.TruncatedError{Requested: from, First: 1}
 }
 
 // A log that does not hold the requested offset must not be read again without a pause.
@@ -77,7 +77,7 @@
 	defer l.mu.Unlock()
 	l.records = append(l.records, documentRecord(l.t, version, 10))
 	l.wake()
-	return eventlog.At(l.epoch, uint64(len(l.records)))
+	return eventlog.MakeOffset(l.epoch, uint64(len(l.records)))
 }
 
 // restore truncates the log to its first n records in a new epoch.
@@ -125,7 +125,7 @@
 		case away:
 			return nil, eventlog.ErrUnavailable
 		case eventlog.Epoch(from) != epoch:
-			return nil, &eventlog.RestoredError{Asked: from, Epoch: epoch}
+			return nil, &eventlog.RestoredError{Requested: from, Epoch: epoch}
 		case len(records) > 0:
 			list := make([]eventlog.Record, min(limit, len(records)))
 			for i := range list {
@@ -153,9 +153,9 @@
 	case l.unavailable:
 		return nil, eventlog.ErrUnavailable
 	case n == 0:
-		return fold.EmptyAt(eventlog.At(l.epoch, 0)), nil
+		return fold.EmptyAt(eventlog.MakeOffset(l.epoch, 0)), nil
 	default:
-		return fold.FromDocument(eventlog.At(l.epoch, uint64(n)), l.records[n-1])
+		return fold.FromDocument(eventlog.MakeOffset(l.epoch, uint64(n)), l.records[n-1])
 	}
 }
 
@@ -295,7 +295,7 @@
 			f.awaitVersion(8, 10*time.Second)
 			reads, pulls, bytes := log.callCount(), f.traffic.pulls.Load(), f.traffic.bytes.Load()
 			log.restore(4)
-			f.await(eventlog.At(2, 4), 20*time.Second)
+			f.await(eventlog.MakeOffset(2, 4), 20*time.Second)
 			for range 5 {
 				time.Sleep(time.Second)
 				f.probe()
@@ -324,7 +324,7 @@
 		}
 		f.awaitVersion(4, 10*time.Second)
 		log.restore(2)
-		f.await(eventlog.At(2, 2), 10*time.Second)
+		f.await(eventlog.MakeOffset(2, 2), 10*time.Second)
 		st, err := log.latestState(t.Context())
 		must.NoError(t, err)
 		late.dead.Store(false)
@@ -332,6 +332,6 @@
 		late.InstallStateFromLog(st)
 		f.setViews()
 		f.awaitVersion(4, 10*time.Second)
-		must.Eq(t, eventlog.At(2, 2), late.State().Offset)
+		must.Eq(t, eventlog.MakeOffset(2, 2), late.State().Offset)
 	})
 }
--- a/spread/spread_test.go
+++ b/spread/spread_test.go
@@ -180,7 +180,7 @@
 				f.append(contractChange(string('a'+rune(i)), i))
 				st = f.applyLogged(st, i+1)
 			}
-			f.log.Cut(4)
+			f.log.TruncateBefore(4)
 			late, peer := f.nodes[0], f.nodes[1]
 			late.opts.LoadCheckpoint = func(context.Context) (*fold.State, error) { return st, nil }
 			peer.InstallState(st)
