--- a/once/attempts.go
+++ b/once/attempts.go
@@ -10,24 +10,27 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// AttemptTableOptions holds the bounds of an Attempts.
+// AttemptTableOptions configures an AttemptTable.
 type AttemptTableOptions struct {
-	// Boot is the life of this daemon; ids for another are refused.
+	// Boot identifies this run of the daemon. Attempts for another boot are rejected.
 	Boot uint64
-	// Bounds hold for all lanes together. KeepFor should exceed the longest
-	// time that a call may take: an attempt that arrives later than KeepFor
-	// behind others of its lane may be refused.
+	// Bounds apply to all lanes together. KeepFor should exceed the maximum duration
+	// of a call: an attempt that arrives more than KeepFor after later attempts of its
+	// lane may be rejected.
 	Bounds Bounds
-	// MaxLanes bounds the lanes kept; the one unused for the longest time goes
-	// first.
+	// MaxLanes is the maximum number of open lanes. At the limit, the least recently
+	// used lane is closed.
 	MaxLanes int
-	// LaneIdleTimeout is how long a lane stays open without an attempt. A sender that
-	// was paused for longer finds all that it had under way refused.
+	// LaneIdleTimeout is how long a lane stays open without an attempt. If a sender's
+	// process is paused for longer, all its attempts that have not yet arrived are
+	// rejected.
 	LaneIdleTimeout time.Duration
-	Now             func() time.Time
+	// Now returns the current time. Only differences between times are used.
+	Now func() time.Time
 }
 
-// DefaultAttemptTableOptions suit a gate that a thousand daemons talk to.
+// DefaultAttemptTableOptions returns options for a gate that receives attempts from about
+// a thousand daemons.
 func DefaultAttemptTableOptions(boot uint64) AttemptTableOptions {
 	return AttemptTableOptions{
 		Boot: boot,
@@ -44,63 +47,66 @@
 	}
 }
 
-// Outcome is what is known of an attempt.
+// Outcome is the outcome of an attempt, as far as the gate knows it.
 type Outcome uint8
 
-// The outcomes.
+// The possible outcomes.
 const (
-	// NotRun attempts have not run and never will.
+	// NotRun means that the attempt has not run and never will.
 	NotRun Outcome = iota + 1
-	// Running attempts have started, or may still start.
+	// Running means that the attempt has started, or may still start.
 	Running
-	// Ran attempts have run to their end.
+	// Ran means that the attempt has run to completion.
 	Ran
-	// Unknown attempts may have run; the gate cannot tell.
+	// Unknown means that the attempt may or may not have run.
 	Unknown
 )
 
-// QueryResult is what a gate tells of an attempt.
+// QueryResult is the answer to a query for the outcome of an attempt.
 type QueryResult struct {
 	Outcome Outcome
-	// Response is the whole answer of an attempt that ran, nil where it is not
-	// kept.
+	// Response is the complete response of an attempt that ran, or nil if it is not
+	// stored.
 	Response *Response
 }
 
-// AttemptTable is the table of a gate: which attempts run, ran, or must never
-// start. It is safe for concurrent use; attempts of different lanes seldom
-// share a lock.
+// AttemptTable records the attempts at a gate: which of them run, ran, or must never
+// start. It is safe for concurrent use. Lanes are spread over shards, each with its own
+// lock.
 //
-// Memory is bounded without a wall clock. Each lane has a floor, the highest
-// number of it that was ever forgotten. An attempt above the floor that is not
-// remembered has neither started nor been barred, so it may start, or be
-// barred and told as not run. One at or below the floor, or of a lane that is
-// gone, may have been either: it is never started and, if asked for, unknown.
-// So no attempt starts after it was told as not run, however late it arrives,
-// and none is told as not run after it started.
+// Memory is bounded without relying on wall-clock time. Each lane has a floor, the
+// highest sequence number whose entry was evicted. An attempt above the floor without an
+// entry has neither started nor been barred, so it may start, or be barred and reported
+// as NotRun. An attempt at or below the floor, or of a closed lane, may have started or
+// been barred before: it never starts, and a query reports it as Unknown. Hence no
+// attempt starts after it was reported as NotRun, however late it arrives, and none is
+// reported as NotRun after it started.
 //
-// This rests on a sender sending each attempt once, on one stream.
+// These guarantees require that a sender sends each attempt once, on one stream.
 type AttemptTable struct {
-	opts   AttemptTableOptions
-	clock  clock
-	lanes  atomic.Uint64
-	shards [attemptShards]attemptShard
+	opts     AttemptTableOptions
+	clock    clock
+	lastLane atomic.Uint64
+	shards   [attemptShards]attemptShard
 }
 
+// attemptShards is the number of shards of an AttemptTable.
 const attemptShards = 16
 
-// attemptShard holds the lanes whose number leaves the same rest.
+// attemptShard holds the lanes whose numbers are congruent modulo attemptShards.
 type attemptShard struct {
-	mu     sync.Mutex
-	lanes  map[uint32]*lane
-	ledger *ledger
+	mu    sync.Mutex
+	lanes map[uint32]*lane
+	calls *callTable
 }
 
-// lane is the sequence of attempts of one sender.
+// lane is the gate's state of a Lane.
 type lane struct {
-	// floor is the highest number forgotten.
+	// floor is the highest sequence number whose entry was evicted.
 	floor uint32
-	used  time.Duration
+	// lastUsed is when an attempt last started, on the table's clock, or when the lane
+	// was opened.
+	lastUsed time.Duration
 }
 
 // NewAttemptTable returns an empty table.
@@ -110,11 +116,12 @@
 	for i := range a.shards {
 		s := &a.shards[i]
 		s.lanes = make(map[uint32]*lane)
-		s.ledger = newLedger(bounds, s.raiseFloor)
+		s.calls = newCallTable(bounds, s.raiseFloor)
 	}
 	return a
 }
 
+// raiseFloor raises the floor of a lane when the entry of a call number is evicted.
 func (s *attemptShard) raiseFloor(n uint64) {
 	if l := s.lanes[uint32(n>>32)]; l != nil {
 		l.floor = max(l.floor, uint32(n))
@@ -123,9 +130,10 @@
 
 func (a *AttemptTable) shard(lane uint32) *attemptShard { return &a.shards[lane%attemptShards] }
 
-// OpenLane opens a lane for a sender. Numbers are never given out twice.
+// OpenLane opens a lane for a sender. Lane numbers are not reused. The error is
+// errkind.Overloaded once all numbers have been used.
 func (a *AttemptTable) OpenLane() (Lane, error) {
-	n := a.lanes.Add(1)
+	n := a.lastLane.Add(1)
 	if n > math.MaxUint32 {
 		return Lane{}, errkind.New(errkind.Overloaded, "no lane numbers are left")
 	}
@@ -135,24 +143,24 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.lanes) >= max(1, a.opts.MaxLanes/attemptShards) {
-		s.closeLanes(now, a.opts.LaneIdleTimeout)
+		s.evictLanes(now, a.opts.LaneIdleTimeout)
 	}
-	s.lanes[number] = &lane{used: now}
+	s.lanes[number] = &lane{lastUsed: now}
 	return Lane{Boot: a.opts.Boot, Number: number}, nil
 }
 
-// closeLanes makes room: all idle lanes go, or else the one that was unused
-// for the longest time.
-func (s *attemptShard) closeLanes(now, idle time.Duration) {
+// evictLanes closes all lanes that have been idle for the given time, or, if there is
+// none, the least recently used lane.
+func (s *attemptShard) evictLanes(now, idle time.Duration) {
 	var oldest uint32
 	closed := false
 	for n, l := range s.lanes {
-		if now-l.used >= idle {
+		if now-l.lastUsed >= idle {
 			delete(s.lanes, n)
 			closed = true
 			continue
 		}
-		if o := s.lanes[oldest]; o == nil || l.used < o.used {
+		if o := s.lanes[oldest]; o == nil || l.lastUsed < o.lastUsed {
 			oldest = n
 		}
 	}
@@ -161,91 +169,93 @@
 	}
 }
 
-// Start lets an attempt start, right before the first byte of it goes to the
-// backend server. The error is errkind.Barred where it must not start, now or
-// later.
+// Start records the start of an attempt. It must be called right before the first byte of
+// the attempt is sent to the backend server. If it returns an error, the attempt must not
+// be sent: errkind.Barred and errkind.Overloaded mean that the attempt has not run and
+// never will, errkind.OutcomeUnknown that it has started before.
 func (a *AttemptTable) Start(id ID) error {
 	if id.Boot() != a.opts.Boot {
-		return errkind.New(errkind.Barred, "the attempt was meant for an earlier life of this host")
+		return errkind.New(errkind.Barred, "the attempt is addressed to another boot of this daemon")
 	}
 	s := a.shard(id.lane())
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := a.clock.elapsed()
-	s.ledger.trim(now)
-	if e := s.ledger.entries[id.number()]; e != nil {
-		return startedTwice(e)
+	s.calls.evict(now)
+	if e := s.calls.entries[id.callNumber()]; e != nil {
+		return duplicateStartError(e)
 	}
 	l := s.lanes[id.lane()]
 	switch {
-	case l == nil || now-l.used >= a.opts.LaneIdleTimeout:
+	case l == nil || now-l.lastUsed >= a.opts.LaneIdleTimeout:
 		delete(s.lanes, id.lane())
-		return errkind.New(errkind.Barred, "the attempt's lane is closed")
+		return errkind.New(errkind.Barred, "the lane of the attempt is closed")
 	case id.seq() <= l.floor:
-		return errkind.New(errkind.Barred, "the attempt came too late")
-	case s.ledger.full():
-		s.ledger.bar(id.number(), now)
-		return errkind.New(errkind.Overloaded, "too many non-idempotent calls run here")
+		return errkind.New(errkind.Barred, "the attempt arrived too late to determine whether it has started")
+	case s.calls.full():
+		s.calls.bar(id.callNumber(), now)
+		return errkind.New(errkind.Overloaded, "too many non-idempotent calls are running at this gate")
 	}
-	l.used = now
-	s.ledger.begin(id.number(), Fingerprint{})
+	l.lastUsed = now
+	s.calls.begin(id.callNumber(), Fingerprint{})
 	return nil
 }
 
-func startedTwice(e *entry) error {
+// duplicateStartError returns the error of an attempt to start that already has an entry.
+func duplicateStartError(e *entry) error {
 	if e.state == barred {
 		return errkind.New(errkind.Barred, "the attempt was barred")
 	}
-	return errkind.New(errkind.OutcomeUnknown, "the attempt has started before")
+	return errkind.New(errkind.OutcomeUnknown, "the attempt has already started")
 }
 
-// Finish ends an attempt that ran. A nil answer means that the answer was too
-// large to be copied. All of Finish, Fail and Cancel do nothing for an attempt
-// that is not running.
-func (a *AttemptTable) Finish(id ID, ans *Response) { a.end(id, ran, ans) }
+// Finish ends an attempt that ran. resp is nil if the response was too large to be
+// copied. Finish, Fail and Cancel have no effect on an attempt that is not running.
+func (a *AttemptTable) Finish(id ID, resp *Response) { a.end(id, ran, resp) }
 
-// Fail ends an attempt of which nobody knows whether it ran.
-func (a *AttemptTable) Fail(id ID) { a.end(id, unsure, nil) }
+// Fail ends an attempt that may or may not have run.
+func (a *AttemptTable) Fail(id ID) { a.end(id, outcomeUnknown, nil) }
 
-// Cancel ends an attempt that was let start and proved not to have: nothing of
-// it reached the backend server. It counts as barred from now on.
+// Cancel ends an attempt for which Start returned nil but of which no byte reached the
+// backend server. The attempt is barred from then on.
 func (a *AttemptTable) Cancel(id ID) { a.end(id, barred, nil) }
 
-func (a *AttemptTable) end(id ID, st state, ans *Response) {
+func (a *AttemptTable) end(id ID, st state, resp *Response) {
 	s := a.shard(id.lane())
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.ledger.entries[id.number()]
+	e := s.calls.entries[id.callNumber()]
 	if e == nil || e.state != running {
 		return
 	}
-	s.ledger.end(id.number(), e, st, ans, a.clock.elapsed())
+	s.calls.end(id.callNumber(), e, st, resp, a.clock.elapsed())
 }
 
-// Query tells what became of an attempt. With bar, an attempt that has not
-// started is barred and told as NotRun; without, it is told as Running.
+// Query returns the outcome of an attempt. If the attempt has not started and bar is
+// true, Query bars it and reports NotRun; if bar is false, Query reports Running.
 func (a *AttemptTable) Query(id ID, bar bool) QueryResult {
-	r, _ := a.ask(id, bar)
+	r, _ := a.query(id, bar)
 	return r
 }
 
-// Await is Ask for a caller that can wait: it tells Running only once ctx is
-// done.
+// Await is like Query, but waits for a running attempt to end. It reports Running for an
+// attempt that has started only if ctx is done before the attempt ends.
 func (a *AttemptTable) Await(ctx context.Context, id ID, bar bool) QueryResult {
-	r, w := a.ask(id, bar)
+	r, w := a.query(id, bar)
 	if w == nil {
 		return r
 	}
 	select {
 	case <-w.done:
-		return resultOf(w.state, w.answer)
+		return queryResult(w.state, w.response)
 	case <-ctx.Done():
 		return r
 	}
 }
 
-// ask returns what to wait for beside the result of an attempt that runs.
-func (a *AttemptTable) ask(id ID, bar bool) (QueryResult, *waiting) {
+// query implements Query. For an attempt that runs, it also returns the completion to wait
+// for.
+func (a *AttemptTable) query(id ID, bar bool) (QueryResult, *completion) {
 	if id.Boot() != a.opts.Boot {
 		return QueryResult{Outcome: Unknown}, nil
 	}
@@ -253,11 +263,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := a.clock.elapsed()
-	s.ledger.trim(now)
-	if e := s.ledger.entries[id.number()]; e != nil {
-		r := resultOf(e.state, e.answer)
+	s.calls.evict(now)
+	if e := s.calls.entries[id.callNumber()]; e != nil {
+		r := queryResult(e.state, e.response)
 		if e.state == running {
-			return r, e.join()
+			return r, e.subscribe()
 		}
 		return r, nil
 	}
@@ -268,16 +278,16 @@
 	if !bar {
 		return QueryResult{Outcome: Running}, nil
 	}
-	s.ledger.bar(id.number(), now)
+	s.calls.bar(id.callNumber(), now)
 	return QueryResult{Outcome: NotRun}, nil
 }
 
-func resultOf(s state, ans *Response) QueryResult {
+func queryResult(s state, resp *Response) QueryResult {
 	switch s {
 	case running:
 		return QueryResult{Outcome: Running}
 	case ran:
-		return QueryResult{Outcome: Ran, Response: ans}
+		return QueryResult{Outcome: Ran, Response: resp}
 	case barred:
 		return QueryResult{Outcome: NotRun}
 	}
--- a/once/attempts_test.go
+++ b/once/attempts_test.go
@@ -150,8 +150,8 @@
 	for i := range m.gate.shards {
 		s := &m.gate.shards[i]
 		must.LessEq(t, 1, len(s.lanes))
-		must.LessEq(t, 3+2, len(s.ledger.entries))
-		must.LessEq(t, 100, s.ledger.bytes)
+		must.LessEq(t, 3+2, len(s.calls.entries))
+		must.LessEq(t, 100, s.calls.responseBytes)
 	}
 }
 
@@ -192,7 +192,7 @@
 // What a gate must be able to tell while nothing was forgotten; without it a
 // table that answers "unknown" always would pass as safe.
 func TestAskIsPrecise(t *testing.T) {
-	ans := &Response{Status: 201, Body: []byte("held")}
+	resp := &Response{Status: 201, Body: []byte("held")}
 	cases := []struct {
 		name string
 		do   func(g *AttemptTable, id ID)
@@ -200,7 +200,7 @@
 	}{
 		{"never came", func(*AttemptTable, ID) {}, QueryResult{Outcome: NotRun}},
 		{"runs", func(*AttemptTable, ID) {}, QueryResult{Outcome: Running}},
-		{"ran", func(g *AttemptTable, id ID) { g.Finish(id, ans) }, QueryResult{Ran, ans}},
+		{"ran", func(g *AttemptTable, id ID) { g.Finish(id, resp) }, QueryResult{Ran, resp}},
 		{"ran, large answer", func(g *AttemptTable, id ID) { g.Finish(id, &Response{Body: make([]byte, 200)}) }, QueryResult{Outcome: Ran}},
 		{"failed", func(g *AttemptTable, id ID) { g.Fail(id) }, QueryResult{Outcome: Unknown}},
 		{"canceled", func(g *AttemptTable, id ID) { g.Cancel(id) }, QueryResult{Outcome: NotRun}},
--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -20,7 +20,7 @@
 // attempt, a record and an execution for a key, nothing for a repeat.
 func TestAllocations(t *testing.T) {
 	const runs = 2000
-	ans := &Response{Status: 201, Body: make([]byte, 200)}
+	resp := &Response{Status: 201, Body: make([]byte, 200)}
 	lanes := NewIDAllocator(DefaultIDAllocatorOptions(func(context.Context, GateID) (Lane, error) { return Lane{1, 1}, nil }))
 	g := NewAttemptTable(DefaultAttemptTableOptions(1))
 	_, _ = g.OpenLane()
@@ -33,7 +33,7 @@
 	must.LessEq(t, 1, testing.AllocsPerRun(runs, func() {
 		id, err := lanes.Next(context.Background(), GateID{"a", 1})
 		check(err == nil && g.Start(id) == nil)
-		g.Finish(id, ans)
+		g.Finish(id, resp)
 	}))
 	opts := DefaultKeyStoreOptions("a", 1)
 	opts.MaxIssue = 2 * runs
@@ -43,12 +43,12 @@
 	must.LessEq(t, 2, testing.AllocsPerRun(runs, func() {
 		e, _, err := k.Begin(keys[0], Fingerprint{1})
 		check(err == nil)
-		e.Finish(ans)
+		e.Finish(resp)
 		keys = keys[1:]
 	}))
 	must.LessEq(t, 0, testing.AllocsPerRun(runs, func() {
 		_, got, _ := k.Begin(used, Fingerprint{1})
-		check(got == ans)
+		check(got == resp)
 	}))
 	text := used.String()
 	must.LessEq(t, 3, testing.AllocsPerRun(runs, func() {
@@ -60,7 +60,7 @@
 
 func BenchmarkAttempt(b *testing.B) {
 	g := NewAttemptTable(DefaultAttemptTableOptions(1))
-	ans := &Response{Status: 201, Body: make([]byte, 200)}
+	resp := &Response{Status: 201, Body: make([]byte, 200)}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		lane, _ := g.OpenLane()
@@ -69,7 +69,7 @@
 			if err := g.Start(id); err != nil {
 				b.Error(err)
 			}
-			g.Finish(id, ans)
+			g.Finish(id, resp)
 		}
 	})
 }
@@ -88,7 +88,7 @@
 	opts := DefaultKeyStoreOptions("a", 1)
 	opts.MaxKeys = 1 << 40
 	k := NewKeyStore(opts)
-	ans := &Response{Status: 201, Body: make([]byte, 200)}
+	resp := &Response{Status: 201, Body: make([]byte, 200)}
 	b.ReportAllocs()
 	b.RunParallel(func(pb *testing.PB) {
 		var keys []Key
@@ -101,7 +101,7 @@
 				b.Error(err)
 				return
 			}
-			e.Finish(ans)
+			e.Finish(resp)
 			keys = keys[1:]
 		}
 	})
@@ -230,14 +230,14 @@
 	const perBatch = 20
 	x := newClaimIndex(1, 2*time.Hour)
 	for i := range n / perBatch {
-		pb := &oncepb.ClaimBatch{RuleVersion: claimsRule, LifetimeSeconds: 7200, Host: "host-17.example", Boot: 1}
+		pb := &oncepb.ClaimBatch{RuleVersion: claimsRuleVersion, LifetimeSeconds: 7200, Host: "host-17.example", Boot: 1}
 		for j := range perBatch {
 			d := digestOf("customer", fmt.Sprint(i, j))
 			pb.Claims = append(pb.Claims, &oncepb.Claim{Digest: d[:], Serial: uint64(i), Tag: 1 << 30})
 		}
 		data, err := proto.Marshal(pb)
 		must.NoError(b, err)
-		must.NoError(b, x.fold(eventlog.Record{Offset: eventlog.Offset(i + 1), Data: data}))
+		must.NoError(b, x.apply(eventlog.Record{Offset: eventlog.Offset(i + 1), Data: data}))
 	}
 	return x
 }
--- a/once/bitset.go
+++ b/once/bitset.go
@@ -1,14 +1,14 @@
 package once
 
-// bitset holds numbers in chunks that are made when first needed and dropped
-// from the bottom.
+// bitset is a set of numbers, stored in chunks that are allocated on first use and
+// dropped in ascending order.
 type bitset struct {
 	chunks map[uint64]*chunk
-	// bottom is the lowest chunk that may exist.
-	bottom uint64
+	// lowest is the index of the lowest chunk that may exist.
+	lowest uint64
 }
 
-// chunkBits is how many numbers a chunk covers.
+// chunkBits is the number of values that a chunk covers.
 const chunkBits = 4096
 
 type chunk [chunkBits / 64]uint64
@@ -35,9 +35,9 @@
 	}
 }
 
-// dropBelow drops the chunks that hold only numbers below n.
+// dropBelow removes the chunks that cover only numbers below n.
 func (b *bitset) dropBelow(n uint64) {
-	for ; b.bottom < n/chunkBits; b.bottom++ {
-		delete(b.chunks, b.bottom)
+	for ; b.lowest < n/chunkBits; b.lowest++ {
+		delete(b.chunks, b.lowest)
 	}
 }
--- a/once/claimindex.go
+++ b/once/claimindex.go
@@ -13,22 +13,27 @@
 )
 
 const (
-	// claimsRule is the rule by which records of the claims stream are folded.
-	claimsRule = 1
-	// digestBytes is the length of an own key's digest.
+	// claimsRuleVersion is the version of the rules for applying records of the claims
+	// stream.
+	claimsRuleVersion = 1
+	// digestBytes is the length of a claimDigest in bytes.
 	digestBytes = 16
 )
 
-// errClaimsRule means that a record cannot be folded by this daemon.
-var errClaimsRule = errors.New("claims record by another rule or lifetime")
+// errClaimsIncompatible means that this daemon cannot apply a record, because its writer
+// uses another rule version or lifetime.
+var errClaimsIncompatible = errors.New("claims record with another rule version or lifetime")
 
-// errClaimsGap means that the log returned an offset that was not asked for.
+// errClaimsGap means that the log returned a record with an offset other than the requested
+// one.
 var errClaimsGap = errors.New("claims record out of order")
 
-// claimDigest stands for a customer's own key. Two that collide would share an
-// execution, so it is cut from a cryptographic digest.
+// claimDigest identifies a caller-generated key of a customer. It is a truncated
+// cryptographic digest, because keys with colliding digests would share an execution.
 type claimDigest [digestBytes]byte
 
+// digestOf returns the digest of a customer and its caller-generated key. The length prefix
+// of the customer keeps the two apart.
 func digestOf(customer, key string) claimDigest {
 	h := sha256.New()
 	var n [4]byte
@@ -39,7 +44,7 @@
 	return claimDigest(h.Sum(nil)[:digestBytes])
 }
 
-// claim ties a digest to an issued key.
+// claim maps a digest to an issued key.
 type claim struct {
 	batch  *claimBatch
 	serial uint64
@@ -51,7 +56,7 @@
 	return Key{host: c.batch.host, boot: c.batch.boot, serial: c.serial, tag: c.tag}
 }
 
-// claimBatch is one folded record.
+// claimBatch is the content of one applied record: the claims of one daemon process.
 type claimBatch struct {
 	offset eventlog.Offset
 	host   string
@@ -59,71 +64,73 @@
 	claims []claim
 }
 
-// claimIndex is the fold of the claims stream from some record on. The first
-// claim of a digest above the horizon holds. The horizon is the highest offset
-// that a record read so far attests to be older than the lifetime of claims,
-// so that a claim ends by the order of the log and not by anyone's clock: all
+// claimIndex is the state that results from applying the records of the claims stream from
+// some offset on. The first claim of a digest above the horizon is in force. The horizon is
+// the highest offset that, according to the records applied so far, is older than the
+// lifetime of claims. Since claims expire by log order and not by the clock of a reader, all
 // readers of the same records agree.
 type claimIndex struct {
 	lifetime time.Duration
-	// first is the offset that the fold began at, next the one to read.
+	// first is the offset of the first applied record, next that of the next record to
+	// apply.
 	first, next eventlog.Offset
 	horizon     eventlog.Offset
-	// batches above the horizon, oldest first.
+	// batches contains the batches above the horizon, oldest first.
 	batches fifo[*claimBatch]
-	heads   map[claimDigest]*claim
-	// later holds what was claimed again, in order. Claimers that race make
-	// such claims; the next one holds when those before it end.
-	later map[claimDigest][]*claim
-	// hosts has each host's name once.
-	hosts map[string]string
-	live  int
+	inForce map[claimDigest]*claim
+	// queued contains the further claims of a digest, in log order. They result from
+	// daemons that claim a key concurrently. The first of them comes into force when the
+	// claims before it have expired.
+	queued map[claimDigest][]*claim
+	// hosts interns the host names of the batches.
+	hosts      map[string]string
+	liveClaims int
 }
 
 func newClaimIndex(first eventlog.Offset, lifetime time.Duration) *claimIndex {
 	return &claimIndex{
 		lifetime: lifetime, first: first, next: first,
-		heads: make(map[claimDigest]*claim), later: make(map[claimDigest][]*claim), hosts: make(map[string]string),
+		inForce: make(map[claimDigest]*claim), queued: make(map[claimDigest][]*claim), hosts: make(map[string]string),
 	}
 }
 
-// lookup returns the key that holds for a digest.
+// lookup returns the key that a digest maps to.
 func (x *claimIndex) lookup(d claimDigest) (Key, bool) {
-	c, ok := x.heads[d]
+	c, ok := x.inForce[d]
 	if !ok {
 		return Key{}, false
 	}
 	return c.key(), true
 }
 
-// complete reports whether all records before the fold's first are attested to
-// be older than the lifetime, so that no claim is missing from it.
+// complete reports whether all records before first are at or below the horizon, so that no
+// claim in force is missing from the index.
 func (x *claimIndex) complete() bool { return x.first <= x.horizon+1 }
 
-// fold takes the next record. On an error it is not taken.
-func (x *claimIndex) fold(r eventlog.Record) error {
+// apply applies the next record. If it returns an error, the index is unchanged.
+func (x *claimIndex) apply(r eventlog.Record) error {
 	if r.Offset != x.next {
-		return errors.Wrapf(errClaimsGap, "offset %d instead of %d", r.Offset, x.next)
+		return errors.Wrapf(errClaimsGap, "got offset %d, want %d", r.Offset, x.next)
 	}
 	var pb oncepb.ClaimBatch
 	if err := proto.Unmarshal(r.Data, &pb); err != nil {
-		// Nothing that this package wrote; all readers skip it.
+		// Not written by this package. All readers skip the record.
 		x.next++
 		return nil
 	}
-	if pb.GetRuleVersion() != claimsRule || pb.GetLifetimeSeconds() != lifetimeSeconds(x.lifetime) {
-		return errors.Wrapf(errClaimsRule, "offset %d: rule %d, lifetime %d s",
+	if pb.GetRuleVersion() != claimsRuleVersion || pb.GetLifetimeSeconds() != lifetimeSeconds(x.lifetime) {
+		return errors.Wrapf(errClaimsIncompatible, "offset %d: rule version %d, lifetime %d s",
 			r.Offset, pb.GetRuleVersion(), pb.GetLifetimeSeconds())
 	}
 	x.next++
-	x.raise(min(pb.GetHorizon(), r.Offset-1))
-	x.add(x.batch(r.Offset, &pb))
+	x.raiseHorizon(min(pb.GetHorizon(), r.Offset-1))
+	x.add(x.decodeBatch(r.Offset, &pb))
 	return nil
 }
 
 func lifetimeSeconds(d time.Duration) uint32 { return uint32(d / time.Second) }
 
-func (x *claimIndex) batch(offset eventlog.Offset, pb *oncepb.ClaimBatch) *claimBatch {
+func (x *claimIndex) decodeBatch(offset eventlog.Offset, pb *oncepb.ClaimBatch) *claimBatch {
 	host, ok := x.hosts[pb.GetHost()]
 	if !ok {
 		host = pb.GetHost()
@@ -140,25 +147,25 @@
 
 func (x *claimIndex) add(b *claimBatch) {
 	x.batches.push(b)
-	x.live += len(b.claims)
+	x.liveClaims += len(b.claims)
 	for i := range b.claims {
 		c := &b.claims[i]
-		if x.heads[c.digest] == nil {
-			x.heads[c.digest] = c
+		if x.inForce[c.digest] == nil {
+			x.inForce[c.digest] = c
 			continue
 		}
-		x.later[c.digest] = append(x.later[c.digest], c)
+		x.queued[c.digest] = append(x.queued[c.digest], c)
 	}
 }
 
-// raise lifts the horizon and ends the claims at or below it.
-func (x *claimIndex) raise(horizon eventlog.Offset) {
+// raiseHorizon raises the horizon and removes the claims at or below it.
+func (x *claimIndex) raiseHorizon(horizon eventlog.Offset) {
 	x.horizon = max(x.horizon, horizon)
 	for x.batches.len() > 0 && (*x.batches.at(0)).offset <= x.horizon {
 		b := x.batches.pop()
-		x.live -= len(b.claims)
+		x.liveClaims -= len(b.claims)
 		for i := range b.claims {
-			x.end(b.claims[i].digest)
+			x.expireOldest(b.claims[i].digest)
 		}
 	}
 	if x.batches.len() == 0 {
@@ -166,18 +173,18 @@
 	}
 }
 
-// end replaces the oldest claim of a digest by the next one. Claims end in the
-// order in which they came, so the oldest is the head.
-func (x *claimIndex) end(d claimDigest) {
-	later := x.later[d]
+// expireOldest replaces the oldest claim of a digest by the next one. Claims expire in log
+// order, so the oldest claim is the one in force.
+func (x *claimIndex) expireOldest(d claimDigest) {
+	later := x.queued[d]
 	if len(later) == 0 {
-		delete(x.heads, d)
+		delete(x.inForce, d)
 		return
 	}
-	x.heads[d] = later[0]
+	x.inForce[d] = later[0]
 	if len(later) == 1 {
-		delete(x.later, d)
+		delete(x.queued, d)
 		return
 	}
-	x.later[d] = later[1:]
+	x.queued[d] = later[1:]
 }
--- a/once/claimreader.go
+++ b/once/claimreader.go
@@ -11,64 +11,67 @@
 )
 
 const (
-	// readLimit bounds the records of one read.
+	// readLimit is the maximum number of records of one read.
 	readLimit = 1000
-	// minPause and maxPause bound the pause after a failure.
-	minPause = 100 * time.Millisecond
-	maxPause = 5 * time.Second
-	// marksPerLifetime is how finely the age of records is known.
-	marksPerLifetime = 64
+	// minBackoff and maxBackoff limit the pause after a failure.
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 5 * time.Second
+	// readPointsPerLifetime is the resolution to which the age of records is known.
+	readPointsPerLifetime = 64
 )
 
-// readMarks tells up to which offset all records were read some time ago.
-type readMarks struct {
-	marks fifo[readMark]
-	// aged is the highest offset known to be older than the lifetime.
-	aged eventlog.Offset
+// readHistory records when this daemon had read all records up to an offset.
+type readHistory struct {
+	// points are the points younger than the lifetime, oldest first.
+	points fifo[readPoint]
+	// expired is the highest offset known to be older than the lifetime.
+	expired eventlog.Offset
 }
 
-// readMark is that all records up to offset were read by a time.
-type readMark struct {
+// readPoint means that all records up to offset had been read at the given time.
+type readPoint struct {
 	offset eventlog.Offset
 	at     time.Time
 }
 
-// note records that everything up to offset has been read now.
-func (m *readMarks) note(offset eventlog.Offset, now time.Time, lifetime time.Duration) {
-	n := m.marks.len()
-	if n == 0 || now.Sub(m.marks.at(n-1).at) >= lifetime/marksPerLifetime {
-		m.marks.push(readMark{offset, now})
+// record adds a point for the offset unless the last point is too recent.
+func (h *readHistory) record(offset eventlog.Offset, now time.Time, lifetime time.Duration) {
+	n := h.points.len()
+	if n == 0 || now.Sub(h.points.at(n-1).at) >= lifetime/readPointsPerLifetime {
+		h.points.push(readPoint{offset, now})
 	}
 }
 
-// horizon returns the highest offset that was read a lifetime ago.
-func (m *readMarks) horizon(now time.Time, lifetime time.Duration) eventlog.Offset {
-	for m.marks.len() > 0 && now.Sub(m.marks.at(0).at) >= lifetime {
-		m.aged = m.marks.pop().offset
+// horizon returns the highest offset that is known to have been read at least one lifetime
+// ago.
+func (h *readHistory) horizon(now time.Time, lifetime time.Duration) eventlog.Offset {
+	for h.points.len() > 0 && now.Sub(h.points.at(0).at) >= lifetime {
+		h.expired = h.points.pop().offset
 	}
-	return m.aged
+	return h.expired
 }
 
-// follow reads the log until ctx is done.
-func (c *ClaimResolver) follow(ctx context.Context) error {
-	pause := minPause
+// readLoop reads and applies the records of the log until ctx is done.
+func (c *ClaimResolver) readLoop(ctx context.Context) error {
+	pause := minBackoff
 	for ctx.Err() == nil {
-		if err := c.readOnce(ctx); err != nil {
-			c.readFailed(ctx, err)
+		if err := c.readNext(ctx); err != nil {
+			c.reportReadFailure(ctx, err)
 			pause = backOff(ctx, pause)
 			continue
 		}
-		pause = minPause
+		pause = minBackoff
 	}
 	return nil
 }
 
-// backOff waits for a random part of pause and returns the next pause.
+// backOff sleeps for a random duration below pause, and returns the next pause.
 func backOff(ctx context.Context, pause time.Duration) time.Duration {
 	sleep(ctx, rand.N(pause))
-	return min(2*pause, maxPause)
+	return min(2*pause, maxBackoff)
 }
 
+// sleep returns after d or when ctx is done.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -78,40 +81,42 @@
 	}
 }
 
-func (c *ClaimResolver) readFailed(ctx context.Context, err error) {
+// reportReadFailure logs the first of consecutive read errors.
+func (c *ClaimResolver) reportReadFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.failing.IsZero() {
-		c.failing = c.opts.Now()
+	if c.readFailingSince.IsZero() {
+		c.readFailingSince = c.opts.Now()
 		c.opts.Logger.Warn("claims: cannot read the log", "error", err)
 	}
 }
 
-// readOnce reads what comes next and folds it.
-func (c *ClaimResolver) readOnce(ctx context.Context) error {
-	next, ok := c.position()
+// readNext reads and applies the next records, or starts an index if there is none.
+func (c *ClaimResolver) readNext(ctx context.Context) error {
+	next, ok := c.nextOffset()
 	if !ok {
-		return c.begin(ctx)
+		return c.startIndex(ctx)
 	}
 	recs, err := c.opts.Log.Read(ctx, next, readLimit, c.opts.ReadWait)
 	var trunc *eventlog.TruncatedError
 	if errors.As(err, &trunc) {
-		c.opts.Logger.Warn("claims: records were cut before they were read", "offset", next, "first", trunc.First)
-		return c.begin(ctx)
+		c.opts.Logger.Warn("claims: the log was truncated ahead of the reader", "offset", next, "first", trunc.First)
+		return c.startIndex(ctx)
 	}
 	if err != nil {
 		return err
 	}
 	if len(recs) == 0 {
-		return c.checkEnd(ctx, next)
+		return c.checkLogEnd(ctx, next)
 	}
-	return c.take(recs)
+	return c.applyRecords(recs)
 }
 
-func (c *ClaimResolver) position() (eventlog.Offset, bool) {
+// nextOffset returns the offset to read next. It reports false if there is no index.
+func (c *ClaimResolver) nextOffset() (eventlog.Offset, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.index == nil {
@@ -120,23 +125,24 @@
 	return c.index.next, true
 }
 
-// checkEnd looks whether the log has lost records that were read.
-func (c *ClaimResolver) checkEnd(ctx context.Context, next eventlog.Offset) error {
+// checkLogEnd checks, after an empty read, whether the log has lost records that were
+// applied.
+func (c *ClaimResolver) checkLogEnd(ctx context.Context, next eventlog.Offset) error {
 	b, err := c.opts.Log.Bounds(ctx)
 	if err != nil {
 		return err
 	}
 	if b.End >= next {
-		return c.take(nil)
+		return c.applyRecords(nil)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.forget(b.End, next)
+	c.dropIndex(b.End, next)
 	return nil
 }
 
-// begin starts a new index at the first record that the log holds.
-func (c *ClaimResolver) begin(ctx context.Context) error {
+// startIndex starts a new index at the first record of the log.
+func (c *ClaimResolver) startIndex(ctx context.Context) error {
 	b, err := c.opts.Log.Bounds(ctx)
 	if err != nil {
 		return err
@@ -144,90 +150,92 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Now()
-	c.distrust = c.distrust && now.Sub(c.began) < c.opts.Lifetime
+	c.recordsLost = c.recordsLost && now.Sub(c.indexStarted) < c.opts.Lifetime
 	c.index = newClaimIndex(b.First, c.opts.Lifetime)
-	c.loaded = b.End
-	c.began, c.raised = now, now
-	c.stuck = nil
-	c.read = readMarks{}
-	c.read.note(b.First-1, now, c.opts.Lifetime)
-	c.settle()
+	c.catchUpTo = b.End
+	c.indexStarted, c.horizonRaised = now, now
+	c.applyErr = nil
+	c.readPoints = readHistory{}
+	c.readPoints.record(b.First-1, now, c.opts.Lifetime)
+	c.resolvePending()
 	return nil
 }
 
-// forget drops the index since the log has lost records: it ends at an offset
-// below the one to be read next. Nothing is decided for a lifetime, until what
-// was claimed in those records has ended.
-func (c *ClaimResolver) forget(end, next eventlog.Offset) {
+// dropIndex drops the index after the log has lost records, which shows in an offset end
+// below next, the offset to be read next. No claim is resolved for one lifetime, until the
+// claims in the lost records have expired.
+func (c *ClaimResolver) dropIndex(end, next eventlog.Offset) {
 	c.opts.Logger.Error("claims: the log has lost records", "end", end, "read", next)
 	c.index = nil
-	c.distrust = true
-	c.began = c.opts.Now()
-	c.settle()
+	c.recordsLost = true
+	c.indexStarted = c.opts.Now()
+	c.resolvePending()
 }
 
-// take folds records and resolves the claims that they decide.
-func (c *ClaimResolver) take(recs []eventlog.Record) error {
+// applyRecords applies records and completes the pending claims that they resolve.
+func (c *ClaimResolver) applyRecords(recs []eventlog.Record) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.index == nil {
-		// The writer noticed meanwhile that the log lost records.
+		// The writer has detected meanwhile that the log lost records.
 		return nil
 	}
 	now := c.opts.Now()
-	c.failing = time.Time{}
+	c.readFailingSince = time.Time{}
 	horizon := c.index.horizon
-	err := c.foldAll(recs)
+	err := c.applyAll(recs)
 	if c.index != nil && c.index.horizon > horizon {
-		c.raised = now
+		c.horizonRaised = now
 	}
 	if err == nil {
-		c.read.note(c.index.next-1, now, c.opts.Lifetime)
+		c.readPoints.record(c.index.next-1, now, c.opts.Lifetime)
 	}
-	c.settle()
+	c.resolvePending()
 	return err
 }
 
-func (c *ClaimResolver) foldAll(recs []eventlog.Record) error {
+// applyAll applies records to the index, and drops the index if an offset is missing.
+func (c *ClaimResolver) applyAll(recs []eventlog.Record) error {
 	for _, r := range recs {
-		err := c.index.fold(r)
+		err := c.index.apply(r)
 		switch {
 		case errors.Is(err, errClaimsGap):
-			c.forget(r.Offset, c.index.next)
+			c.dropIndex(r.Offset, c.index.next)
 			return err
 		case err != nil:
-			c.stuck = err
+			c.applyErr = err
 			return err
 		}
 	}
 	return nil
 }
 
-// settle resolves or refuses the pending claims as far as the index tells.
-func (c *ClaimResolver) settle() {
+// resolvePending completes the pending claims that the index resolves, or rejects all of
+// them if it cannot resolve any.
+func (c *ClaimResolver) resolvePending() {
 	now := c.opts.Now()
-	if c.stuck != nil || c.blind(now) {
-		c.refuseAll(c.refusal(now))
+	if c.applyErr != nil || c.mayMissClaims(now) {
+		c.rejectPending(c.rejection(now))
 		return
 	}
-	if !c.decides(now) {
+	if !c.canDecide(now) {
 		return
 	}
 	for d, p := range c.pending {
 		if k, ok := c.index.lookup(d); ok {
-			c.finish(p, k, nil)
+			c.complete(p, k, nil)
 		}
 	}
-	c.wake.Set()
+	c.writerWake.Set()
 }
 
-func (c *ClaimResolver) refuseAll(err error) {
+func (c *ClaimResolver) rejectPending(err error) {
 	for _, p := range c.pending {
-		c.finish(p, Key{}, err)
+		c.complete(p, Key{}, err)
 	}
 }
 
-func (c *ClaimResolver) finish(p *pendingClaim, k Key, err error) {
+func (c *ClaimResolver) complete(p *pendingClaim, k Key, err error) {
 	p.result, p.err = k, err
 	close(p.done)
 	delete(c.pending, p.digest)
--- a/once/claims.go
+++ b/once/claims.go
@@ -14,55 +14,61 @@
 	"github.com/crocuscross/crocuscross/internal/loop"
 )
 
-// StreamClaims is the stream that Claims keeps in the platform's log.
+// StreamClaims is the name of the stream of claim records in the platform's log.
 const StreamClaims = "claims"
 
-// maxOwnKeyBytes bounds a key of a caller's own making.
-const maxOwnKeyBytes = 255
+// maxCallerKeyBytes is the maximum length of a caller-generated key.
+const maxCallerKeyBytes = 255
 
-// Issuer gives out the keys that own keys are tied to.
+// Issuer issues the keys that caller-generated keys map to.
 type Issuer interface {
+	// Issue returns up to n new keys.
 	Issue(n int) []Key
-	// MaxLifetime is how long a key may still be used after its issue, at most.
+	// MaxLifetime returns the maximum time for which a key may be used after it was
+	// issued.
 	MaxLifetime() time.Duration
 }
 
-// ClaimResolverOptions holds the bounds of a Claims.
+// ClaimResolverOptions configures a ClaimResolver.
 type ClaimResolverOptions struct {
 	// Log is the stream StreamClaims.
-	Log  eventlog.Log
+	Log eventlog.Log
+	// Keys issues the keys that this daemon claims.
 	Keys Issuer
-	// Lifetime is how long an own key stands for the same issued key, at least.
-	// It must be the same on all daemons, and shorter than the log's retention.
+	// Lifetime is the minimum time for which a caller-generated key maps to the same
+	// issued key. It must be equal on all daemons, and shorter than the log's retention.
 	Lifetime time.Duration
-	// StartMargin is how long after a key's expiry a call under it may still
-	// start, since its frame was under way: at most the gates' LaneIdle, their
-	// KeepFor and the time of a call together.
+	// StartMargin is how long after the expiry of a key a call under it may still start,
+	// because the message of its attempt was in transit: at most the sum of the gates'
+	// LaneIdleTimeout, their KeepFor and the maximum duration of a call.
 	StartMargin time.Duration
-	// MaxClaims is how many live claims there may be before no more are made:
-	// the rate of new own keys times Lifetime. Each takes some 100 bytes at each
-	// daemon that takes own keys.
+	// MaxClaims is the number of live claims at which new ones are rejected. It should be
+	// the rate of new caller-generated keys times Lifetime. Each claim takes about 100
+	// bytes of memory at each daemon that accepts caller-generated keys.
 	MaxClaims int
-	// MaxPending bounds the own keys that wait for the log.
+	// MaxPending is the maximum number of caller-generated keys that wait for the log.
 	MaxPending int
-	// AppendInterval is the least time between two appends. Claims that come
-	// meanwhile share the next one.
+	// AppendInterval is the minimum time between two appends. The claims that arrive in
+	// between share the next append.
 	AppendInterval time.Duration
-	// AppendTimeout bounds an append; after it the outcome is unknown.
+	// AppendTimeout is the maximum duration of an append. After it, the outcome of the
+	// append is unknown.
 	AppendTimeout time.Duration
-	// ResendAfter is how long a claim with an unknown outcome is looked for in
-	// the log before it is sent again.
+	// ResendAfter is how long after an append with an unknown outcome its claims are
+	// appended again, unless they have been read from the log before.
 	ResendAfter time.Duration
-	// ReadWait is how long a read waits for new records.
+	// ReadWait is how long a read of the log waits for new records.
 	ReadWait time.Duration
-	// HorizonInterval is how long claims that have ended may stay in the index of
-	// an idle stream before a record is written to end them.
+	// HorizonInterval is how long expired claims may stay in the indexes while the stream
+	// is idle. After it, a record without claims is appended to raise the horizon. The
+	// interval is extended by a random part of itself.
 	HorizonInterval time.Duration
 	Logger          *slog.Logger
 	Now             func() time.Time
 }
 
-// DefaultClaimResolverOptions match DefaultKeysOptions and DefaultAttemptsOptions.
+// DefaultClaimResolverOptions returns options that match DefaultKeyStoreOptions and
+// DefaultAttemptTableOptions.
 func DefaultClaimResolverOptions(log eventlog.Log, keys Issuer) ClaimResolverOptions {
 	return ClaimResolverOptions{
 		Log:             log,
@@ -81,87 +87,93 @@
 	}
 }
 
-// ClaimResolver is the OwnKeys that ties own keys to issued ones by records in the
-// platform's log: the first claim of an own key in the order of the log holds.
-// A daemon decides only by a record that it has read, after all those before
-// it. It needs no lease, no clock that agrees with another's and no daemon but
-// itself, and it needs the platform for each own key that is new.
+// ClaimResolver is a KeyResolver that maps caller-generated keys to issued keys by means of
+// records in the platform's log: the first claim of a caller-generated key in log order is
+// in force. A daemon decides only on the basis of records that it has read in log order. It
+// needs no lease, no synchronized clocks and no other daemon, but each new caller-generated
+// key requires the platform.
 //
-// An own key stands for one issued key for Lifetime. The issued key expires
-// well before that, so that a holder which was paused meanwhile cannot run a
-// call under it once the own key may stand for another.
+// A caller-generated key maps to one issued key for Lifetime. The issued key expires well
+// before, so that a holder process that was paused cannot run a call under it once the
+// caller-generated key may map to another key.
 //
-// Callers that cannot wait on the platform should use issued keys.
+// Callers that must not depend on the platform should use issued keys.
 type ClaimResolver struct {
-	opts ClaimResolverOptions
-	wake loop.Trigger
+	opts       ClaimResolverOptions
+	writerWake loop.Trigger
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// index is nil until the log has been reached, and after records were lost.
 	index *claimIndex
-	// loaded is the end of the log when the index was begun; nothing is
-	// decided before it is reached.
-	loaded eventlog.Offset
-	// began is when the index was begun.
-	began time.Time
-	// distrust is set where records were lost, so that what others attest says
-	// nothing of the claims in them.
-	distrust bool
-	// stuck is why a record cannot be folded.
-	stuck error
-	// failing is since when the log could not be reached, zero if it can.
-	failing time.Time
-	read    readMarks
-	pending map[claimDigest]*pendingClaim
-	// raised is when the index's horizon last rose, or the index began.
-	raised time.Time
+	// catchUpTo is the end of the log when the index was started. No claim is resolved
+	// before the index has reached it.
+	catchUpTo eventlog.Offset
+	// indexStarted is when the index was started or dropped.
+	indexStarted time.Time
+	// recordsLost is set if the log has lost records. A horizon in later records then
+	// doesn't prove that the claims in the lost records have expired.
+	recordsLost bool
+	// applyErr is the error of a record that cannot be applied.
+	applyErr error
+	// readFailingSince is when reading the log began to fail, or zero if the last read
+	// succeeded.
+	readFailingSince time.Time
+	readPoints       readHistory
+	pending          map[claimDigest]*pendingClaim
+	// horizonRaised is when the index's horizon last rose, or when the index was started.
+	horizonRaised time.Time
 }
 
-// pendingClaim is an own key that waits for the log.
+// pendingClaim is the claim of a caller-generated key that waits for the log.
 type pendingClaim struct {
-	digest  claimDigest
+	digest claimDigest
+	// waiters is the number of requests that wait for the claim.
 	waiters int
-	// key is what the own key will stand for if this claim is the first. It is
-	// kept when the claim is sent again.
+	// key is the key that the caller-generated key maps to if this claim is the first in
+	// the log. It is set if issued is true, and stays the same when the claim is appended
+	// again.
 	key    Key
 	issued bool
-	// sendAt is when the claim is to be sent or sent again, unless sent is set.
+	// sendAt is when the claim is to be appended, possibly again. It is ignored while sent
+	// is set.
 	sendAt time.Time
 	sent   bool
 
 	done chan struct{}
-	// Set before done is closed.
+	// result and err are set before done is closed.
 	result Key
 	err    error
 }
 
-// NewClaimResolver returns a Claims that resolves own keys while Run runs.
+// NewClaimResolver returns a ClaimResolver, which resolves keys while Run runs. It returns
+// an error if Lifetime is shorter than the maximum lifetime of issued keys plus StartMargin.
 func NewClaimResolver(opts ClaimResolverOptions) (*ClaimResolver, error) {
 	if least := opts.Keys.MaxLifetime() + opts.StartMargin; opts.Lifetime < least {
-		return nil, errors.Newf("claims must last for %s at least, not %s", least, opts.Lifetime)
+		return nil, errors.Newf("the lifetime of claims must be at least %s, not %s", least, opts.Lifetime)
 	}
-	return &ClaimResolver{opts: opts, wake: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
+	return &ClaimResolver{opts: opts, writerWake: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
 }
 
-// Run follows the log and makes claims until ctx is done, and returns nil
-// then.
+// Run reads the log and appends claims to it until ctx is done. It returns nil then.
 func (c *ClaimResolver) Run(ctx context.Context) error {
 	var t tomb.Tomb
 	t.Go(func() error {
-		t.Go(func() error { return c.write(ctx) })
-		return c.follow(ctx)
+		t.Go(func() error { return c.writeLoop(ctx) })
+		return c.readLoop(ctx)
 	})
 	return t.Wait()
 }
 
-// Resolve implements OwnKeys. The error's kind is KeyUnresolved where the log
-// does not answer within ctx: an earlier request under the own key may have
-// run, so not even "not run" is certain. The same request may be sent again.
+// Resolve implements KeyResolver. The error is errkind.KeyUnresolved if the log doesn't
+// respond before ctx is done: an earlier request under the key may have run, so the error
+// doesn't promise that the call has not run. The caller may send the same request again.
+// The error is errkind.KeyUnknown if the key is empty or too long.
 func (c *ClaimResolver) Resolve(ctx context.Context, customer, key string) (Key, error) {
 	key = Unquote(key)
-	if key == "" || len(key) > maxOwnKeyBytes {
-		return Key{}, errkind.Newf(errkind.KeyUnknown, "an idempotency key has 1 to %d characters", maxOwnKeyBytes)
+	if key == "" || len(key) > maxCallerKeyBytes {
+		return Key{}, errkind.Newf(errkind.KeyUnknown, "an idempotency key has 1 to %d characters", maxCallerKeyBytes)
 	}
-	p, err := c.enter(digestOf(customer, key))
+	p, err := c.joinClaim(digestOf(customer, key))
 	if err != nil {
 		return Key{}, err
 	}
@@ -169,44 +181,45 @@
 	case <-p.done:
 		return p.result, p.err
 	case <-ctx.Done():
-		c.leave(p)
-		return Key{}, errkind.Wrap(errkind.KeyUnresolved, ctx.Err(), "the platform's log has not told yet who runs the idempotency key")
+		c.leaveClaim(p)
+		return Key{}, errkind.Wrap(errkind.KeyUnresolved, ctx.Err(), "the platform's log has not yet determined the holder of the idempotency key")
 	}
 }
 
-// enter joins or begins the claim of a digest. One that is decided already is
-// returned as done.
-func (c *ClaimResolver) enter(d claimDigest) (*pendingClaim, error) {
+// joinClaim returns the pending claim of a digest with the caller added to its waiters, and
+// creates it if necessary. If the digest is already resolved, it returns a completed claim.
+func (c *ClaimResolver) joinClaim(d claimDigest) (*pendingClaim, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Now()
-	if c.decides(now) {
+	if c.canDecide(now) {
 		if k, ok := c.index.lookup(d); ok {
-			return resolved(k), nil
+			return resolvedClaim(k), nil
 		}
 	}
 	if p := c.pending[d]; p != nil {
 		p.waiters++
 		return p, nil
 	}
-	if err := c.refusal(now); err != nil {
+	if err := c.rejection(now); err != nil {
 		return nil, err
 	}
 	p := &pendingClaim{digest: d, waiters: 1, sendAt: now, done: make(chan struct{})}
 	c.pending[d] = p
-	c.wake.Set()
+	c.writerWake.Set()
 	return p, nil
 }
 
-func resolved(k Key) *pendingClaim {
+// resolvedClaim returns a completed claim.
+func resolvedClaim(k Key) *pendingClaim {
 	p := &pendingClaim{result: k, done: make(chan struct{})}
 	close(p.done)
 	return p
 }
 
-// leave drops a claim that nobody waits for. One that was sent may still hold;
-// the index tells when it is read.
-func (c *ClaimResolver) leave(p *pendingClaim) {
+// leaveClaim removes a waiter from a claim, and drops the claim when no waiter is left. If
+// the claim has been appended, it may still come into force when the record is read.
+func (c *ClaimResolver) leaveClaim(p *pendingClaim) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p.waiters--
@@ -216,47 +229,48 @@
 }
 
 const (
-	// failAfter is how long the log may be out of reach before requests are
-	// refused instead of waiting for it.
-	failAfter = time.Second
-	// retryWhenDown is when a caller that was refused should come back.
-	retryWhenDown = 5 * time.Second
+	// logFailureTimeout is how long reads of the log may fail before requests are rejected
+	// instead of waiting for the log.
+	logFailureTimeout = time.Second
+	// retryAfterLogFailure is the time after which a caller rejected for this reason should
+	// retry.
+	retryAfterLogFailure = 5 * time.Second
 )
 
-// refusal returns why no new claim is taken, nil if one is.
-func (c *ClaimResolver) refusal(now time.Time) error {
+// rejection returns the error for new claims, or nil if they are accepted.
+func (c *ClaimResolver) rejection(now time.Time) error {
 	switch {
-	case c.stuck != nil:
-		return errkind.Wrap(errkind.KeyUnresolved, c.stuck, "this daemon cannot read the claims of idempotency keys").After(time.Minute)
-	case !c.failing.IsZero() && now.Sub(c.failing) >= failAfter:
-		return errkind.New(errkind.KeyUnresolved, "the platform's log, which own idempotency keys need, does not answer").After(retryWhenDown)
-	case c.blind(now):
-		return errkind.New(errkind.KeyUnresolved, "claims of idempotency keys were lost from the platform's log").
-			After(c.began.Add(c.opts.Lifetime).Sub(now))
+	case c.applyErr != nil:
+		return errkind.Wrap(errkind.KeyUnresolved, c.applyErr, "this daemon cannot decode the claims of idempotency keys").After(time.Minute)
+	case !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) >= logFailureTimeout:
+		return errkind.New(errkind.KeyUnresolved, "the platform's log, which caller-generated idempotency keys require, is unavailable").After(retryAfterLogFailure)
+	case c.mayMissClaims(now):
+		return errkind.New(errkind.KeyUnresolved, "the platform's log has lost claims of idempotency keys").
+			After(c.indexStarted.Add(c.opts.Lifetime).Sub(now))
 	case len(c.pending) >= c.opts.MaxPending:
-		return errkind.New(errkind.KeyUnresolved, "too many own idempotency keys wait for the platform's log")
-	case c.index != nil && c.index.live >= c.opts.MaxClaims:
-		return errkind.New(errkind.KeyUnresolved, "too many own idempotency keys are in use").After(time.Minute)
+		return errkind.New(errkind.KeyUnresolved, "too many caller-generated idempotency keys are waiting for the platform's log")
+	case c.index != nil && c.index.liveClaims >= c.opts.MaxClaims:
+		return errkind.New(errkind.KeyUnresolved, "too many caller-generated idempotency keys are in use").After(time.Minute)
 	}
 	return nil
 }
 
-// caughtUp reports whether all that was in the log when the index began has
-// been read.
-func (c *ClaimResolver) caughtUp() bool { return c.index != nil && c.index.next >= c.loaded }
+// caughtUp reports whether all records that were in the log when the index was started have
+// been applied.
+func (c *ClaimResolver) caughtUp() bool { return c.index != nil && c.index.next >= c.catchUpTo }
 
-// decides reports whether the index may be answered from.
-func (c *ClaimResolver) decides(now time.Time) bool {
-	return c.stuck == nil && c.caughtUp() && !c.blind(now)
+// canDecide reports whether lookups in the index give valid results.
+func (c *ClaimResolver) canDecide(now time.Time) bool {
+	return c.applyErr == nil && c.caughtUp() && !c.mayMissClaims(now)
 }
 
-// blind reports whether claims that are not in the index may still hold: they
-// were cut from the log, and neither does a record attest that they had ended
-// nor has this daemon followed the log for long enough to know. Answering all
-// the same would let a key run again that ran before the cut.
-func (c *ClaimResolver) blind(now time.Time) bool {
-	if now.Sub(c.began) >= c.opts.Lifetime {
+// mayMissClaims reports whether claims that are missing from the index may still be in
+// force: their records were removed from the log, no horizon proves that they have expired,
+// and this daemon has not read the log for a whole Lifetime since. Resolving keys in this
+// state could run a call again that ran before the records were removed.
+func (c *ClaimResolver) mayMissClaims(now time.Time) bool {
+	if now.Sub(c.indexStarted) >= c.opts.Lifetime {
 		return false
 	}
-	return c.distrust || c.caughtUp() && !c.index.complete()
+	return c.recordsLost || c.caughtUp() && !c.index.complete()
 }
--- a/once/claims_test.go
+++ b/once/claims_test.go
@@ -164,7 +164,7 @@
 		began := time.Now()
 		_, err = a.claim("k")
 		must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
-		must.Eq(t, retryWhenDown, errkind.RetryAfterOf(err))
+		must.Eq(t, retryAfterLogFailure, errkind.RetryAfterOf(err))
 		must.Eq(t, 0, time.Since(began))
 		again, err := a.claim("known")
 		must.NoError(t, err)
@@ -274,8 +274,8 @@
 // come to different holders. Both stop deciding instead.
 func TestOtherRulesStopDecisions(t *testing.T) {
 	for _, pb := range []*oncepb.ClaimBatch{
-		{RuleVersion: claimsRule + 1, LifetimeSeconds: 7200},
-		{RuleVersion: claimsRule, LifetimeSeconds: 3600},
+		{RuleVersion: claimsRuleVersion + 1, LifetimeSeconds: 7200},
+		{RuleVersion: claimsRuleVersion, LifetimeSeconds: 3600},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newClaimFleet(t, 0)
@@ -304,7 +304,7 @@
 		defer a.stop()
 		synctest.Wait()
 		a.opts.MaxClaims, a.opts.MaxPending = 2, 1
-		for _, bad := range []string{"", string(make([]byte, maxOwnKeyBytes+1))} {
+		for _, bad := range []string{"", string(make([]byte, maxCallerKeyBytes+1))} {
 			_, err := a.claim(bad)
 			must.Eq(t, errkind.KeyUnknown, errkind.Of(err))
 		}
@@ -449,7 +449,7 @@
 		digests := rapid.SliceOfN(rapid.ByteMax(3), 0, 4)
 		for i := range records {
 			pb := &oncepb.ClaimBatch{
-				RuleVersion: claimsRule, LifetimeSeconds: 7200, Host: fmt.Sprint(i),
+				RuleVersion: claimsRuleVersion, LifetimeSeconds: 7200, Host: fmt.Sprint(i),
 			}
 			if rapid.IntRange(0, 3).Draw(t, "attests") == 0 {
 				pb.Horizon = rapid.Uint64Max(uint64(i+3)).Draw(t, "horizon")
@@ -466,17 +466,17 @@
 		first := eventlog.Offset(rapid.IntRange(1, len(records)).Draw(t, "first"))
 		late := newClaimIndex(first, 2*time.Hour)
 		for _, r := range records {
-			must.NoError(t, whole.fold(r))
+			must.NoError(t, whole.apply(r))
 			must.Less(t, r.Offset, whole.horizon)
-			must.ErrorIs(t, whole.fold(r), errClaimsGap)
+			must.ErrorIs(t, whole.apply(r), errClaimsGap)
 			if r.Offset < first {
 				continue
 			}
-			must.NoError(t, late.fold(r))
+			must.NoError(t, late.apply(r))
 			if !late.complete() {
 				continue
 			}
-			must.Eq(t, whole.live, late.live)
+			must.Eq(t, whole.liveClaims, late.liveClaims)
 			for d := range byte(4) {
 				k1, ok1 := whole.lookup(claimDigest{d})
 				k2, ok2 := late.lookup(claimDigest{d})
--- a/once/claimwriter.go
+++ b/once/claimwriter.go
@@ -13,66 +13,67 @@
 	"github.com/crocuscross/crocuscross/once/oncepb"
 )
 
-// maxBatch bounds the claims of one append; a claim takes some 30 bytes of a
-// record.
-const maxBatch = 1000
+// maxBatchClaims is the maximum number of claims in a record. A claim takes about 30 bytes.
+const maxBatchClaims = 1000
 
-// write appends claims and marks until ctx is done.
-func (c *ClaimResolver) write(ctx context.Context) error {
-	pause := minPause
+// writeLoop appends records with claims, and records that only raise the horizon, until ctx
+// is done.
+func (c *ClaimResolver) writeLoop(ctx context.Context) error {
+	pause := minBackoff
 	for ctx.Err() == nil {
 		batch, wait := c.nextBatch()
 		if batch == nil {
 			c.waitForWork(ctx, wait)
 			continue
 		}
-		if err := c.append(ctx, batch); errors.Is(err, eventlog.ErrUnavailable) {
+		if err := c.appendBatch(ctx, batch); errors.Is(err, eventlog.ErrUnavailable) {
 			pause = backOff(ctx, pause)
 			continue
 		}
-		pause = minPause
+		pause = minBackoff
 		sleep(ctx, c.opts.AppendInterval)
 	}
 	return nil
 }
 
+// waitForWork returns after wait, or earlier if claims may be due or ctx is done.
 func (c *ClaimResolver) waitForWork(ctx context.Context, wait time.Duration) {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-c.wake:
+	case <-c.writerWake:
 	case <-t.C:
 	case <-ctx.Done():
 	}
 }
 
-// sending is a record on its way to the log.
-type sending struct {
+// outgoingBatch is a record to be appended to the log.
+type outgoingBatch struct {
 	data   []byte
 	claims []*pendingClaim
-	// after is the offset that the record cannot come before.
-	after eventlog.Offset
+	// minOffset is the lowest offset that the record can get if the log has lost no records.
+	minOffset eventlog.Offset
 }
 
-// nextBatch returns what to append, or else when to look again.
-func (c *ClaimResolver) nextBatch() (*sending, time.Duration) {
+// nextBatch returns the record to append, or nil and how long to wait if there is none.
+func (c *ClaimResolver) nextBatch() (*outgoingBatch, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.opts.Now()
-	if !c.decides(now) {
+	if !c.canDecide(now) {
 		return nil, c.opts.ReadWait
 	}
-	due, wait := c.due(now)
-	due = c.issue(due)
-	horizon := c.read.horizon(now, c.opts.Lifetime)
-	if len(due) == 0 && !c.markDue(horizon, now) {
+	due, wait := c.dueClaims(now)
+	due = c.assignKeys(due)
+	horizon := c.readPoints.horizon(now, c.opts.Lifetime)
+	if len(due) == 0 && !c.horizonRecordDue(horizon, now) {
 		return nil, wait
 	}
 	return c.encode(due, horizon), 0
 }
 
-// due returns the claims to be sent now, and when the next one is.
-func (c *ClaimResolver) due(now time.Time) ([]*pendingClaim, time.Duration) {
+// dueClaims returns the claims to be appended now, and the time until the next one is due.
+func (c *ClaimResolver) dueClaims(now time.Time) ([]*pendingClaim, time.Duration) {
 	var due []*pendingClaim
 	wait := c.opts.ReadWait
 	for _, p := range c.pending {
@@ -80,16 +81,16 @@
 		case p.sent:
 		case left > 0:
 			wait = min(wait, left)
-		case len(due) < maxBatch:
+		case len(due) < maxBatchClaims:
 			due = append(due, p)
 		}
 	}
 	return due, wait
 }
 
-// issue gives each claim the key that it would stand for. Claims that get none
-// are refused.
-func (c *ClaimResolver) issue(due []*pendingClaim) []*pendingClaim {
+// assignKeys issues a key for each claim that has none. It returns the claims with keys and
+// rejects those for which no key can be issued.
+func (c *ClaimResolver) assignKeys(due []*pendingClaim) []*pendingClaim {
 	var without []*pendingClaim
 	ready := due[:0]
 	for _, p := range due {
@@ -105,7 +106,7 @@
 	keys := c.opts.Keys.Issue(len(without))
 	for i, p := range without {
 		if i >= len(keys) {
-			c.finish(p, Key{}, errkind.New(errkind.KeyUnresolved, "too many idempotency keys are out"))
+			c.complete(p, Key{}, errkind.New(errkind.KeyUnresolved, "too many idempotency keys have been issued"))
 			continue
 		}
 		p.key, p.issued = keys[i], true
@@ -114,18 +115,20 @@
 	return ready
 }
 
-// markDue reports whether a record without claims is worth an append: it ends
-// claims that take memory everywhere, and lets a newcomer know that what was
-// cut from the log had ended.
-func (c *ClaimResolver) markDue(horizon eventlog.Offset, now time.Time) bool {
-	// Daemons that began together must not mark together.
+// horizonRecordDue reports whether to append a record without claims. Such a record raises
+// the horizon: all daemons free the memory of expired claims, and a daemon that starts later
+// knows that the claims in truncated records have expired.
+func (c *ClaimResolver) horizonRecordDue(horizon eventlog.Offset, now time.Time) bool {
+	// The random part prevents daemons that started together from appending at the same
+	// time.
 	spread := rand.N(c.opts.HorizonInterval)
-	return horizon > c.index.horizon && now.Sub(c.raised) >= c.opts.HorizonInterval+spread
+	return horizon > c.index.horizon && now.Sub(c.horizonRaised) >= c.opts.HorizonInterval+spread
 }
 
-func (c *ClaimResolver) encode(due []*pendingClaim, horizon eventlog.Offset) *sending {
+// encode returns a record with the claims and the horizon, and marks the claims as sent.
+func (c *ClaimResolver) encode(due []*pendingClaim, horizon eventlog.Offset) *outgoingBatch {
 	pb := &oncepb.ClaimBatch{
-		RuleVersion:     claimsRule,
+		RuleVersion:     claimsRuleVersion,
 		Horizon:         horizon,
 		LifetimeSeconds: lifetimeSeconds(c.opts.Lifetime),
 	}
@@ -136,31 +139,33 @@
 	}
 	data, err := proto.Marshal(pb)
 	if err != nil {
-		c.opts.Logger.Error("claims: cannot encode a record", "error", err)
+		c.opts.Logger.Error("claims: cannot encode a claims record", "error", err)
 	}
-	return &sending{data: data, claims: due, after: c.index.next}
+	return &outgoingBatch{data: data, claims: due, minOffset: c.index.next}
 }
 
-// append sends a record. What becomes of its claims is told by the log.
-func (c *ClaimResolver) append(ctx context.Context, s *sending) error {
+// appendBatch appends a record. Its claims are resolved when the record is read from the
+// log.
+func (c *ClaimResolver) appendBatch(ctx context.Context, b *outgoingBatch) error {
 	actx, cancel := context.WithTimeout(ctx, c.opts.AppendTimeout)
 	defer cancel()
-	offset, err := c.opts.Log.Append(actx, s.data)
+	offset, err := c.opts.Log.Append(actx, b.data)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case err == nil && offset < s.after:
-		c.forget(offset, s.after)
+	case err == nil && offset < b.minOffset:
+		c.dropIndex(offset, b.minOffset)
 	case errors.Is(err, eventlog.ErrUnavailable):
-		s.sendAgain(c.opts.Now())
+		b.resendAt(c.opts.Now())
 	case err != nil:
-		s.sendAgain(c.opts.Now().Add(c.opts.ResendAfter))
+		b.resendAt(c.opts.Now().Add(c.opts.ResendAfter))
 	}
 	return err
 }
 
-func (s *sending) sendAgain(at time.Time) {
-	for _, p := range s.claims {
+// resendAt schedules the claims of the batch to be appended again at the given time.
+func (b *outgoingBatch) resendAt(at time.Time) {
+	for _, p := range b.claims {
 		p.sent, p.sendAt = false, at
 	}
 }
--- a/once/clock.go
+++ b/once/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// clock counts monotonic time from the start of a table.
+// clock measures the monotonic time since its creation.
 type clock struct {
 	now   func() time.Time
 	start time.Time
--- a/once/doc.go
+++ b/once/doc.go
@@ -1,20 +1,23 @@
-// Package once makes a non-idempotent call run at most once. It holds state
-// machines only: no network, and the clock is injected.
+// Package once provides at-most-once execution of non-idempotent calls. It
+// contains state machines only: it does no network I/O, and the clock is injected.
 //
-// There are three outcomes and no fourth: the call ran (with its whole answer
-// while that is kept), it has not run and never will, or the outcome is
+// A call has one of three outcomes: it ran (the complete response is available
+// while it is retained), it has not run and never will, or its outcome is
 // unknown.
 //
-// Attempts is the table of a gate, the daemon beside a backend server. It
-// settles one attempt whose link went silent: the first daemon asks over a new
-// connection and the gate tells the outcome or bars the attempt.
+// AttemptTable belongs to a gate, the daemon beside a backend server. It resolves
+// the outcome of an attempt whose connection stopped responding: the sending
+// daemon queries the gate over a new connection, and the gate reports the outcome
+// or bars the attempt, so that it can never start.
 //
-// Keys is the table of the daemon that issued an idempotency key. A key names
-// its holder, every other daemon forwards to it, and no other process ever
-// runs a call under the key. When that process is gone, the outcome is unknown.
+// KeyStore belongs to the daemon that issued an idempotency key. A key names its
+// holder. All other daemons forward requests under the key to the holder, and no
+// other process ever runs a call under it. If the holder process is gone, the
+// outcome is unknown.
 //
-// Claims ties a key of the caller's own making to an issued one by records in
-// the platform's log.
+// ClaimResolver maps caller-generated idempotency keys to issued keys by means of
+// records in the platform's log.
 //
-// No decision rests on a wall clock, nor on clocks of two hosts agreeing.
+// No decision depends on wall-clock time or on clock synchronization between
+// hosts.
 package once
--- a/once/example_test.go
+++ b/once/example_test.go
@@ -23,7 +23,7 @@
 		}
 		fp := once.NewFingerprint("POST", "/holds", "garage-9")
 		_, _ = fp.Write(body)
-		run, ans, err := keys.Begin(key, fp.Sum())
+		run, resp, err := keys.Begin(key, fp.Sum())
 		switch {
 		case err != nil:
 			fmt.Println(errkind.Of(err))
@@ -34,7 +34,7 @@
 			run.Finish(rec.Response())
 			fmt.Println("ran")
 		default:
-			fmt.Println("replayed:", ans.Status, string(ans.Body))
+			fmt.Println("replayed:", resp.Status, string(resp.Body))
 		}
 	}
 	// Output:
--- a/once/fifo.go
+++ b/once/fifo.go
@@ -1,17 +1,17 @@
 package once
 
-// fifo is a queue in a ring that grows as needed.
+// fifo is a queue in a ring buffer that grows as needed.
 type fifo[T any] struct {
 	ring []T
 	head int
 	n    int
 }
 
-const fifoStart = 16
+const minRingSize = 16
 
 func (q *fifo[T]) len() int { return q.n }
 
-// at returns the element with i others before it.
+// at returns the i-th element, counted from 0 at the head.
 func (q *fifo[T]) at(i int) *T { return &q.ring[(q.head+i)&(len(q.ring)-1)] }
 
 func (q *fifo[T]) push(v T) {
@@ -32,9 +32,9 @@
 	return v
 }
 
-// grow doubles the ring; its length stays a power of two.
+// grow doubles the ring. Its length is always a power of two.
 func (q *fifo[T]) grow() {
-	ring := make([]T, max(fifoStart, 2*len(q.ring)))
+	ring := make([]T, max(minRingSize, 2*len(q.ring)))
 	for i := range q.n {
 		ring[i] = *q.at(i)
 	}
--- a/once/fingerprint.go
+++ b/once/fingerprint.go
@@ -6,24 +6,25 @@
 	"hash"
 )
 
-// FingerprintBytes is the length of a Fingerprint.
+// FingerprintBytes is the length of a Fingerprint in bytes.
 const FingerprintBytes = 16
 
-// Fingerprint tells whether two requests under one key are the same request.
-// It is cut from a cryptographic digest, since a customer who could make two
-// requests collide would be given another's answer.
+// Fingerprint identifies the content of a request: a request that reuses a key
+// must have the fingerprint of the first request. It is a truncated cryptographic
+// digest, because a customer who could create a collision would receive another
+// customer's response.
 type Fingerprint [FingerprintBytes]byte
 
-// FingerprintHash takes the body of a request as it comes.
+// FingerprintHash computes the Fingerprint of a request from its streamed body.
 type FingerprintHash struct{ h hash.Hash }
 
-// NewFingerprint starts the fingerprint of a request; the body is written to
-// it. Target is the path with the query.
+// NewFingerprint returns a hash of the method, the target and the customer, to
+// which the caller writes the request body. target is the path with the query.
 func NewFingerprint(method, target, customer string) FingerprintHash {
 	h := sha256.New()
 	var n [4]byte
 	for _, s := range []string{method, target, customer} {
-		// The length keeps "ab"+"c" from equalling "a"+"bc".
+		// The length prefix distinguishes "ab"+"c" from "a"+"bc".
 		binary.BigEndian.PutUint32(n[:], uint32(len(s)))
 		h.Write(n[:])
 		h.Write([]byte(s))
@@ -31,10 +32,10 @@
 	return FingerprintHash{h}
 }
 
-// Write adds a part of the body. It never fails.
+// Write adds p to the hashed body. It never returns an error.
 func (f FingerprintHash) Write(p []byte) (int, error) { return f.h.Write(p) }
 
-// Sum returns the fingerprint of what was written so far.
+// Sum returns the fingerprint of the request with the body written so far.
 func (f FingerprintHash) Sum() Fingerprint {
 	return Fingerprint(f.h.Sum(nil)[:FingerprintBytes])
 }
--- a/once/id.go
+++ b/once/id.go
@@ -7,13 +7,14 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// IDBytes is the length of an ID.
+// IDBytes is the length of an ID in bytes.
 const IDBytes = 16
 
-// ID names one attempt: the life of the gate that it is meant for, the lane
-// that the gate opened for the sender, and a number that the sender counts up
-// within the lane. The order within a lane is what lets a gate tell an attempt
-// that it has forgotten from one that it has never seen.
+// ID identifies one attempt. It consists of the boot of the gate that the attempt
+// is sent to, the number of the lane that the gate opened for the sender, and a
+// sequence number that the sender increments within the lane. The order within a
+// lane allows the gate to distinguish an attempt whose entry was evicted from one
+// that it has never received.
 type ID [IDBytes]byte
 
 func newID(boot uint64, lane, seq uint32) ID {
@@ -24,7 +25,7 @@
 	return id
 }
 
-// ParseID reads an ID from a message.
+// ParseID parses the binary form of an ID. The error is errkind.BadRequest.
 func ParseID(b []byte) (ID, error) {
 	if len(b) != IDBytes {
 		return ID{}, errkind.Newf(errkind.BadRequest, "attempt id has %d bytes instead of %d", len(b), IDBytes)
@@ -32,19 +33,20 @@
 	return ID(b), nil
 }
 
-// Boot returns the life of the gate that the attempt is meant for.
+// Boot returns the boot of the gate that the attempt is sent to.
 func (id ID) Boot() uint64 { return binary.BigEndian.Uint64(id[:8]) }
 
-// lane returns the number of the lane.
+// lane returns the lane number.
 func (id ID) lane() uint32 { return binary.BigEndian.Uint32(id[8:12]) }
 
-// seq returns the number within the lane, from 1.
+// seq returns the sequence number within the lane, starting at 1.
 func (id ID) seq() uint32 { return binary.BigEndian.Uint32(id[12:]) }
 
-// number is the attempt's number in the gate's ledger.
-func (id ID) number() uint64 { return binary.BigEndian.Uint64(id[8:]) }
+// callNumber returns the attempt's number in the gate's callTable: the lane number in the
+// upper 32 bits, the sequence number in the lower 32 bits.
+func (id ID) callNumber() uint64 { return binary.BigEndian.Uint64(id[8:]) }
 
-// String returns the parts in hexadecimal, for logs.
+// String returns the boot, the lane and the sequence number in hexadecimal, for logs.
 func (id ID) String() string {
 	return fmt.Sprintf("%016x-%x-%x", id.Boot(), id.lane(), id.seq())
 }
--- a/once/key.go
+++ b/once/key.go
@@ -12,23 +12,27 @@
 	"github.com/crocuscross/crocuscross/once/oncepb"
 )
 
-// KeyPrefix begins every issued key and no key of a caller's own making.
+// KeyPrefix is the prefix of every issued key. A key without it is
+// caller-generated.
 const KeyPrefix = "ccx1-"
 
 const (
-	// maxKeyChars bounds an issued key; a host name takes most of it.
+	// maxKeyChars is the maximum length of an issued key. Most of it is reserved for
+	// the host name.
 	maxKeyChars = 512
-	// checkBytes is the length of the check sum that ends a key. It tells a key
-	// that was copied badly at the first daemon, without asking the holder.
-	checkBytes = 4
+	// checksumBytes is the length of the checksum at the end of a key. The checksum
+	// allows the first daemon to reject a mistyped or truncated key without
+	// contacting the holder.
+	checksumBytes = 4
 )
 
-// howToGetAKey ends the text of errors about keys.
-const howToGetAKey = "get a key by POST to the daemon's key path, or see the page on idempotency keys"
+// keyHelp is the end of error texts about unusable keys.
+const keyHelp = "get a key by POST to the daemon's key path, or see the page on idempotency keys"
 
 var keyEncoding = base64.RawURLEncoding
 
-// Key is an issued idempotency key.
+// Key is an issued idempotency key. It identifies its holder, and carries a tag
+// that proves that the holder issued the serial number.
 type Key struct {
 	host   string
 	boot   uint64
@@ -36,27 +40,28 @@
 	tag    uint32
 }
 
-// Holder returns the host and the life of its daemon that alone may run a call
-// under the key.
+// Holder returns the host and the boot of the daemon that issued the key. Only that
+// daemon process may run a call under the key.
 func (k Key) Holder() (host string, boot uint64) { return k.host, k.boot }
 
-// String returns the key as callers send it.
+// String returns the key in the text form that callers send.
 func (k Key) String() string {
 	raw, err := proto.Marshal(&oncepb.Key{Host: k.host, Boot: k.boot, Serial: k.serial, Tag: k.tag})
 	if err != nil {
-		// Only a host name that is not UTF-8 gets here; settings refuse it.
+		// Unreachable: the only cause is a host name that is not valid UTF-8, which the
+		// settings reject.
 		return ""
 	}
 	raw = binary.LittleEndian.AppendUint32(raw, uint32(xxhash.Sum64(raw)))
 	return KeyPrefix + keyEncoding.EncodeToString(raw)
 }
 
-// IsIssued reports whether a key has the form of issued keys. All others are
-// of the caller's own making.
+// IsIssued reports whether a key has the form of an issued key. All other keys are
+// caller-generated.
 func IsIssued(key string) bool { return strings.HasPrefix(Unquote(key), KeyPrefix) }
 
-// Unquote returns the content of an Idempotency-Key header, which may be sent
-// as a quoted string.
+// Unquote returns the key in the value of an Idempotency-Key header, without
+// surrounding white space and double quotes.
 func Unquote(header string) string {
 	s := strings.TrimSpace(header)
 	if len(s) >= 2 && s[0] == '"' && s[len(s)-1] == '"' {
@@ -65,32 +70,32 @@
 	return s
 }
 
-// ParseKey reads an issued key, quoted or not. The error is
-// errkind.KeyUnknown; nothing ever ran under such a key.
+// ParseKey parses an issued key, quoted or not. The error is errkind.KeyUnknown: no
+// call has ever run under a key that cannot be parsed.
 func ParseKey(header string) (Key, error) {
 	s := Unquote(header)
 	rest, ok := strings.CutPrefix(s, KeyPrefix)
 	if !ok {
-		return Key{}, errkind.New(errkind.KeyUnknown, "the idempotency key was not issued here: "+howToGetAKey)
+		return Key{}, errkind.New(errkind.KeyUnknown, "the idempotency key is not an issued key: "+keyHelp)
 	}
 	if len(s) > maxKeyChars {
-		return Key{}, errkind.Newf(errkind.KeyUnknown, "the idempotency key has more than %d characters", maxKeyChars)
+		return Key{}, errkind.Newf(errkind.KeyUnknown, "the idempotency key is longer than %d characters", maxKeyChars)
 	}
 	raw, err := keyEncoding.DecodeString(rest)
-	if err != nil || len(raw) < checkBytes {
-		return Key{}, badKey()
+	if err != nil || len(raw) < checksumBytes {
+		return Key{}, damagedKeyError()
 	}
-	raw, check := raw[:len(raw)-checkBytes], raw[len(raw)-checkBytes:]
+	raw, check := raw[:len(raw)-checksumBytes], raw[len(raw)-checksumBytes:]
 	if binary.LittleEndian.Uint32(check) != uint32(xxhash.Sum64(raw)) {
-		return Key{}, badKey()
+		return Key{}, damagedKeyError()
 	}
 	var pb oncepb.Key
 	if err := proto.Unmarshal(raw, &pb); err != nil || pb.GetHost() == "" {
-		return Key{}, badKey()
+		return Key{}, damagedKeyError()
 	}
 	return Key{host: pb.GetHost(), boot: pb.GetBoot(), serial: pb.GetSerial(), tag: pb.GetTag()}, nil
 }
 
-func badKey() error {
-	return errkind.New(errkind.KeyUnknown, "the idempotency key is damaged: "+howToGetAKey)
+func damagedKeyError() error {
+	return errkind.New(errkind.KeyUnknown, "the idempotency key is malformed or its checksum is wrong: "+keyHelp)
 }
--- a/once/keys.go
+++ b/once/keys.go
@@ -12,26 +12,27 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// KeyStoreOptions holds the bounds of a Keys.
+// KeyStoreOptions configures a KeyStore.
 type KeyStoreOptions struct {
-	// Host and Boot are what the keys name as their holder.
+	// Host and Boot identify this daemon process, the holder of the keys that it issues.
 	Host string
 	Boot uint64
-	// Bounds hold for the calls under all keys. KeepFor is how long a repeat
-	// gets the first answer.
+	// Bounds apply to the calls under all keys together. KeepFor is how long a
+	// duplicate request receives the stored response.
 	Bounds Bounds
-	// Lifetime is how long a key may be used after its issue, at least; the
-	// most is a 64th above that. An expired key never runs again.
+	// Lifetime is the minimum time for which a key may be used after it was issued. The
+	// maximum is 1/64 longer. No call starts under an expired key.
 	Lifetime time.Duration
-	// MaxKeys bounds the keys issued within two lifetimes; each takes a bit
-	// once it is used.
+	// MaxKeys is the maximum number of keys issued within two lifetimes. Each used key
+	// takes one bit of memory.
 	MaxKeys int
-	// MaxIssue bounds the keys issued at once.
+	// MaxIssue is the maximum number of keys that one call of Issue returns.
 	MaxIssue int
-	Now      func() time.Time
+	// Now returns the current time. Only differences between times are used.
+	Now func() time.Time
 }
 
-// DefaultKeyStoreOptions bound the table to some 80 MB.
+// DefaultKeyStoreOptions returns options that limit a KeyStore to about 80 MB of memory.
 func DefaultKeyStoreOptions(host string, boot uint64) KeyStoreOptions {
 	return KeyStoreOptions{
 		Host: host,
@@ -50,59 +51,62 @@
 	}
 }
 
-// KeyStore issues idempotency keys and is the table of the calls run under them.
-// It is safe for concurrent use; calls under different keys seldom share a
-// lock.
+// KeyStore issues idempotency keys and records the calls that run under them. It is safe
+// for concurrent use. Keys are spread over shards, each with its own lock.
 //
-// A key runs at most once: a bit is set for its number before it runs and
-// outlives the record of its answer. It is dropped only a lifetime after the
-// key has expired, and an expired key never runs. A number without a bit is
-// therefore certain not to have run until then, and afterwards unknown.
+// At most one call runs under a key: the bit for the key's serial number is set before the
+// call starts, and is retained longer than the entry with the response. The bit is dropped
+// only one lifetime after the key expired, and no call starts under an expired key. Until
+// then, a serial number without a bit proves that no call has run under the key.
+// Afterwards, the outcome is unknown.
 type KeyStore struct {
-	opts    KeyStoreOptions
-	clock   clock
-	serials *serials
-	tags    cipher.Block
-	shards  [keyShards]keyShard
+	opts      KeyStoreOptions
+	clock     clock
+	serials   *serials
+	tagCipher cipher.Block
+	shards    [keyShards]keyShard
 }
 
+// keyShards is the number of shards of a KeyStore.
 const keyShards = 16
 
-// keyShard holds the keys whose number leaves the same rest.
+// keyShard holds the keys whose serial numbers are congruent modulo keyShards.
 type keyShard struct {
 	mu sync.Mutex
-	// begun has the number's quotient for each key that has run or may have.
-	begun  bitset
-	ledger *ledger
-	block  tagBlock
+	// used contains serial/keyShards for each key under which a call has run or may have
+	// run.
+	used      bitset
+	calls     *callTable
+	tagBuffer aesBlock
 }
 
-// tagBlock is room to work out a tag in; on the stack it would escape.
-type tagBlock [aes.BlockSize]byte
+// aesBlock is a buffer for the computation of a tag. Keeping it in the shard avoids an
+// allocation: a local variable would escape to the heap.
+type aesBlock [aes.BlockSize]byte
 
-// NewKeyStore returns a table that has issued nothing.
+// NewKeyStore returns a KeyStore that has issued no keys.
 func NewKeyStore(opts KeyStoreOptions) *KeyStore {
 	k := &KeyStore{opts: opts, clock: newClock(opts.Now), serials: newSerials(opts.Lifetime, opts.MaxKeys)}
 	var secret [16]byte
-	_, _ = rand.Read(secret[:]) // It never fails.
-	k.tags, _ = aes.NewCipher(secret[:])
+	_, _ = rand.Read(secret[:]) // Never returns an error.
+	k.tagCipher, _ = aes.NewCipher(secret[:])
 	bounds := opts.Bounds.split(keyShards)
 	for i := range k.shards {
-		k.shards[i].begun = newBitset()
-		k.shards[i].ledger = newLedger(bounds, func(uint64) {})
+		k.shards[i].used = newBitset()
+		k.shards[i].calls = newCallTable(bounds, func(uint64) {})
 	}
 	return k
 }
 
-// MaxLifetime returns how long a key may still be used after its issue, at most.
-func (k *KeyStore) MaxLifetime() time.Duration { return k.opts.Lifetime + k.serials.epochTime() }
+// MaxLifetime returns the maximum time for which a key may be used after it was issued.
+func (k *KeyStore) MaxLifetime() time.Duration { return k.opts.Lifetime + k.serials.epochLength() }
 
-// Issue returns up to n new keys: fewer where n is above MaxIssue or MaxKeys
-// are out, none at the worst.
+// Issue returns up to n new keys. It returns fewer, possibly none, if n exceeds MaxIssue or
+// the number of issued keys reaches MaxKeys.
 func (k *KeyStore) Issue(n int) []Key {
 	first, got := k.serials.issue(min(n, k.opts.MaxIssue), k.clock.elapsed())
 	keys := make([]Key, got)
-	var block tagBlock
+	var block aesBlock
 	for i := range keys {
 		serial := first + uint64(i)
 		keys[i] = Key{host: k.opts.Host, boot: k.opts.Boot, serial: serial, tag: k.tag(serial, &block)}
@@ -110,33 +114,39 @@
 	return keys
 }
 
-// tag proves that this table issued a number. Without it one customer could
-// use up the keys of others by counting.
-func (k *KeyStore) tag(serial uint64, block *tagBlock) uint32 {
-	*block = tagBlock{}
+// tag returns the authentication tag of a serial number, which proves that this KeyStore
+// issued the number. Without it, a customer could use up the keys of other customers by
+// counting through serial numbers.
+func (k *KeyStore) tag(serial uint64, block *aesBlock) uint32 {
+	*block = aesBlock{}
 	binary.LittleEndian.PutUint64(block[:], serial)
-	k.tags.Encrypt(block[:], block[:])
+	k.tagCipher.Encrypt(block[:], block[:])
 	return binary.LittleEndian.Uint32(block[:])
 }
 
-// Begin starts the call of a request under a key, or returns the kept answer
-// of the request's first run. The error's kind is KeyUnknown (the key never ran
-// and never will), KeyMismatch, KeyInProgress, OutcomeUnknown (it may have run,
-// or did and its answer is not kept), or Overloaded (not run, the key may be
-// used again). Whoever gets an Execution must end it.
+// Begin starts the call of a request under a key, or returns the stored response if the
+// call has already run. The kind of the error is one of:
+//
+//   - KeyUnknown: no call has run under the key, and none ever will.
+//   - KeyMismatch: the key was used with a request of another fingerprint.
+//   - KeyInProgress: the call of an earlier request under the key is running.
+//   - OutcomeUnknown: the call may have run, or ran but its response is not stored.
+//   - Overloaded: the call has not run, and the key may be used again.
+//
+// If Begin returns an Execution, the caller must finish it.
 func (k *KeyStore) Begin(key Key, fp Fingerprint) (*Execution, *Response, error) {
-	e, ans, _, err := k.begin(key, fp)
-	return e, ans, err
+	e, resp, _, err := k.begin(key, fp)
+	return e, resp, err
 }
 
-// BeginOrWait is Begin for a request that can wait for the first one to end:
-// it returns KeyInProgress only once ctx is done. Where the first one proves
-// not to have run, one of those who wait gets to run the call.
+// BeginOrWait is like Begin, but waits for a running call under the key to end. It returns
+// KeyInProgress only if ctx is done before. If the call turns out not to have run, one of
+// the waiting requests starts it.
 func (k *KeyStore) BeginOrWait(ctx context.Context, key Key, fp Fingerprint) (*Execution, *Response, error) {
 	for {
-		e, ans, w, err := k.begin(key, fp)
+		e, resp, w, err := k.begin(key, fp)
 		if w == nil {
-			return e, ans, err
+			return e, resp, err
 		}
 		select {
 		case <-w.done:
@@ -144,117 +154,117 @@
 			return nil, nil, err
 		}
 		if w.state != barred {
-			ans, err = replay(w.state, w.answer)
-			return nil, ans, err
+			resp, err = replay(w.state, w.response)
+			return nil, resp, err
 		}
 	}
 }
 
-// begin returns what to wait for beside a KeyInProgress.
-func (k *KeyStore) begin(key Key, fp Fingerprint) (*Execution, *Response, *waiting, error) {
+// begin implements Begin. With a KeyInProgress error, it also returns the completion to
+// wait for.
+func (k *KeyStore) begin(key Key, fp Fingerprint) (*Execution, *Response, *completion, error) {
 	s := &k.shards[key.serial%keyShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if err := k.checkIssued(key, &s.block); err != nil {
+	if err := k.checkIssued(key, &s.tagBuffer); err != nil {
 		return nil, nil, nil, err
 	}
-	// The time is read under the lock. A request that was paused with an older
-	// one would take a number whose bit has been dropped meanwhile for one that
-	// may run.
+	// Read the time under the lock. A request that was paused after an earlier reading
+	// would treat a key whose bit has been dropped meanwhile as unused, and run it again.
 	now := k.clock.elapsed()
-	lim := k.serials.at(now)
-	s.ledger.trim(now)
-	s.begun.dropBelow(lim.forgotten / keyShards)
-	if e := s.ledger.entries[key.serial]; e != nil {
-		return repeat(e, fp)
+	lim := k.serials.limitsAt(now)
+	s.calls.evict(now)
+	s.used.dropBelow(lim.forgottenBelow / keyShards)
+	if e := s.calls.entries[key.serial]; e != nil {
+		return answerDuplicate(e, fp)
 	}
-	if err := s.mayRun(key.serial, lim); err != nil {
+	if err := s.checkStartable(key.serial, lim); err != nil {
 		return nil, nil, nil, err
 	}
-	s.begun.set(key.serial / keyShards)
-	e := s.ledger.begin(key.serial, fp)
+	s.used.set(key.serial / keyShards)
+	e := s.calls.begin(key.serial, fp)
 	return &Execution{keys: k, serial: key.serial, entry: e}, nil, nil, nil
 }
 
-// checkIssued refuses a key that this table did not issue.
-func (k *KeyStore) checkIssued(key Key, block *tagBlock) error {
+// checkIssued returns an error if this KeyStore did not issue the key.
+func (k *KeyStore) checkIssued(key Key, block *aesBlock) error {
 	switch {
 	case key.host != k.opts.Host || key.boot != k.opts.Boot:
-		return errkind.New(errkind.OutcomeUnknown, "the process that issued the idempotency key is gone")
+		return errkind.New(errkind.OutcomeUnknown, "the daemon process that issued the idempotency key no longer runs")
 	case key.serial == 0 || key.serial >= k.serials.next.Load() || key.tag != k.tag(key.serial, block):
-		return errkind.New(errkind.KeyUnknown, "the idempotency key was never issued: "+howToGetAKey)
+		return errkind.New(errkind.KeyUnknown, "the idempotency key was never issued: "+keyHelp)
 	}
 	return nil
 }
 
-// repeat answers a request under a key that is in the ledger.
-func repeat(e *entry, fp Fingerprint) (*Execution, *Response, *waiting, error) {
+// answerDuplicate returns the result of a request under a key that has an entry.
+func answerDuplicate(e *entry, fp Fingerprint) (*Execution, *Response, *completion, error) {
 	if e.fp != fp {
 		return nil, nil, nil, errkind.New(errkind.KeyMismatch, "the idempotency key was used with a different request")
 	}
 	if e.state == running {
-		return nil, nil, e.join(), errkind.New(errkind.KeyInProgress, "the first request under this idempotency key still runs")
+		return nil, nil, e.subscribe(), errkind.New(errkind.KeyInProgress, "the first request under this idempotency key is still running")
 	}
-	ans, err := replay(e.state, e.answer)
-	return nil, ans, nil, err
+	resp, err := replay(e.state, e.response)
+	return nil, resp, nil, err
 }
 
-// replay returns the first answer, or why there is none.
-func replay(s state, ans *Response) (*Response, error) {
+// replay returns the stored response of an ended call, or an error if there is none.
+func replay(s state, resp *Response) (*Response, error) {
 	switch {
 	case s != ran:
-		return nil, errkind.New(errkind.OutcomeUnknown, "whether the first request under this idempotency key ran is unknown")
-	case ans == nil:
-		return nil, errkind.New(errkind.OutcomeUnknown, "the request under this idempotency key ran, its answer is not kept")
+		return nil, errkind.New(errkind.OutcomeUnknown, "it is unknown whether the first request under this idempotency key ran")
+	case resp == nil:
+		return nil, errkind.New(errkind.OutcomeUnknown, "the request under this idempotency key ran, but its response is not stored")
 	}
-	return ans, nil
+	return resp, nil
 }
 
-// mayRun decides about a key that is not in the ledger.
-func (s *keyShard) mayRun(serial uint64, lim *limits) error {
+// checkStartable returns an error if no call may start under a key without an entry.
+func (s *keyShard) checkStartable(serial uint64, lim *limits) error {
 	switch {
-	case serial < lim.forgotten:
-		return errkind.New(errkind.OutcomeUnknown, "the idempotency key expired too long ago to tell whether it was used")
-	case s.begun.has(serial / keyShards):
-		return errkind.New(errkind.OutcomeUnknown, "the idempotency key was used before, how that ended is no longer kept")
-	case serial < lim.expired:
-		return errkind.New(errkind.KeyUnknown, "the idempotency key expired unused: "+howToGetAKey)
-	case s.ledger.full():
-		return errkind.New(errkind.Overloaded, "too many calls with idempotency keys run here")
+	case serial < lim.forgottenBelow:
+		return errkind.New(errkind.OutcomeUnknown, "the idempotency key expired too long ago to determine whether it was used")
+	case s.used.has(serial / keyShards):
+		return errkind.New(errkind.OutcomeUnknown, "the idempotency key was used before, but the outcome is no longer stored")
+	case serial < lim.expiredBelow:
+		return errkind.New(errkind.KeyUnknown, "the idempotency key expired unused: "+keyHelp)
+	case s.calls.full():
+		return errkind.New(errkind.Overloaded, "too many calls with idempotency keys are running at this daemon")
 	}
 	return nil
 }
 
-// Execution is the one run of a call under a key. The first of its methods to
-// be called ends it and decides; later ones do nothing, so that Unknown can be
-// deferred as a safeguard.
+// Execution is the one execution of a call under a key. The first call of one of its
+// methods finishes it and sets the outcome. Later calls have no effect, so a caller can
+// defer FinishUnknown as a safeguard.
 type Execution struct {
 	keys   *KeyStore
 	serial uint64
 	entry  *entry
 }
 
-// Finish ends a call that ran. A nil answer means that the answer was too
-// large to be kept.
-func (e *Execution) Finish(ans *Response) {
-	e.end(func(s *keyShard) { s.ledger.end(e.serial, e.entry, ran, ans, e.keys.clock.elapsed()) })
+// Finish ends a call that ran. resp is nil if the response is too large to be stored.
+func (e *Execution) Finish(resp *Response) {
+	e.finish(func(s *keyShard) { s.calls.end(e.serial, e.entry, ran, resp, e.keys.clock.elapsed()) })
 }
 
 // FinishUnknown ends a call that may or may not have run.
 func (e *Execution) FinishUnknown() {
-	e.end(func(s *keyShard) { s.ledger.end(e.serial, e.entry, unsure, nil, e.keys.clock.elapsed()) })
+	e.finish(func(s *keyShard) { s.calls.end(e.serial, e.entry, outcomeUnknown, nil, e.keys.clock.elapsed()) })
 }
 
-// FinishNotRun ends a call that has certainly not run and never will. The key may be
-// used again.
+// FinishNotRun ends a call that has definitely not run and never will. The key may be used
+// again.
 func (e *Execution) FinishNotRun() {
-	e.end(func(s *keyShard) {
-		s.ledger.cancel(e.serial, e.entry)
-		s.begun.clear(e.serial / keyShards)
+	e.finish(func(s *keyShard) {
+		s.calls.cancel(e.serial, e.entry)
+		s.used.clear(e.serial / keyShards)
 	})
 }
 
-func (e *Execution) end(f func(s *keyShard)) {
+// finish calls f with the locked shard if the execution has not been finished yet.
+func (e *Execution) finish(f func(s *keyShard)) {
 	s := &e.keys.shards[e.serial%keyShards]
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -90,7 +90,7 @@
 	}
 	fp := Fingerprint{byte(rapid.IntRange(1, 2).Draw(t, "fp"))}
 	table := m.hosts[host]
-	e, ans, err := table.Begin(k.key, fp)
+	e, resp, err := table.Begin(k.key, fp)
 	switch kind := errkind.Of(err); {
 	case e != nil:
 		must.Eq(t, Fingerprint{}, k.fp, must.Sprint("a key ran twice"))
@@ -98,10 +98,10 @@
 		must.Less(t, table.MaxLifetime(), m.clock.Now().Sub(k.issued))
 		k.fp = fp
 		m.open = append(m.open, modelRun{k, e})
-	case ans != nil:
+	case resp != nil:
 		must.True(t, k.ended)
 		must.Eq(t, k.fp, fp)
-		must.Eq(t, k.answer, ans)
+		must.Eq(t, k.answer, resp)
 	case kind == errkind.KeyUnknown:
 		must.Eq(t, Fingerprint{}, k.fp, must.Sprint("a key was told as never run that ran"))
 		must.Less(t, m.clock.Now().Sub(k.issued), 64*time.Second)
@@ -160,10 +160,10 @@
 	for _, k := range m.hosts {
 		for i := range k.shards {
 			s := &k.shards[i]
-			must.LessEq(t, 1+4, len(s.ledger.entries))
-			must.LessEq(t, 100, s.ledger.bytes)
+			must.LessEq(t, 1+4, len(s.calls.entries))
+			must.LessEq(t, 100, s.calls.responseBytes)
 		}
-		must.LessEq(t, 100, k.serials.next.Load()-k.serials.limits.Load().forgotten)
+		must.LessEq(t, 100, k.serials.next.Load()-k.serials.limits.Load().forgottenBelow)
 	}
 }
 
@@ -227,10 +227,10 @@
 		var runs, replays atomic.Int32
 		for range 50 {
 			go func() {
-				e, ans, err := k.BeginOrWait(context.Background(), key, Fingerprint{1})
+				e, resp, err := k.BeginOrWait(context.Background(), key, Fingerprint{1})
 				must.NoError(t, err)
-				if ans != nil {
-					must.Eq(t, "held", string(ans.Body))
+				if resp != nil {
+					must.Eq(t, "held", string(resp.Body))
 					replays.Add(1)
 					return
 				}
@@ -286,7 +286,7 @@
 	must.SliceEmpty(t, k.Issue(1))
 	clock.advance(opts.Lifetime)
 	must.Eq(t, [2]errkind.Kind{errkind.OutcomeUnknown, errkind.OutcomeUnknown}, kinds())
-	must.MapEmpty(t, k.shards[used.serial%keyShards].begun.chunks)
+	must.MapEmpty(t, k.shards[used.serial%keyShards].used.chunks)
 	must.Len(t, opts.MaxIssue, k.Issue(opts.MaxIssue))
 }
 
--- a/once/lanes.go
+++ b/once/lanes.go
@@ -8,137 +8,140 @@
 	"time"
 )
 
-// Lane is what a gate gives a sender to number its attempts with.
+// Lane identifies a sequence of attempts from one sender to one gate. The gate opens the
+// lane, and the sender numbers its attempts within it.
 type Lane struct {
-	// Boot is the life of the gate.
+	// Boot identifies the run of the gate's daemon.
 	Boot uint64
-	// Number is unique within the boot.
+	// Number is unique within a boot of the gate.
 	Number uint32
 }
 
-// GateID names one life of the daemon beside a backend server.
+// GateID identifies one boot of the gate on a host.
 type GateID struct {
 	Host string
 	Boot uint64
 }
 
-// IDAllocatorOptions holds what a Lanes works with.
+// IDAllocatorOptions configures an IDAllocator.
 type IDAllocatorOptions struct {
-	// OpenLane asks a gate to open a lane, in one exchange.
+	// OpenLane requests a new lane from a gate, in one round trip.
 	OpenLane func(ctx context.Context, gate GateID) (Lane, error)
-	// IdleAfter is how long an unused lane is trusted to be open still. It must
-	// be well below the gates' LaneIdle.
+	// IdleAfter is how long an unused lane is assumed to be open at the gate. It must be
+	// well below the gates' LaneIdleTimeout.
 	IdleAfter time.Duration
-	Now       func() time.Time
+	// Now returns the current time. Only differences between times are used.
+	Now func() time.Time
 }
 
-// DefaultIDAllocatorOptions match DefaultAttemptsOptions.
+// DefaultIDAllocatorOptions returns options that match DefaultAttemptTableOptions.
 func DefaultIDAllocatorOptions(open func(ctx context.Context, gate GateID) (Lane, error)) IDAllocatorOptions {
 	return IDAllocatorOptions{OpenLane: open, IdleAfter: 5 * time.Minute, Now: time.Now}
 }
 
-// IDAllocator gives a sender's attempts their ids. It keeps one lane to each gate,
-// so that only the first call to a gate costs an exchange. It is safe for
+// IDAllocator allocates the IDs of a sender's attempts. It reuses one lane per gate, so
+// that only the first call to a gate costs an additional round trip. It is safe for
 // concurrent use.
 type IDAllocator struct {
 	opts  IDAllocatorOptions
 	clock clock
-	gates sync.Map // Gate to *gateLane
+	gates sync.Map // GateID to *gateLane
 }
 
-// gateLane is the sender's side of the lane to one gate.
+// gateLane is the sender's state of the lane to one gate.
 type gateLane struct {
 	current atomic.Pointer[openLane]
-	// opening holds a token that whoever opens a lane takes, so that all who
-	// wait for it open one and each waits no longer than it may.
-	opening chan struct{}
-	// touched is when an id was last asked for, in the clock of Lanes.
-	touched atomic.Int64
+	// openToken holds one token. A goroutine takes it to open a lane, so that only one
+	// lane is opened at a time, and the others wait no longer than their contexts allow.
+	openToken chan struct{}
+	// lastRequested is when the gate was last looked up, on the allocator's clock.
+	lastRequested atomic.Int64
 }
 
-// openLane counts the attempts of one lane.
+// openLane is a lane with the sequence number of its last attempt.
 type openLane struct {
 	lane Lane
 	seq  atomic.Uint32
-	// used is when an id was last given out, in the clock of Lanes.
-	used atomic.Int64
+	// lastUsed is when an ID was last allocated, on the allocator's clock.
+	lastUsed atomic.Int64
 }
 
-// NewIDAllocator returns a Lanes that has no lane open.
+// NewIDAllocator returns an IDAllocator without open lanes.
 func NewIDAllocator(opts IDAllocatorOptions) *IDAllocator {
 	return &IDAllocator{opts: opts, clock: newClock(opts.Now)}
 }
 
-// Next returns the id of a new attempt at a gate. The error is Open's or
-// ctx's; nothing of the attempt has been sent then.
-func (l *IDAllocator) Next(ctx context.Context, gate GateID) (ID, error) {
-	g := l.gate(gate)
-	if id, ok := l.mint(g.current.Load()); ok {
+// Next returns the ID of a new attempt at a gate. The error is that of OpenLane or of ctx.
+// The attempt must not be sent then.
+func (a *IDAllocator) Next(ctx context.Context, gate GateID) (ID, error) {
+	g := a.gate(gate)
+	if id, ok := a.nextID(g.current.Load()); ok {
 		return id, nil
 	}
 	select {
-	case <-g.opening:
-		defer func() { g.opening <- struct{}{} }()
+	case <-g.openToken:
+		defer func() { g.openToken <- struct{}{} }()
 	case <-ctx.Done():
 		return ID{}, ctx.Err()
 	}
-	if id, ok := l.mint(g.current.Load()); ok {
+	if id, ok := a.nextID(g.current.Load()); ok {
 		return id, nil
 	}
-	l.prune()
-	lane, err := l.opts.OpenLane(ctx, gate)
+	a.pruneGates()
+	lane, err := a.opts.OpenLane(ctx, gate)
 	if err != nil {
 		return ID{}, err
 	}
 	o := &openLane{lane: lane}
-	o.used.Store(int64(l.clock.elapsed()))
-	id, _ := l.mint(o)
+	o.lastUsed.Store(int64(a.clock.elapsed()))
+	id, _ := a.nextID(o)
 	g.current.Store(o)
 	return id, nil
 }
 
-// Invalidate tells that a gate barred an attempt that it was sent: the lane may
-// be closed there, and the next attempt opens another.
-func (l *IDAllocator) Invalidate(gate GateID, id ID) {
-	g := l.gate(gate)
+// Invalidate records that a gate rejected an attempt as barred. The gate may have closed
+// the attempt's lane, so the next attempt opens a new one.
+func (a *IDAllocator) Invalidate(gate GateID, id ID) {
+	g := a.gate(gate)
 	if o := g.current.Load(); o != nil && o.lane.Number == id.lane() {
 		g.current.CompareAndSwap(o, nil)
 	}
 }
 
-func (l *IDAllocator) gate(gate GateID) *gateLane {
-	v, ok := l.gates.Load(gate)
+// gate returns the state of the lane to a gate, and creates it if necessary.
+func (a *IDAllocator) gate(gate GateID) *gateLane {
+	v, ok := a.gates.Load(gate)
 	if !ok {
-		g := &gateLane{opening: make(chan struct{}, 1)}
-		g.opening <- struct{}{}
-		v, _ = l.gates.LoadOrStore(gate, g)
+		g := &gateLane{openToken: make(chan struct{}, 1)}
+		g.openToken <- struct{}{}
+		v, _ = a.gates.LoadOrStore(gate, g)
 	}
 	g := v.(*gateLane)
-	g.touched.Store(int64(l.clock.elapsed()))
+	g.lastRequested.Store(int64(a.clock.elapsed()))
 	return g
 }
 
-// mint returns the lane's next id, unless there is no lane or it is idle or
-// used up.
-func (l *IDAllocator) mint(o *openLane) (ID, bool) {
+// nextID returns the next ID of a lane. It reports false if o is nil, or if the lane is idle
+// or its sequence numbers are used up.
+func (a *IDAllocator) nextID(o *openLane) (ID, bool) {
 	if o == nil {
 		return ID{}, false
 	}
-	now := l.clock.elapsed()
-	if now-time.Duration(o.used.Load()) >= l.opts.IdleAfter || o.seq.Load() >= math.MaxUint32/2 {
+	now := a.clock.elapsed()
+	if now-time.Duration(o.lastUsed.Load()) >= a.opts.IdleAfter || o.seq.Load() >= math.MaxUint32/2 {
 		return ID{}, false
 	}
-	o.used.Store(int64(now))
+	o.lastUsed.Store(int64(now))
 	return newID(o.lane.Boot, o.lane.Number, o.seq.Add(1)), true
 }
 
-// prune drops the gates that no attempt has been made at for long, so that
-// those which are gone for good take no room.
-func (l *IDAllocator) prune() {
-	now := l.clock.elapsed()
-	l.gates.Range(func(k, v any) bool {
-		if now-time.Duration(v.(*gateLane).touched.Load()) >= l.opts.IdleAfter {
-			l.gates.Delete(k)
+// pruneGates removes the gates that no attempt has been sent to for IdleAfter, so that gates
+// that no longer exist take no memory.
+func (a *IDAllocator) pruneGates() {
+	now := a.clock.elapsed()
+	a.gates.Range(func(k, v any) bool {
+		if now-time.Duration(v.(*gateLane).lastRequested.Load()) >= a.opts.IdleAfter {
+			a.gates.Delete(k)
 		}
 		return true
 	})
--- a/once/serials.go
+++ b/once/serials.go
@@ -7,60 +7,64 @@
 	"time"
 )
 
-// serials counts the keys issued and tells by number how old one is. A key is
-// good for at least the lifetime and for a little more than that at most.
+// serials allocates the serial numbers of keys, and derives from a number whether its key
+// has expired. A key is valid for at least the lifetime, and at most one epoch longer.
 type serials struct {
 	lifetime time.Duration
-	// max bounds the numbers between forgotten and next.
-	max uint64
+	// maxRetained is the maximum of next minus limits.forgottenBelow.
+	maxRetained uint64
 
+	// next is the next serial number to be issued.
 	next atomic.Uint64
-	// limits is replaced when a limit moves, so that reading it takes no lock.
+	// limits is replaced when a limit changes, so that readers need no lock.
 	limits atomic.Pointer[limits]
 
 	mu sync.Mutex
-	// epochs are the stretches of issued keys that are not forgotten, oldest
-	// first; the first expired of them have expired.
-	epochs  fifo[epoch]
-	expired int
+	// epochs are the epochs at or above limits.forgottenBelow, oldest first. The first
+	// expiredEpochs of them have expired.
+	epochs        fifo[epoch]
+	expiredEpochs int
 }
 
-// limits tells what has become of keys by number: those below forgotten
-// expired a lifetime ago, and those below expired may not start any more.
+// limits divides serial numbers by age. Keys below expiredBelow have expired, and no call
+// may start under them. Keys below forgottenBelow expired at least one lifetime ago, and
+// their bits are dropped.
 type limits struct {
-	forgotten, expired uint64
-	// until is when the next limit moves.
-	until time.Duration
+	forgottenBelow, expiredBelow uint64
+	// validUntil is when one of the limits changes next.
+	validUntil time.Duration
 }
 
-// epoch is a stretch of keys that were issued at about the same time.
+// epoch is a range of keys that were issued at about the same time.
 type epoch struct {
-	// first is the lowest number, since the time of its issue.
-	first uint64
+	// firstSerial is the lowest serial number of the epoch.
+	firstSerial uint64
+	// since is when firstSerial was issued, on the KeyStore's clock.
 	since time.Duration
 }
 
-// epochsPerLifetime is into how many stretches a lifetime is cut.
+// epochsPerLifetime is the number of epochs that a lifetime is divided into.
 const epochsPerLifetime = 64
 
 func newSerials(lifetime time.Duration, maxKeys int) *serials {
-	s := &serials{lifetime: lifetime, max: uint64(maxKeys)}
+	s := &serials{lifetime: lifetime, maxRetained: uint64(maxKeys)}
 	s.next.Store(1)
-	s.limits.Store(&limits{forgotten: 1, expired: 1, until: math.MaxInt64})
+	s.limits.Store(&limits{forgottenBelow: 1, expiredBelow: 1, validUntil: math.MaxInt64})
 	return s
 }
 
-// issue takes up to n numbers and returns the first and how many there are.
+// issue allocates up to n consecutive serial numbers. It returns the first one and their
+// count.
 func (s *serials) issue(n int, now time.Duration) (first uint64, got int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.advance(now)
 	first = s.next.Load()
-	got = int(min(uint64(max(n, 0)), s.max-(first-s.limits.Load().forgotten)))
+	got = int(min(uint64(max(n, 0)), s.maxRetained-(first-s.limits.Load().forgottenBelow)))
 	if got == 0 {
 		return 0, 0
 	}
-	if k := s.epochs.len(); k == 0 || now-s.epochs.at(k-1).since >= s.epochTime() {
+	if k := s.epochs.len(); k == 0 || now-s.epochs.at(k-1).since >= s.epochLength() {
 		s.epochs.push(epoch{first, now})
 	}
 	s.next.Store(first + uint64(got))
@@ -68,9 +72,9 @@
 	return first, got
 }
 
-// at returns the limits as of now.
-func (s *serials) at(now time.Duration) *limits {
-	if l := s.limits.Load(); now < l.until {
+// limitsAt returns the limits that apply at the given time.
+func (s *serials) limitsAt(now time.Duration) *limits {
+	if l := s.limits.Load(); now < l.validUntil {
 		return l
 	}
 	s.mu.Lock()
@@ -79,40 +83,41 @@
 	return s.limits.Load()
 }
 
-// advance moves the limits to where they are at now.
+// advance updates the limits to the given time. The caller holds the lock.
 func (s *serials) advance(now time.Duration) {
 	l := *s.limits.Load()
-	for s.expired < s.epochs.len() && now >= s.expiry(s.expired) {
-		s.expired++
-		l.expired = s.start(s.expired)
+	for s.expiredEpochs < s.epochs.len() && now >= s.epochExpiry(s.expiredEpochs) {
+		s.expiredEpochs++
+		l.expiredBelow = s.epochStart(s.expiredEpochs)
 	}
-	for s.expired > 0 && now >= s.expiry(0)+s.lifetime {
-		l.forgotten = s.start(1)
+	for s.expiredEpochs > 0 && now >= s.epochExpiry(0)+s.lifetime {
+		l.forgottenBelow = s.epochStart(1)
 		s.epochs.pop()
-		s.expired--
+		s.expiredEpochs--
 	}
-	l.until = math.MaxInt64
-	if s.expired < s.epochs.len() {
-		l.until = s.expiry(s.expired)
+	l.validUntil = math.MaxInt64
+	if s.expiredEpochs < s.epochs.len() {
+		l.validUntil = s.epochExpiry(s.expiredEpochs)
 	}
-	if s.expired > 0 {
-		l.until = min(l.until, s.expiry(0)+s.lifetime)
+	if s.expiredEpochs > 0 {
+		l.validUntil = min(l.validUntil, s.epochExpiry(0)+s.lifetime)
 	}
 	s.limits.Store(&l)
 }
 
-// epochTime is how long one epoch takes in new keys.
-func (s *serials) epochTime() time.Duration { return s.lifetime / epochsPerLifetime }
+// epochLength returns the period in which new keys are assigned to the same epoch.
+func (s *serials) epochLength() time.Duration { return s.lifetime / epochsPerLifetime }
 
-// expiry returns when the last key that the i-th epoch can hold expires.
-func (s *serials) expiry(i int) time.Duration {
-	return s.epochs.at(i).since + s.epochTime() + s.lifetime
+// epochExpiry returns when the last possible key of the i-th epoch expires.
+func (s *serials) epochExpiry(i int) time.Duration {
+	return s.epochs.at(i).since + s.epochLength() + s.lifetime
 }
 
-// start returns the first number of the i-th epoch, or what it would be.
-func (s *serials) start(i int) uint64 {
+// epochStart returns the first serial number of the i-th epoch, or the next one to be issued
+// if there is no such epoch.
+func (s *serials) epochStart(i int) uint64 {
 	if i < s.epochs.len() {
-		return s.epochs.at(i).first
+		return s.epochs.at(i).firstSerial
 	}
 	return s.next.Load()
 }
