--- a/once/attempts_test.go
+++ b/once/attempts_test.go
@@ -13,9 +13,9 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// tinyAttempts make a gate forget soon: each shard has room for one lane,
-// three records and about one answer.
-func tinyAttempts(boot uint64, now func() time.Time) AttemptTableOptions {
+// smallAttemptTable returns options with which a gate evicts soon: each shard has room for
+// one lane, three entries and about one response.
+func smallAttemptTable(boot uint64, now func() time.Time) AttemptTableOptions {
 	return AttemptTableOptions{
 		Boot: boot,
 		Bounds: Bounds{
@@ -26,30 +26,30 @@
 	}
 }
 
-// attemptsModel is what truly became of each attempt, over all lives of a gate.
+// attemptsModel records the actual outcome of each attempt, across restarts of a gate.
 type attemptsModel struct {
 	clock  *manualClock
 	boot   uint64
 	gate   *AttemptTable
 	sender *IDAllocator
 
-	minted   []ID
-	inFlight []ID
-	running  []liveAttempt
-	started  map[ID]bool
-	notRun   map[ID]bool
-	answers  map[ID]*Response
+	sent      []ID
+	inFlight  []ID
+	running   []runningAttempt
+	started   map[ID]bool
+	notRun    map[ID]bool
+	responses map[ID]*Response
 }
 
-// liveAttempt runs in one life of the gate, which may be over.
-type liveAttempt struct {
+// runningAttempt runs under one boot of the gate, which may have been restarted since.
+type runningAttempt struct {
 	id   ID
 	gate *AttemptTable
 }
 
 func newAttemptsModel() *attemptsModel {
 	m := &attemptsModel{
-		clock: newManualClock(), started: map[ID]bool{}, notRun: map[ID]bool{}, answers: map[ID]*Response{},
+		clock: newManualClock(), started: map[ID]bool{}, notRun: map[ID]bool{}, responses: map[ID]*Response{},
 	}
 	m.restart(nil)
 	m.sender = NewIDAllocator(IDAllocatorOptions{
@@ -62,34 +62,34 @@
 
 func (m *attemptsModel) restart(*rapid.T) {
 	m.boot++
-	m.gate = NewAttemptTable(tinyAttempts(m.boot, m.clock.Now))
+	m.gate = NewAttemptTable(smallAttemptTable(m.boot, m.clock.Now))
 }
 
 func (m *attemptsModel) send(t *rapid.T) {
-	// The sender's view may lag behind by a life of the gate.
+	// The sender may not yet know of the latest restart of the gate.
 	boot := rapid.Uint64Range(max(1, m.boot-1), m.boot).Draw(t, "boot")
 	id, err := m.sender.Next(context.Background(), GateID{Host: "a", Boot: boot})
 	must.NoError(t, err)
-	m.minted = append(m.minted, id)
+	m.sent = append(m.sent, id)
 	m.inFlight = append(m.inFlight, id)
 }
 
 func (m *attemptsModel) deliver(t *rapid.T) {
-	id, ok := take(t, &m.inFlight)
+	id, ok := drawAndRemove(t, &m.inFlight)
 	if !ok {
 		return
 	}
 	if m.gate.Start(id) != nil {
 		return
 	}
-	must.False(t, m.notRun[id], must.Sprintf("%v started after it was told as not run", id))
+	must.False(t, m.notRun[id], must.Sprintf("%v started after it was reported as not run", id))
 	must.False(t, m.started[id])
 	m.started[id] = true
-	m.running = append(m.running, liveAttempt{id, m.gate})
+	m.running = append(m.running, runningAttempt{id, m.gate})
 }
 
 func (m *attemptsModel) end(t *rapid.T) {
-	r, ok := take(t, &m.running)
+	r, ok := drawAndRemove(t, &m.running)
 	if !ok {
 		return
 	}
@@ -102,12 +102,12 @@
 	case 2:
 		r.gate.Finish(r.id, nil)
 	default:
-		m.answers[r.id] = &Response{Status: 200, Body: []byte(r.id.String())}
-		r.gate.Finish(r.id, m.answers[r.id])
+		m.responses[r.id] = &Response{Status: 200, Body: []byte(r.id.String())}
+		r.gate.Finish(r.id, m.responses[r.id])
 	}
 }
 
-// burst runs a few attempts to their end, so that the gate has to forget.
+// burst runs a few attempts to completion, so that the gate has to evict entries.
 func (m *attemptsModel) burst(t *rapid.T) {
 	for range rapid.IntRange(1, 4).Draw(t, "calls") {
 		m.send(t)
@@ -116,30 +116,30 @@
 	}
 }
 
-func (m *attemptsModel) ask(t *rapid.T) {
-	if len(m.minted) == 0 {
+func (m *attemptsModel) query(t *rapid.T) {
+	if len(m.sent) == 0 {
 		return
 	}
-	id := rapid.SampledFrom(m.minted).Draw(t, "id")
+	id := rapid.SampledFrom(m.sent).Draw(t, "id")
 	r := m.gate.Query(id, true)
 	switch r.Outcome {
 	case NotRun:
-		must.False(t, m.started[id], must.Sprintf("%v was told as not run and had started", id))
+		must.False(t, m.started[id], must.Sprintf("%v was reported as not run but had started", id))
 		m.notRun[id] = true
 	case Running, Ran:
 		must.True(t, m.started[id])
 	}
 	if r.Response != nil {
-		must.Eq(t, m.answers[id], r.Response)
+		must.Eq(t, m.responses[id], r.Response)
 	}
 }
 
-func (m *attemptsModel) pass(t *rapid.T) {
+func (m *attemptsModel) advanceClock(t *rapid.T) {
 	m.clock.advance(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
 }
 
-// crowd makes other senders open a lane in each shard, so that older lanes go.
-func (m *attemptsModel) crowd(t *rapid.T) {
+// openOtherLanes opens a lane per shard for other senders, so that older lanes are evicted.
+func (m *attemptsModel) openOtherLanes(t *rapid.T) {
 	for range attemptShards {
 		_, err := m.gate.OpenLane()
 		must.NoError(t, err)
@@ -155,8 +155,9 @@
 	}
 }
 
-// take removes a drawn element.
-func take[T any](t *rapid.T, from *[]T) (T, bool) {
+// drawAndRemove removes and returns a randomly drawn element. It reports false if there is
+// none.
+func drawAndRemove[T any](t *rapid.T, from *[]T) (T, bool) {
 	var zero T
 	if len(*from) == 0 {
 		return zero, false
@@ -167,48 +168,47 @@
 	return v, true
 }
 
-// Frames come late or after an ask, calls end late, the gate forgets for lack
-// of room and time, closes lanes and restarts. Through all of it an asker that
-// is told "not run" must be right for good: an attempt that started before or
-// after would double a hold, since the caller sends it again.
-func TestAttemptsNeverContradict(t *testing.T) {
+// Messages arrive late or after a query, calls end late, and the gate evicts entries, closes
+// lanes and restarts. An attempt that was reported as not run must not have started and must
+// never start: the sender retries it, so the call would run twice.
+func TestAttemptOutcomesAreConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newAttemptsModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"send": m.send, "send2": m.send, "deliver": m.deliver, "deliver2": m.deliver, "end": m.end,
-			"ask": m.ask, "ask2": m.ask, "burst": m.burst, "pass": m.pass, "crowd": m.crowd, "restart": m.restart, "": m.checkBounds,
+			"ask": m.query, "ask2": m.query, "burst": m.burst, "pass": m.advanceClock, "crowd": m.openOtherLanes, "restart": m.restart, "": m.checkBounds,
 		})
 	})
 }
 
-// gateWithLane returns a gate and the ids of its first lane.
+// gateWithLane returns a gate and a function that returns the IDs of its first lane.
 func gateWithLane(t *testing.T, clock *manualClock) (*AttemptTable, func(seq uint32) ID) {
-	g := NewAttemptTable(tinyAttempts(1, clock.Now))
+	g := NewAttemptTable(smallAttemptTable(1, clock.Now))
 	lane, err := g.OpenLane()
 	must.NoError(t, err)
 	return g, func(seq uint32) ID { return newID(lane.Boot, lane.Number, seq) }
 }
 
-// What a gate must be able to tell while nothing was forgotten; without it a
-// table that answers "unknown" always would pass as safe.
-func TestAskIsPrecise(t *testing.T) {
+// As long as no entry was evicted, a query returns the exact outcome. Without this test, a
+// table that always returns Unknown would pass as correct.
+func TestQueryReportsExactOutcome(t *testing.T) {
 	resp := &Response{Status: 201, Body: []byte("held")}
 	cases := []struct {
 		name string
 		do   func(g *AttemptTable, id ID)
 		want QueryResult
 	}{
-		{"never came", func(*AttemptTable, ID) {}, QueryResult{Outcome: NotRun}},
-		{"runs", func(*AttemptTable, ID) {}, QueryResult{Outcome: Running}},
+		{"never arrived", func(*AttemptTable, ID) {}, QueryResult{Outcome: NotRun}},
+		{"running", func(*AttemptTable, ID) {}, QueryResult{Outcome: Running}},
 		{"ran", func(g *AttemptTable, id ID) { g.Finish(id, resp) }, QueryResult{Ran, resp}},
-		{"ran, large answer", func(g *AttemptTable, id ID) { g.Finish(id, &Response{Body: make([]byte, 200)}) }, QueryResult{Outcome: Ran}},
+		{"ran, large response", func(g *AttemptTable, id ID) { g.Finish(id, &Response{Body: make([]byte, 200)}) }, QueryResult{Outcome: Ran}},
 		{"failed", func(g *AttemptTable, id ID) { g.Fail(id) }, QueryResult{Outcome: Unknown}},
 		{"canceled", func(g *AttemptTable, id ID) { g.Cancel(id) }, QueryResult{Outcome: NotRun}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g, id := gateWithLane(t, newManualClock())
-			if c.name != "never came" {
+			if c.name != "never arrived" {
 				must.NoError(t, g.Start(id(1)))
 			}
 			c.do(g, id(1))
@@ -219,16 +219,16 @@
 	}
 }
 
-// An ask without bar promises nothing, so the attempt still starts.
-func TestAskWithoutBar(t *testing.T) {
+// A query without bar doesn't prevent the attempt from starting.
+func TestQueryWithoutBarAllowsStart(t *testing.T) {
 	g, id := gateWithLane(t, newManualClock())
 	must.Eq(t, QueryResult{Outcome: Running}, g.Query(id(1), false))
 	must.NoError(t, g.Start(id(1)))
 }
 
-// A gate out of room refuses an attempt, and the sender goes elsewhere with
-// it. The same frame must not start here later.
-func TestRefusedForRoomIsBarred(t *testing.T) {
+// After a gate rejects an attempt because too many calls run, the sender retries the call at
+// another gate. The rejected attempt must never start.
+func TestAttemptRejectedAsOverloadedIsBarred(t *testing.T) {
 	g, id := gateWithLane(t, newManualClock())
 	must.NoError(t, g.Start(id(1)))
 	must.NoError(t, g.Start(id(2)))
@@ -237,10 +237,10 @@
 	must.Eq(t, errkind.Barred, errkind.Of(g.Start(id(3))))
 }
 
-// A sender is paused with calls under way, for longer than the claims of own
-// keys may last. When it wakes, its calls must not start: another daemon may
-// have run them meanwhile. The gate has closed its lane.
-func TestPausedSenderIsRefused(t *testing.T) {
+// A sender's process is paused while it sends calls, possibly for longer than the lifetime of
+// claims. When it resumes, the calls must not start, because another daemon may have run them
+// meanwhile. The gate rejects them since their lane was idle for too long.
+func TestAttemptOnIdleLaneIsBarred(t *testing.T) {
 	clock := newManualClock()
 	g, id := gateWithLane(t, clock)
 	must.NoError(t, g.Start(id(1)))
@@ -249,11 +249,11 @@
 	must.Eq(t, errkind.Barred, errkind.Of(g.Start(id(3))))
 }
 
-// A refused sender opens another lane and goes on; an unused lane is not
-// trusted for as long as the gate keeps it.
-func TestLanesAreReplaced(t *testing.T) {
+// A sender opens another lane after an attempt was rejected as barred, and after its lane was
+// unused for IdleAfter, before the gate closes the lane.
+func TestIDAllocatorReplacesLanes(t *testing.T) {
 	clock := newManualClock()
-	g := NewAttemptTable(tinyAttempts(1, clock.Now))
+	g := NewAttemptTable(smallAttemptTable(1, clock.Now))
 	opened := 0
 	lanes := NewIDAllocator(IDAllocatorOptions{
 		OpenLane: func(context.Context, GateID) (Lane, error) {
@@ -273,14 +273,14 @@
 	lanes.Invalidate(GateID{"a", 1}, first)
 	second := next()
 	must.Eq(t, 2, opened)
-	// A late word about the first lane must not close the second.
+	// A late rejection in the first lane must not invalidate the second one.
 	lanes.Invalidate(GateID{"a", 1}, first)
 	next()
 	must.Eq(t, 2, opened)
 	clock.advance(20 * time.Second)
 	must.NotEq(t, second.lane(), next().lane())
 	must.Eq(t, 3, opened)
-	// Gates that are gone are forgotten when another is first met.
+	// The state of idle gates is dropped when a lane to another gate is opened.
 	clock.advance(20 * time.Second)
 	_, err := lanes.Next(t.Context(), GateID{"b", 1})
 	must.NoError(t, err)
@@ -288,9 +288,9 @@
 	must.False(t, kept)
 }
 
-// Asks and frames of the same attempts race. Of each attempt either the start
-// or the bar wins, and whoever waits for a running one gets its own answer.
-func TestStartRacesWithAsk(t *testing.T) {
+// Queries race with the starts of the same attempts. Each attempt is either started or
+// barred, and a query that waits for a running attempt returns the response of that attempt.
+func TestStartRacesWithQuery(t *testing.T) {
 	opts := DefaultAttemptTableOptions(1)
 	g := NewAttemptTable(opts)
 	lane, err := g.OpenLane()
--- a/once/bench_test.go
+++ b/once/bench_test.go
@@ -16,8 +16,8 @@
 	"github.com/crocuscross/crocuscross/once/oncepb"
 )
 
-// What a call pays on top of its way through the proxy: a record for an
-// attempt, a record and an execution for a key, nothing for a repeat.
+// Limits the allocations that this package adds to a proxied call: the entry of an attempt,
+// the entry and the Execution of a call under a key, and none for a replayed response.
 func TestAllocations(t *testing.T) {
 	const runs = 2000
 	resp := &Response{Status: 201, Body: make([]byte, 200)}
@@ -131,8 +131,8 @@
 	}
 }
 
-// BenchmarkClaims claims own keys from many callers at once over a log that
-// takes 5 ms for each request.
+// BenchmarkClaims resolves caller-generated keys of concurrent callers over a log with a
+// latency of 5 ms per request.
 func BenchmarkClaims(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(fmt.Sprintf("callers=%d", callers), func(b *testing.B) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// heap returns the live heap in bytes.
+// heap returns the size of the live heap in bytes.
 func heap() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -171,7 +171,7 @@
 	return float64(m.HeapAlloc)
 }
 
-// BenchmarkMemory reports bytes of live heap for each thing kept.
+// BenchmarkMemory reports the bytes of live heap per stored object.
 func BenchmarkMemory(b *testing.B) {
 	wide := Bounds{KeepFor: time.Hour, MaxRecords: 1 << 30, MaxRunning: 1 << 30, MaxBytes: 1 << 40, MaxResponseBytes: 1 << 20}
 	for _, n := range []int{1000, 30_000, 300_000} {
--- a/once/claims_test.go
+++ b/once/claims_test.go
@@ -19,39 +19,39 @@
 	"github.com/crocuscross/crocuscross/once/oncepb"
 )
 
-// claimFleet is a log and the daemons that take own keys by it. It lives in a
-// synctest bubble.
-type claimFleet struct {
+// claimCluster is a log and the daemons that resolve caller-generated keys with it. It runs in
+// a synctest bubble.
+type claimCluster struct {
 	t    *testing.T
 	svc  *memlog.Service
 	log  *memlog.Stream
 	boot uint64
-	// scale divides all times of hours and minutes.
+	// scale is the divisor of all durations of minutes or hours.
 	scale time.Duration
 
 	mu sync.Mutex
-	// issued is when each key was issued.
+	// issued contains the time when each key was issued.
 	issued map[Key]time.Time
 }
 
-func newClaimFleet(t *testing.T, retain time.Duration) *claimFleet {
+func newClaimCluster(t *testing.T, retain time.Duration) *claimCluster {
 	opts := memlog.DefaultOptions()
 	opts.RetainFor = retain
 	svc := memlog.New(opts)
-	return &claimFleet{t: t, svc: svc, log: svc.Stream(StreamClaims), scale: 1, issued: map[Key]time.Time{}}
+	return &claimCluster{t: t, svc: svc, log: svc.Stream(StreamClaims), scale: 1, issued: map[Key]time.Time{}}
 }
 
-// claimer is one life of a daemon.
-type claimer struct {
+// claimDaemon is one run of a daemon.
+type claimDaemon struct {
 	*ClaimResolver
 	keys *KeyStore
 	stop func()
 }
 
-// recordingIssuer notes when keys are issued.
+// recordingIssuer records when keys are issued.
 type recordingIssuer struct {
 	*KeyStore
-	f *claimFleet
+	f *claimCluster
 }
 
 func (r recordingIssuer) Issue(n int) []Key {
@@ -64,7 +64,7 @@
 	return keys
 }
 
-func (f *claimFleet) start(host string) *claimer {
+func (f *claimCluster) start(host string) *claimDaemon {
 	f.boot++
 	kopts := DefaultKeyStoreOptions(host, f.boot)
 	kopts.Lifetime /= f.scale
@@ -78,23 +78,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- c.Run(ctx) }()
-	return &claimer{ClaimResolver: c, keys: keys, stop: func() {
+	return &claimDaemon{ClaimResolver: c, keys: keys, stop: func() {
 		cancel()
 		must.NoError(f.t, <-done)
 	}}
 }
 
-// claim claims an own key within a second.
-func (c *claimer) claim(own string) (Key, error) {
+// claim resolves a caller-generated key with a timeout of one second.
+func (c *claimDaemon) claim(own string) (Key, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return c.Resolve(ctx, "garage-9", own)
 }
 
-func (f *claimFleet) run(name string, test func(t *testing.T, f *claimFleet, a, b *claimer)) {
+func (f *claimCluster) run(name string, test func(t *testing.T, f *claimCluster, a, b *claimDaemon)) {
 	f.t.Run(name, func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
-			g := newClaimFleet(t, 0)
+			g := newClaimCluster(t, 0)
 			a, b := g.start("a"), g.start("b")
 			defer a.stop()
 			defer b.stop()
@@ -104,16 +104,16 @@
 	})
 }
 
-// A caller repeats a request under a key of its own through two daemons, while
-// the log misbehaves. Both must come to the same holder, or say that they
-// cannot tell; two holders would run the call twice.
+// A caller sends a request under a caller-generated key through two daemons while the log is
+// faulty. Both daemons must resolve the key to the same holder or return an error: two holders
+// would run the call twice.
 func TestClaimsUnderFaults(t *testing.T) {
-	f := &claimFleet{t: t}
-	f.run("race", func(t *testing.T, f *claimFleet, a, b *claimer) {
+	f := &claimCluster{t: t}
+	f.run("race", func(t *testing.T, f *claimCluster, a, b *claimDaemon) {
 		var got [20]Key
 		var wg sync.WaitGroup
 		for i := range got {
-			wg.Go(func() { got[i], _ = []*claimer{a, b}[i%2].claim("k") })
+			wg.Go(func() { got[i], _ = []*claimDaemon{a, b}[i%2].claim("k") })
 		}
 		wg.Wait()
 		for _, k := range got {
@@ -124,7 +124,7 @@
 		must.NoError(t, err)
 		must.NotEq(t, got[0], other)
 	})
-	f.run("lost answer", func(t *testing.T, f *claimFleet, a, b *claimer) {
+	f.run("lost response", func(t *testing.T, f *claimCluster, a, b *claimDaemon) {
 		f.svc.LoseResponses(1)
 		first, err := a.claim("k")
 		must.NoError(t, err)
@@ -134,14 +134,14 @@
 		must.Eq(t, first, again)
 		must.Eq(t, 1, f.svc.Counters().Appends)
 	})
-	f.run("lost request", func(t *testing.T, f *claimFleet, a, b *claimer) {
+	f.run("lost request", func(t *testing.T, f *claimCluster, a, b *claimDaemon) {
 		f.svc.LoseRequests(1)
 		ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 		defer cancel()
 		_, err := a.Resolve(ctx, "garage-9", "k")
 		must.NoError(t, err)
 	})
-	f.run("append takes effect after the caller was told", func(t *testing.T, f *claimFleet, a, b *claimer) {
+	f.run("append takes effect after the request timed out", func(t *testing.T, f *claimCluster, a, b *claimDaemon) {
 		release := f.svc.Hold()
 		_, err := a.claim("k")
 		must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
@@ -152,11 +152,11 @@
 		must.NoError(t, err)
 		host, _ := k.Holder()
 		must.Eq(t, "a", host)
-		// Nothing has run under it, so the repeat does.
+		// No call has run under the key, so the retry runs.
 		_, _, err = a.keys.Begin(k, Fingerprint{1})
 		must.NoError(t, err)
 	})
-	f.run("outage", func(t *testing.T, f *claimFleet, a, b *claimer) {
+	f.run("outage", func(t *testing.T, f *claimCluster, a, b *claimDaemon) {
 		known, err := a.claim("known")
 		must.NoError(t, err)
 		f.svc.SetOutage(true)
@@ -174,7 +174,7 @@
 		_, err = a.claim("k")
 		must.NoError(t, err)
 	})
-	f.run("many share appends", func(t *testing.T, f *claimFleet, a, b *claimer) {
+	f.run("many share appends", func(t *testing.T, f *claimCluster, a, b *claimDaemon) {
 		const delay = 5 * time.Millisecond
 		f.svc.SetDelay(delay)
 		began := time.Now()
@@ -198,25 +198,25 @@
 	})
 }
 
-// Records younger than the lifetime of claims are gone, cut too early or lost
-// at the end. A daemon that begins then, or that had read them, knows that it
-// may miss a claim under which a call ran. It refuses for a lifetime rather than
-// claim the key anew, and names the time.
-func TestMissingClaimsAreNotClaimedAnew(t *testing.T) {
+// The log loses records younger than the lifetime of claims, at its start or at its end. A
+// daemon that starts afterwards, or that had read the records, may miss the claim of a key
+// under which a call has run. It must reject new claims for one lifetime, with the remaining
+// time as retry-after.
+func TestNewClaimsAreRejectedAfterLogLoss(t *testing.T) {
 	cases := map[string]struct {
-		lose  func(f *claimFleet)
-		blind bool
+		lose    func(f *claimCluster)
+		rejects bool
 	}{
-		"nothing lost":       {func(*claimFleet) {}, false},
-		"cut too early":      {func(f *claimFleet) { f.log.TruncateBefore(2) }, true},
-		"whole log cut":      {func(f *claimFleet) { f.log.TruncateBefore(10) }, true},
-		"end lost, idle":     {func(f *claimFleet) { f.log.TruncateEnd(2) }, true},
-		"cut after the life": {func(f *claimFleet) { time.Sleep(3 * time.Hour); f.log.TruncateBefore(2) }, false},
+		"nothing lost":                 {func(*claimCluster) {}, false},
+		"truncated too early":          {func(f *claimCluster) { f.log.TruncateBefore(2) }, true},
+		"whole log truncated":          {func(f *claimCluster) { f.log.TruncateBefore(10) }, true},
+		"end lost, idle":               {func(f *claimCluster) { f.log.TruncateEnd(2) }, true},
+		"truncated after the lifetime": {func(f *claimCluster) { time.Sleep(3 * time.Hour); f.log.TruncateBefore(2) }, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newClaimFleet(t, 0)
+				f := newClaimCluster(t, 0)
 				a := f.start("a")
 				defer a.stop()
 				for i := range 3 {
@@ -229,11 +229,11 @@
 				defer b.stop()
 				own := "new"
 				if name == "end lost, idle" {
-					// Others may claim anew what a has read and the log has lost.
+					// Other daemons may claim the key of a lost record that a has read.
 					b, own = a, "2"
 				}
 				_, err := b.claim(own)
-				if !c.blind {
+				if !c.rejects {
 					must.NoError(t, err)
 					return
 				}
@@ -249,11 +249,11 @@
 	}
 }
 
-// The log loses its end and grows again before anyone looks, which an append
-// notices by its offset: a record cannot come before one that was read.
-func TestAppendNoticesALostEnd(t *testing.T) {
+// The log loses its last records and grows again before the next read. The append detects the
+// loss, because its offset is below that of a record that was read.
+func TestAppendDetectsLogTruncation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClaimFleet(t, 0)
+		f := newClaimCluster(t, 0)
 		a := f.start("a")
 		defer a.stop()
 		for i := range 3 {
@@ -270,15 +270,15 @@
 	})
 }
 
-// Daemons whose settings differ would end claims at different records, and so
-// come to different holders. Both stop deciding instead.
-func TestOtherRulesStopDecisions(t *testing.T) {
+// Daemons with different settings would expire claims at different records, and so resolve a
+// key to different holders. A daemon that reads such a record must stop resolving keys.
+func TestIncompatibleRecordsStopResolution(t *testing.T) {
 	for _, pb := range []*oncepb.ClaimBatch{
 		{RuleVersion: claimsRuleVersion + 1, LifetimeSeconds: 7200},
 		{RuleVersion: claimsRuleVersion, LifetimeSeconds: 3600},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newClaimFleet(t, 0)
+			f := newClaimCluster(t, 0)
 			a := f.start("a")
 			defer a.stop()
 			data, err := proto.Marshal(pb)
@@ -296,10 +296,11 @@
 	}
 }
 
-// Each claim is a bound: too many at once, too many in all, bad keys.
-func TestClaimBounds(t *testing.T) {
+// A resolver rejects malformed keys, claims above MaxPending or MaxClaims, and a Lifetime that
+// is too short.
+func TestClaimLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newClaimFleet(t, 0)
+		f := newClaimCluster(t, 0)
 		a := f.start("a")
 		defer a.stop()
 		synctest.Wait()
@@ -329,34 +330,33 @@
 	})
 }
 
-// resolution is what a daemon made of an own key.
+// resolution is the result of resolving a caller-generated key.
 type resolution struct {
 	key Key
-	// ran is when a call began under it, zero if none did.
-	ran time.Time
+	// beganAt is when a call began under the key, or zero if none did.
+	beganAt time.Time
 }
 
-// Own keys are claimed through three daemons that restart and pause at every
-// point, over a log with outages, delays, lost answers and requests, and cuts
-// both due and early. Never may an own key stand for a second issued key while
-// the first is within the lifetime of claims, nor run a second time within what
-// that leaves.
-func TestClaimsHoldUnderAnyFault(t *testing.T) {
+// Caller-generated keys are resolved by three daemons that restart and pause at random, over a
+// log with outages, delays, lost requests, lost responses, and truncation both on time and too
+// early. A key must not map to a second issued key within the lifetime of the first claim, and
+// no second call may run under it within that lifetime less the lifetime of an issued key.
+func TestClaimsAreUniqueUnderRandomFaults(t *testing.T) {
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(seed, 1))
-			f := newClaimFleet(t, 5*time.Minute)
+			f := newClaimCluster(t, 5*time.Minute)
 			f.scale = 60
 			const lifetime = 2 * time.Minute
 			hosts := []string{"a", "b", "c"}
-			claimers := map[string]*claimer{}
+			claimers := map[string]*claimDaemon{}
 			for _, h := range hosts {
 				claimers[h] = f.start(h)
 			}
 			var mu sync.Mutex
 			found := map[string]map[Key]*resolution{}
 			var calls sync.WaitGroup
-			at := func(host string) *claimer {
+			at := func(host string) *claimDaemon {
 				mu.Lock()
 				defer mu.Unlock()
 				return claimers[host]
@@ -385,7 +385,7 @@
 				}
 				f.mu.Unlock()
 				mu.Unlock()
-				must.LessEq(t, 1, young, must.Sprintf("seed %d: own key stands for two keys", seed))
+				must.LessEq(t, 1, young, must.Sprintf("seed %d: caller-generated key maps to two issued keys", seed))
 				time.Sleep(pause)
 				holder, _ := k.Holder()
 				mu.Lock()
@@ -394,11 +394,11 @@
 					return
 				}
 				for _, other := range found[own] {
-					if !other.ran.IsZero() {
-						must.Less(t, time.Since(other.ran), lifetime-claimers[holder].keys.MaxLifetime())
+					if !other.beganAt.IsZero() {
+						must.Less(t, time.Since(other.beganAt), lifetime-claimers[holder].keys.MaxLifetime())
 					}
 				}
-				res.ran = time.Now()
+				res.beganAt = time.Now()
 			}
 			for range 150 {
 				switch own, host := fmt.Sprint(r.IntN(3)), hosts[r.IntN(3)]; r.IntN(14) {
@@ -440,10 +440,10 @@
 	}
 }
 
-// A daemon that begins late folds only what the log still holds. As soon as
-// what it read attests that the rest had ended, it must agree with one that
-// read everything, on every key and also where claims raced.
-func TestIndexesAgree(t *testing.T) {
+// A daemon that starts late applies only the records that the log still holds. As soon as a
+// horizon proves that the claims in earlier records have expired, its index must agree with one
+// that applied all records, for every digest and also after concurrent claims.
+func TestLateIndexAgreesWithFullIndex(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := make([]eventlog.Record, rapid.IntRange(1, 20).Draw(t, "records"))
 		digests := rapid.SliceOfN(rapid.ByteMax(3), 0, 4)
--- a/once/example_test.go
+++ b/once/example_test.go
@@ -8,8 +8,8 @@
 	"github.com/crocuscross/crocuscross/once"
 )
 
-// A caller gets a key, sends a permit hold under it, and repeats the request
-// when the answer does not come. The hold is placed once.
+// A caller obtains a key, sends a request for a permit hold under it, and retries the request
+// because no response arrives. The hold is placed once.
 func ExampleKeyStore() {
 	keys := once.NewKeyStore(once.DefaultKeyStoreOptions("host-a", 7))
 	sent := keys.Issue(1)[0].String()
@@ -42,8 +42,8 @@
 	// replayed: 201 held
 }
 
-// The link to a gate goes silent before the attempt's frame has arrived. The
-// sender asks over a new connection, and the frame that comes late is refused.
+// The connection to a gate stops responding before the message of an attempt has arrived. The
+// sender queries the outcome over a new connection, and the gate rejects the late attempt.
 func ExampleAttemptTable() {
 	gate := once.NewAttemptTable(once.DefaultAttemptTableOptions(7))
 	sender := once.NewIDAllocator(once.DefaultIDAllocatorOptions(
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -16,8 +16,8 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// tinyKeys make a table forget soon.
-func tinyKeys(host string, boot uint64, now func() time.Time) KeyStoreOptions {
+// smallKeyStore returns options with which a KeyStore evicts entries and expires keys soon.
+func smallKeyStore(host string, boot uint64, now func() time.Time) KeyStoreOptions {
 	return KeyStoreOptions{
 		Host: host, Boot: boot,
 		Bounds: Bounds{
@@ -28,26 +28,26 @@
 	}
 }
 
-// keysModel is what truly became of each key on two hosts, over all lives of
-// their daemons.
+// keysModel records the actual outcome of each key on two hosts, across restarts of their
+// daemons.
 type keysModel struct {
-	clock *manualClock
-	boots uint64
-	hosts map[string]*KeyStore
-	keys  []*modelKey
-	open  []modelRun
+	clock   *manualClock
+	boots   uint64
+	hosts   map[string]*KeyStore
+	keys    []*modelKey
+	running []modelRun
 }
 
 type modelKey struct {
 	key    Key
 	issued time.Time
-	// fp, answer and whether it ended are of the one run; fp is zero while
-	// there is none.
-	fp     Fingerprint
-	ended  bool
-	answer *Response
-	// dead keys were told never to run.
-	dead bool
+	// fp, ended and response describe the one run under the key. fp is zero if there is
+	// none.
+	fp       Fingerprint
+	ended    bool
+	response *Response
+	// neverRuns is set once the key was reported as never run.
+	neverRuns bool
 }
 
 type modelRun struct {
@@ -64,7 +64,7 @@
 
 func (m *keysModel) start(host string) {
 	m.boots++
-	m.hosts[host] = NewKeyStore(tinyKeys(host, m.boots, m.clock.Now))
+	m.hosts[host] = NewKeyStore(smallKeyStore(host, m.boots, m.clock.Now))
 }
 
 func drawHost(t *rapid.T) string { return rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host") }
@@ -77,8 +77,8 @@
 	}
 }
 
-// begin sends a request under a key to its host, or to the other one by a view
-// that is wrong.
+// begin sends a request under a key to its holder, or to another host because of an outdated
+// view of the membership.
 func (m *keysModel) begin(t *rapid.T) {
 	if len(m.keys) == 0 {
 		return
@@ -94,18 +94,18 @@
 	switch kind := errkind.Of(err); {
 	case e != nil:
 		must.Eq(t, Fingerprint{}, k.fp, must.Sprint("a key ran twice"))
-		must.False(t, k.dead, must.Sprint("a key ran that was told never to run"))
+		must.False(t, k.neverRuns, must.Sprint("a key ran after it was reported as never run"))
 		must.Less(t, table.MaxLifetime(), m.clock.Now().Sub(k.issued))
 		k.fp = fp
-		m.open = append(m.open, modelRun{k, e})
+		m.running = append(m.running, modelRun{k, e})
 	case resp != nil:
 		must.True(t, k.ended)
 		must.Eq(t, k.fp, fp)
-		must.Eq(t, k.answer, resp)
+		must.Eq(t, k.response, resp)
 	case kind == errkind.KeyUnknown:
-		must.Eq(t, Fingerprint{}, k.fp, must.Sprint("a key was told as never run that ran"))
+		must.Eq(t, Fingerprint{}, k.fp, must.Sprint("a key was reported as never run but ran"))
 		must.Less(t, m.clock.Now().Sub(k.issued), 64*time.Second)
-		k.dead = true
+		k.neverRuns = true
 	case kind == errkind.KeyMismatch:
 		must.NotEq(t, Fingerprint{}, k.fp)
 		must.NotEq(t, k.fp, fp)
@@ -115,14 +115,14 @@
 	case kind == errkind.OutcomeUnknown:
 		gone := table.opts.Boot != boot
 		old := m.clock.Now().Sub(k.issued) >= 2*64*time.Second
-		must.True(t, gone || old || k.fp != Fingerprint{}, must.Sprint("unknown without need"))
+		must.True(t, gone || old || k.fp != Fingerprint{}, must.Sprint("the outcome is reported as unknown but is known"))
 	default:
 		must.Eq(t, errkind.Overloaded, kind)
 	}
 }
 
 func (m *keysModel) end(t *rapid.T) {
-	r, ok := take(t, &m.open)
+	r, ok := drawAndRemove(t, &m.running)
 	if !ok {
 		return
 	}
@@ -136,14 +136,14 @@
 	case 2:
 		r.e.Finish(nil)
 	default:
-		r.k.answer = &Response{Status: 200, Body: []byte(r.k.key.String()[:10])}
-		r.e.Finish(r.k.answer)
+		r.k.response = &Response{Status: 200, Body: []byte(r.k.key.String()[:10])}
+		r.e.Finish(r.k.response)
 	}
-	// A deferred safeguard changes nothing.
+	// A deferred FinishUnknown has no effect.
 	r.e.FinishUnknown()
 }
 
-// burst runs a few calls to their end, so that records have to go.
+// burst runs a few calls to completion, so that entries have to be evicted.
 func (m *keysModel) burst(t *rapid.T) {
 	m.issue(t)
 	for range rapid.IntRange(1, 8).Draw(t, "calls") {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (m *keysModel) pass(t *rapid.T) {
+func (m *keysModel) advanceClock(t *rapid.T) {
 	m.clock.advance(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
 }
 
@@ -167,25 +167,25 @@
 	}
 }
 
-// Callers repeat requests under keys through both daemons while calls end in
-// every way, records are forgotten, keys expire and daemons restart. Each key
-// runs once at most, a repeat gets the first answer or none, and a key that
-// is told as never run neither ran before nor runs later.
-func TestKeysRunOnce(t *testing.T) {
+// Callers repeat requests under keys through both daemons while calls end in every way, entries
+// are evicted, keys expire and daemons restart. At most one call runs under each key, a
+// duplicate receives the first response or an error, and no call runs under a key that is
+// reported as never run, neither before nor after.
+func TestKeysRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newKeysModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"issue": m.issue, "begin": m.begin, "begin2": m.begin, "burst": m.burst, "end": m.end, "end2": m.end,
-			"pass": m.pass, "restart": m.restart, "": m.checkBounds,
+			"pass": m.advanceClock, "restart": m.restart, "": m.checkBounds,
 		})
 	})
 }
 
-// Repeats race from many goroutines while calls end in every way, time passes
-// and records are forgotten. No key has two runs that were not called off.
-func TestKeysRunOnceConcurrently(t *testing.T) {
+// Duplicate requests of many goroutines race while calls end in every way, time passes and
+// entries are evicted. At most one run under each key may end other than with FinishNotRun.
+func TestKeysRunAtMostOnceConcurrently(t *testing.T) {
 	clock := newManualClock()
-	k := NewKeyStore(tinyKeys("a", 1, clock.Now))
+	k := NewKeyStore(smallKeyStore("a", 1, clock.Now))
 	keys := append(k.Issue(20), k.Issue(20)...)
 	var runs [40]atomic.Int32
 	var wg sync.WaitGroup
@@ -215,10 +215,10 @@
 	}
 }
 
-// Many requests under one key arrive while the first runs. The first ones prove
-// not to have run, so another takes over each time; once one has run, all who
-// waited get its whole answer, though the table has no room to keep it.
-func TestWaitersGetTheAnswer(t *testing.T) {
+// Many requests under one key arrive while the first runs. The first calls end with
+// FinishNotRun, and each time another request starts the call. Once a call has run, all waiting
+// requests receive its complete response, even though the table has no room to store it.
+func TestWaitersGetTheResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		opts := DefaultKeyStoreOptions("a", 1)
 		opts.Bounds.MaxBytes = 0
@@ -248,9 +248,9 @@
 	})
 }
 
-// A request that waits for the first one has a time of its own; when that is
-// up it learns that the first still runs, which promises nothing.
-func TestWaitEndsWithTheRequest(t *testing.T) {
+// A request that waits for the first one has a deadline of its own. When its context is done, it
+// gets KeyInProgress, which doesn't promise that the call has not run.
+func TestBeginOrWaitEndsWithContext(t *testing.T) {
 	k := NewKeyStore(DefaultKeyStoreOptions("a", 1))
 	key := k.Issue(1)[0]
 	_, _, err := k.Begin(key, Fingerprint{1})
@@ -262,12 +262,12 @@
 	must.Eq(t, errkind.RunUnknown, errkind.Of(err).Answer().Run)
 }
 
-// A key that was used, and one that was not, grow old: first they expire, then
-// the table forgets the bits of their numbers. At no point may the used one be
-// told as never run, or either run again.
-func TestOldKeys(t *testing.T) {
+// A used and an unused key age: first they expire, then the KeyStore drops the bits of their
+// serial numbers. At no point may the used key be reported as never run, or a call run under
+// either of them.
+func TestExpiredKeys(t *testing.T) {
 	clock := newManualClock()
-	opts := tinyKeys("a", 1, clock.Now)
+	opts := smallKeyStore("a", 1, clock.Now)
 	opts.MaxKeys, opts.MaxIssue = 3*chunkBits*keyShards, 2*chunkBits*keyShards
 	k := NewKeyStore(opts)
 	keys := k.Issue(opts.MaxIssue)
@@ -290,9 +290,9 @@
 	must.Len(t, opts.MaxIssue, k.Issue(opts.MaxIssue))
 }
 
-// A number that was never issued, or was issued to another customer and is
-// guessed, is refused before it can use up the key.
-func TestGuessedKeysAreRefused(t *testing.T) {
+// A key with a serial number that was never issued, or with a guessed tag for the number of
+// another customer's key, is rejected and doesn't use up the issued key.
+func TestGuessedKeysAreRejected(t *testing.T) {
 	k := NewKeyStore(DefaultKeyStoreOptions("a", 1))
 	key := k.Issue(1)[0]
 	guessed, ahead := key, key
@@ -306,9 +306,9 @@
 	must.NoError(t, err)
 }
 
-// Keys survive being sent, and one changed character is told from a key that
-// another host issued.
-func TestKeyText(t *testing.T) {
+// Keys are unchanged by formatting and parsing, and a key with one changed character is rejected
+// instead of being mistaken for a key of another host.
+func TestKeyTextRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		host := rapid.StringMatching(`[a-z0-9.-]{1,40}`).Draw(t, "host")
 		key := Key{host, rapid.Uint64().Draw(t, "boot"), rapid.Uint64Min(1).Draw(t, "serial"), rapid.Uint32().Draw(t, "tag")}
@@ -330,7 +330,7 @@
 	})
 }
 
-func TestBadKeys(t *testing.T) {
+func TestParseKeyRejectsMalformedKeys(t *testing.T) {
 	for _, bad := range []string{"", "order-17", KeyPrefix, KeyPrefix + "AAAA", KeyPrefix + strings.Repeat("A", maxKeyChars)} {
 		_, err := ParseKey(bad)
 		must.Eq(t, errkind.KeyUnknown, errkind.Of(err))
@@ -339,7 +339,7 @@
 	must.False(t, IsIssued("order-17"))
 }
 
-// Each part of a request counts, and parts do not run together.
+// The fingerprint depends on each part of a request and on the boundaries between the parts.
 func TestFingerprintCoversTheRequest(t *testing.T) {
 	of := func(method, target, customer, body string) Fingerprint {
 		h := NewFingerprint(method, target, customer)
@@ -356,8 +356,8 @@
 	}
 }
 
-// An answer that does not fit is not kept in part.
-func TestRecorderKeepsAllOrNothing(t *testing.T) {
+// A response that exceeds the limit is not recorded in part.
+func TestRecorderDropsOversizedResponses(t *testing.T) {
 	r := NewRecorder(5)
 	r.WriteHeader(200, []HeaderField{{"A", "b"}})
 	_, _ = r.Write([]byte("abc"))
--- a/once/once_test.go
+++ b/once/once_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// manualClock is a clock that tests move.
+// manualClock is a clock that only advances when a test calls advance.
 type manualClock struct {
 	mu sync.Mutex
 	t  time.Time
