--- a/once/claimindex.go
+++ b/once/claimindex.go
@@ -83,7 +83,8 @@
 	// claims before it have expired.
 	queued map[claimDigest][]*claim
 	// hosts interns the host names of the batches.
-	hosts      map[string]string
+	hosts map[string]string
+	// liveClaims is the number of claims above the horizon.
 	liveClaims int
 }
 
--- a/once/claims.go
+++ b/once/claims.go
@@ -42,7 +42,7 @@
 	// because the message of its attempt was in transit: at most the sum of the gates'
 	// LaneIdleTimeout, their KeepFor and the maximum duration of a call.
 	StartMargin time.Duration
-	// MaxClaims is the number of live claims at which new ones are rejected. It should be
+	// MaxClaims is the number of claims in the index at which new ones are rejected. It should be
 	// the rate of new caller-generated keys times Lifetime. Each claim takes about 100
 	// bytes of memory at each daemon that accepts caller-generated keys.
 	MaxClaims int
@@ -64,7 +64,8 @@
 	// interval is extended by a random part of itself.
 	HorizonInterval time.Duration
 	Logger          *slog.Logger
-	Now             func() time.Time
+	// Now returns the current time. Only differences between times are used.
+	Now func() time.Time
 }
 
 // DefaultClaimResolverOptions returns options that match DefaultKeyStoreOptions and
@@ -99,7 +100,8 @@
 //
 // Callers that must not depend on the platform should use issued keys.
 type ClaimResolver struct {
-	opts       ClaimResolverOptions
+	opts ClaimResolverOptions
+	// writerWake wakes the writer when claims may be due.
 	writerWake loop.Trigger
 
 	mu sync.Mutex
@@ -115,11 +117,11 @@
 	recordsLost bool
 	// applyErr is the error of a record that cannot be applied.
 	applyErr error
-	// readFailingSince is when reading the log began to fail, or zero if the last read
-	// succeeded.
+	// readFailingSince is when reading the log began to fail, or zero if it succeeds.
 	readFailingSince time.Time
-	readPoints       readHistory
-	pending          map[claimDigest]*pendingClaim
+	// readPoints determines the horizon of the records that this daemon writes.
+	readPoints readHistory
+	pending    map[claimDigest]*pendingClaim
 	// horizonRaised is when the index's horizon last rose, or when the index was started.
 	horizonRaised time.Time
 }
@@ -241,7 +243,7 @@
 func (c *ClaimResolver) rejection(now time.Time) error {
 	switch {
 	case c.applyErr != nil:
-		return errkind.Wrap(errkind.KeyUnresolved, c.applyErr, "this daemon cannot decode the claims of idempotency keys").After(time.Minute)
+		return errkind.Wrap(errkind.KeyUnresolved, c.applyErr, "this daemon cannot apply the claims of idempotency keys").After(time.Minute)
 	case !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) >= logFailureTimeout:
 		return errkind.New(errkind.KeyUnresolved, "the platform's log, which caller-generated idempotency keys require, is unavailable").After(retryAfterLogFailure)
 	case c.mayMissClaims(now):
--- a/once/claims_test.go
+++ b/once/claims_test.go
@@ -85,10 +85,10 @@
 }
 
 // claim resolves a caller-generated key with a timeout of one second.
-func (c *claimDaemon) claim(own string) (Key, error) {
+func (c *claimDaemon) claim(callerKey string) (Key, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	return c.Resolve(ctx, "garage-9", own)
+	return c.Resolve(ctx, "garage-9", callerKey)
 }
 
 func (f *claimCluster) run(name string, test func(t *testing.T, f *claimCluster, a, b *claimDaemon)) {
@@ -227,22 +227,22 @@
 				time.Sleep(time.Minute)
 				b := f.start("b")
 				defer b.stop()
-				own := "new"
+				callerKey := "new"
 				if name == "end lost, idle" {
 					// Other daemons may claim the key of a lost record that a has read.
-					b, own = a, "2"
+					b, callerKey = a, "2"
 				}
-				_, err := b.claim(own)
+				_, err := b.claim(callerKey)
 				if !c.rejects {
 					must.NoError(t, err)
 					return
 				}
 				must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
 				time.Sleep(errkind.RetryAfterOf(err) - time.Second)
-				_, err = b.claim(own)
+				_, err = b.claim(callerKey)
 				must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
 				time.Sleep(time.Minute)
-				_, err = b.claim(own)
+				_, err = b.claim(callerKey)
 				must.NoError(t, err)
 			})
 		})
@@ -317,8 +317,8 @@
 		must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
 		must.Eq(t, 0, time.Since(began))
 		release()
-		for _, own := range []string{"1", "2"} {
-			_, err = a.claim(own)
+		for _, callerKey := range []string{"1", "2"} {
+			_, err = a.claim(callerKey)
 			must.NoError(t, err)
 		}
 		_, err = a.claim("3")
@@ -361,24 +361,24 @@
 				defer mu.Unlock()
 				return claimers[host]
 			}
-			request := func(own, host string, pause time.Duration) {
-				k, err := at(host).claim(own)
+			request := func(callerKey, host string, pause time.Duration) {
+				k, err := at(host).claim(callerKey)
 				if err != nil {
 					return
 				}
 				now := time.Now()
 				mu.Lock()
-				if found[own] == nil {
-					found[own] = map[Key]*resolution{}
+				if found[callerKey] == nil {
+					found[callerKey] = map[Key]*resolution{}
 				}
-				res := found[own][k]
+				res := found[callerKey][k]
 				if res == nil {
 					res = &resolution{key: k}
-					found[own][k] = res
+					found[callerKey][k] = res
 				}
 				f.mu.Lock()
 				young := 0
-				for other := range found[own] {
+				for other := range found[callerKey] {
 					if now.Sub(f.issued[other]) < lifetime {
 						young++
 					}
@@ -393,7 +393,7 @@
 				if _, _, err := claimers[holder].keys.Begin(k, Fingerprint{1}); err != nil {
 					return
 				}
-				for _, other := range found[own] {
+				for _, other := range found[callerKey] {
 					if !other.beganAt.IsZero() {
 						must.Less(t, time.Since(other.beganAt), lifetime-claimers[holder].keys.MaxLifetime())
 					}
@@ -401,7 +401,7 @@
 				res.beganAt = time.Now()
 			}
 			for range 150 {
-				switch own, host := fmt.Sprint(r.IntN(3)), hosts[r.IntN(3)]; r.IntN(14) {
+				switch callerKey, host := fmt.Sprint(r.IntN(3)), hosts[r.IntN(3)]; r.IntN(14) {
 				case 0:
 					f.svc.SetOutage(r.IntN(2) == 0)
 				case 1:
@@ -424,7 +424,7 @@
 					mu.Unlock()
 				default:
 					pause := time.Duration(r.IntN(2)*r.IntN(200)) * time.Second
-					calls.Go(func() { request(own, host, pause) })
+					calls.Go(func() { request(callerKey, host, pause) })
 					time.Sleep(time.Duration(r.IntN(2000)) * time.Millisecond)
 				}
 			}
--- a/once/id.go
+++ b/once/id.go
@@ -28,7 +28,7 @@
 // ParseID parses the binary form of an ID. The error is errkind.BadRequest.
 func ParseID(b []byte) (ID, error) {
 	if len(b) != IDBytes {
-		return ID{}, errkind.Newf(errkind.BadRequest, "attempt id has %d bytes instead of %d", len(b), IDBytes)
+		return ID{}, errkind.Newf(errkind.BadRequest, "attempt ID has %d bytes, want %d", len(b), IDBytes)
 	}
 	return ID(b), nil
 }
--- a/once/keys.go
+++ b/once/keys.go
@@ -154,7 +154,7 @@
 			return nil, nil, err
 		}
 		if w.state != barred {
-			resp, err = replay(w.state, w.response)
+			resp, err = storedResponse(w.state, w.response)
 			return nil, resp, err
 		}
 	}
@@ -174,9 +174,9 @@
 	now := k.clock.elapsed()
 	lim := k.serials.limitsAt(now)
 	s.calls.evict(now)
-	s.used.dropBelow(lim.forgottenBelow / keyShards)
+	s.used.dropBelow(lim.droppedBelow / keyShards)
 	if e := s.calls.entries[key.serial]; e != nil {
-		return answerDuplicate(e, fp)
+		return handleDuplicate(e, fp)
 	}
 	if err := s.checkStartable(key.serial, lim); err != nil {
 		return nil, nil, nil, err
@@ -197,20 +197,20 @@
 	return nil
 }
 
-// answerDuplicate returns the result of a request under a key that has an entry.
-func answerDuplicate(e *entry, fp Fingerprint) (*Execution, *Response, *completion, error) {
+// handleDuplicate returns the result of a request under a key that has an entry.
+func handleDuplicate(e *entry, fp Fingerprint) (*Execution, *Response, *completion, error) {
 	if e.fp != fp {
 		return nil, nil, nil, errkind.New(errkind.KeyMismatch, "the idempotency key was used with a different request")
 	}
 	if e.state == running {
 		return nil, nil, e.subscribe(), errkind.New(errkind.KeyInProgress, "the first request under this idempotency key is still running")
 	}
-	resp, err := replay(e.state, e.response)
+	resp, err := storedResponse(e.state, e.response)
 	return nil, resp, nil, err
 }
 
-// replay returns the stored response of an ended call, or an error if there is none.
-func replay(s state, resp *Response) (*Response, error) {
+// storedResponse returns the stored response of an ended call, or an error if there is none.
+func storedResponse(s state, resp *Response) (*Response, error) {
 	switch {
 	case s != ran:
 		return nil, errkind.New(errkind.OutcomeUnknown, "it is unknown whether the first request under this idempotency key ran")
@@ -223,7 +223,7 @@
 // checkStartable returns an error if no call may start under a key without an entry.
 func (s *keyShard) checkStartable(serial uint64, lim *limits) error {
 	switch {
-	case serial < lim.forgottenBelow:
+	case serial < lim.droppedBelow:
 		return errkind.New(errkind.OutcomeUnknown, "the idempotency key expired too long ago to determine whether it was used")
 	case s.used.has(serial / keyShards):
 		return errkind.New(errkind.OutcomeUnknown, "the idempotency key was used before, but the outcome is no longer stored")
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -163,7 +163,7 @@
 			must.LessEq(t, 1+4, len(s.calls.entries))
 			must.LessEq(t, 100, s.calls.responseBytes)
 		}
-		must.LessEq(t, 100, k.serials.next.Load()-k.serials.limits.Load().forgottenBelow)
+		must.LessEq(t, 100, k.serials.next.Load()-k.serials.limits.Load().droppedBelow)
 	}
 }
 
--- a/once/lanes.go
+++ b/once/lanes.go
@@ -50,6 +50,7 @@
 
 // gateLane is the sender's state of the lane to one gate.
 type gateLane struct {
+	// current is the open lane, or nil if there is none.
 	current atomic.Pointer[openLane]
 	// openToken holds one token. A goroutine takes it to open a lane, so that only one
 	// lane is opened at a time, and the others wait no longer than their contexts allow.
--- a/once/response.go
+++ b/once/response.go
@@ -12,8 +12,10 @@
 type Response struct {
 	// Status is the HTTP status.
 	Status int
+	// Fields are the header fields.
 	Fields []HeaderField
-	Body   []byte
+	// Body is the complete body.
+	Body []byte
 }
 
 // Memory overhead of a Response and of each HeaderField in bytes, on a 64-bit
@@ -24,12 +26,12 @@
 )
 
 // size returns the memory used by the response in bytes.
-func (a *Response) size() int64 {
-	if a == nil {
+func (r *Response) size() int64 {
+	if r == nil {
 		return 0
 	}
-	n := responseOverhead + cap(a.Body) + headerFieldOverhead*cap(a.Fields)
-	for _, f := range a.Fields {
+	n := responseOverhead + cap(r.Body) + headerFieldOverhead*cap(r.Fields)
+	for _, f := range r.Fields {
 		n += len(f.Name) + len(f.Value)
 	}
 	return int64(n)
--- a/once/serials.go
+++ b/once/serials.go
@@ -11,7 +11,7 @@
 // has expired. A key is valid for at least the lifetime, and at most one epoch longer.
 type serials struct {
 	lifetime time.Duration
-	// maxRetained is the maximum of next minus limits.forgottenBelow.
+	// maxRetained is the maximum of next minus limits.droppedBelow.
 	maxRetained uint64
 
 	// next is the next serial number to be issued.
@@ -20,17 +20,17 @@
 	limits atomic.Pointer[limits]
 
 	mu sync.Mutex
-	// epochs are the epochs at or above limits.forgottenBelow, oldest first. The first
+	// epochs are the epochs at or above limits.droppedBelow, oldest first. The first
 	// expiredEpochs of them have expired.
 	epochs        fifo[epoch]
 	expiredEpochs int
 }
 
 // limits divides serial numbers by age. Keys below expiredBelow have expired, and no call
-// may start under them. Keys below forgottenBelow expired at least one lifetime ago, and
+// may start under them. Keys below droppedBelow expired at least one lifetime ago, and
 // their bits are dropped.
 type limits struct {
-	forgottenBelow, expiredBelow uint64
+	droppedBelow, expiredBelow uint64
 	// validUntil is when one of the limits changes next.
 	validUntil time.Duration
 }
@@ -49,7 +49,7 @@
 func newSerials(lifetime time.Duration, maxKeys int) *serials {
 	s := &serials{lifetime: lifetime, maxRetained: uint64(maxKeys)}
 	s.next.Store(1)
-	s.limits.Store(&limits{forgottenBelow: 1, expiredBelow: 1, validUntil: math.MaxInt64})
+	s.limits.Store(&limits{droppedBelow: 1, expiredBelow: 1, validUntil: math.MaxInt64})
 	return s
 }
 
@@ -60,7 +60,7 @@
 	defer s.mu.Unlock()
 	s.advance(now)
 	first = s.next.Load()
-	got = int(min(uint64(max(n, 0)), s.maxRetained-(first-s.limits.Load().forgottenBelow)))
+	got = int(min(uint64(max(n, 0)), s.maxRetained-(first-s.limits.Load().droppedBelow)))
 	if got == 0 {
 		return 0, 0
 	}
@@ -91,7 +91,7 @@
 		l.expiredBelow = s.epochStart(s.expiredEpochs)
 	}
 	for s.expiredEpochs > 0 && now >= s.epochExpiry(0)+s.lifetime {
-		l.forgottenBelow = s.epochStart(1)
+		l.droppedBelow = s.epochStart(1)
 		s.epochs.pop()
 		s.expiredEpochs--
 	}
