--- a/once/claimreader.go
+++ b/once/claimreader.go
@@ -226,7 +226,7 @@
 			c.complete(p, k, nil)
 		}
 	}
-	c.writerWake.Set()
+	c.writerTrigger.Set()
 }
 
 func (c *ClaimResolver) rejectPending(err error) {
--- a/once/claims.go
+++ b/once/claims.go
@@ -101,8 +101,8 @@
 // Callers that must not depend on the platform should use issued keys.
 type ClaimResolver struct {
 	opts ClaimResolverOptions
-	// writerWake wakes the writer when claims may be due.
-	writerWake loop.Trigger
+	// writerTrigger wakes the writer when claims may be due.
+	writerTrigger loop.Trigger
 
 	mu sync.Mutex
 	// index is nil until the log has been reached, and after records were lost.
@@ -153,7 +153,7 @@
 	if least := opts.Keys.MaxLifetime() + opts.StartMargin; opts.Lifetime < least {
 		return nil, errors.Newf("the lifetime of claims must be at least %s, not %s", least, opts.Lifetime)
 	}
-	return &ClaimResolver{opts: opts, writerWake: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
+	return &ClaimResolver{opts: opts, writerTrigger: loop.NewTrigger(), pending: make(map[claimDigest]*pendingClaim)}, nil
 }
 
 // Run reads the log and appends claims to it until ctx is done. It returns nil then.
@@ -208,7 +208,7 @@
 	}
 	p := &pendingClaim{digest: d, waiters: 1, sendAt: now, done: make(chan struct{})}
 	c.pending[d] = p
-	c.writerWake.Set()
+	c.writerTrigger.Set()
 	return p, nil
 }
 
--- a/once/claimwriter.go
+++ b/once/claimwriter.go
@@ -41,7 +41,7 @@
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
-	case <-c.writerWake:
+	case <-c.writerTrigger:
 	case <-t.C:
 	case <-ctx.Done():
 	}
