--- a/once/attempts.go
+++ b/once/attempts.go
@@ -18,8 +18,8 @@
 	// of a call: an attempt that arrives more than KeepFor after later attempts of its
 	// lane may be rejected.
 	Bounds Bounds
-	// MaxLanes is the maximum number of open lanes. At the limit, the least recently
-	// used lane is closed.
+	// MaxLanes is the maximum number of open lanes. At the limit, idle lanes are closed,
+	// or the least recently used lane if none is idle.
 	MaxLanes int
 	// LaneIdleTimeout is how long a lane stays open without an attempt. If a sender's
 	// process is paused for longer, all its attempts that have not yet arrived are
@@ -84,8 +84,9 @@
 //
 // These guarantees require that a sender sends each attempt once, on one stream.
 type AttemptTable struct {
-	opts     AttemptTableOptions
-	clock    clock
+	opts  AttemptTableOptions
+	clock clock
+	// lastLane is the number of the last lane that was opened.
 	lastLane atomic.Uint64
 	shards   [attemptShards]attemptShard
 }
@@ -191,7 +192,7 @@
 		delete(s.lanes, id.lane())
 		return errkind.New(errkind.Barred, "the lane of the attempt is closed")
 	case id.seq() <= l.floor:
-		return errkind.New(errkind.Barred, "the attempt arrived too late to determine whether it has started")
+		return errkind.New(errkind.Barred, "the attempt arrived too late to determine whether it was barred")
 	case s.calls.full():
 		s.calls.bar(id.callNumber(), now)
 		return errkind.New(errkind.Overloaded, "too many non-idempotent calls are running at this gate")
@@ -201,7 +202,7 @@
 	return nil
 }
 
-// duplicateStartError returns the error of an attempt to start that already has an entry.
+// duplicateStartError returns the error of Start for an attempt that already has an entry.
 func duplicateStartError(e *entry) error {
 	if e.state == barred {
 		return errkind.New(errkind.Barred, "the attempt was barred")
@@ -220,6 +221,7 @@
 // backend server. The attempt is barred from then on.
 func (a *AttemptTable) Cancel(id ID) { a.end(id, barred, nil) }
 
+// end sets the final state of a running attempt.
 func (a *AttemptTable) end(id ID, st state, resp *Response) {
 	s := a.shard(id.lane())
 	s.mu.Lock()
@@ -282,6 +284,7 @@
 	return QueryResult{Outcome: NotRun}, nil
 }
 
+// queryResult converts the state and the response of an entry to a QueryResult.
 func queryResult(s state, resp *Response) QueryResult {
 	switch s {
 	case running:
--- a/once/calltable.go
+++ b/once/calltable.go
@@ -30,7 +30,9 @@
 type state uint8
 
 const (
+	// running calls have started and not yet ended.
 	running state = iota + 1
+	// ran calls have run to completion.
 	ran
 	// outcomeUnknown calls have ended, and may or may not have run.
 	outcomeUnknown
@@ -40,8 +42,10 @@
 
 // entry is the record of one call.
 type entry struct {
-	state    state
-	fp       Fingerprint
+	state state
+	// fp is the fingerprint of the request, zero in an AttemptTable.
+	fp Fingerprint
+	// response is the stored response of a call that ran, or nil if there is none.
 	response *Response
 	// completion is set while requests wait for the call to end.
 	completion *completion
--- a/once/claimindex.go
+++ b/once/claimindex.go
@@ -74,9 +74,11 @@
 	// first is the offset of the first applied record, next that of the next record to
 	// apply.
 	first, next eventlog.Offset
-	horizon     eventlog.Offset
+	// horizon is the offset at and below which claims have expired.
+	horizon eventlog.Offset
 	// batches contains the batches above the horizon, oldest first.
 	batches fifo[*claimBatch]
+	// inForce contains the claim in force of each digest.
 	inForce map[claimDigest]*claim
 	// queued contains the further claims of a digest, in log order. They result from
 	// daemons that claim a key concurrently. The first of them comes into force when the
@@ -129,8 +131,10 @@
 	return nil
 }
 
+// lifetimeSeconds returns a lifetime in the unit of ClaimBatch.
 func lifetimeSeconds(d time.Duration) uint32 { return uint32(d / time.Second) }
 
+// decodeBatch converts a record, and skips claims with a digest of the wrong length.
 func (x *claimIndex) decodeBatch(offset eventlog.Offset, pb *oncepb.ClaimBatch) *claimBatch {
 	host, ok := x.hosts[pb.GetHost()]
 	if !ok {
@@ -146,6 +150,7 @@
 	return b
 }
 
+// add adds the claims of the latest batch.
 func (x *claimIndex) add(b *claimBatch) {
 	x.batches.push(b)
 	x.liveClaims += len(b.claims)
--- a/once/claimreader.go
+++ b/once/claimreader.go
@@ -229,12 +229,14 @@
 	c.writerTrigger.Set()
 }
 
+// rejectPending completes all pending claims with an error.
 func (c *ClaimResolver) rejectPending(err error) {
 	for _, p := range c.pending {
 		c.complete(p, Key{}, err)
 	}
 }
 
+// complete sets the result of a pending claim and wakes the requests that wait for it.
 func (c *ClaimResolver) complete(p *pendingClaim, k Key, err error) {
 	p.result, p.err = k, err
 	close(p.done)
--- a/once/claims.go
+++ b/once/claims.go
@@ -59,9 +59,9 @@
 	ResendAfter time.Duration
 	// ReadWait is how long a read of the log waits for new records.
 	ReadWait time.Duration
-	// HorizonInterval is how long expired claims may stay in the indexes while the stream
-	// is idle. After it, a record without claims is appended to raise the horizon. The
-	// interval is extended by a random part of itself.
+	// HorizonInterval is how long expired claims may stay in memory while no claims are
+	// appended. After it, a record without claims is appended, on which all daemons drop
+	// the expired ones. The interval is extended by a random part of itself.
 	HorizonInterval time.Duration
 	Logger          *slog.Logger
 	// Now returns the current time. Only differences between times are used.
--- a/once/claimwriter.go
+++ b/once/claimwriter.go
@@ -91,20 +91,20 @@
 // assignKeys issues a key for each claim that has none. It returns the claims with keys and
 // rejects those for which no key can be issued.
 func (c *ClaimResolver) assignKeys(due []*pendingClaim) []*pendingClaim {
-	var without []*pendingClaim
+	var unassigned []*pendingClaim
 	ready := due[:0]
 	for _, p := range due {
 		if p.issued {
 			ready = append(ready, p)
 			continue
 		}
-		without = append(without, p)
+		unassigned = append(unassigned, p)
 	}
-	if len(without) == 0 {
+	if len(unassigned) == 0 {
 		return ready
 	}
-	keys := c.opts.Keys.Issue(len(without))
-	for i, p := range without {
+	keys := c.opts.Keys.Issue(len(unassigned))
+	for i, p := range unassigned {
 		if i >= len(keys) {
 			c.complete(p, Key{}, errkind.New(errkind.KeyUnresolved, "too many idempotency keys have been issued"))
 			continue
@@ -121,8 +121,8 @@
 func (c *ClaimResolver) horizonRecordDue(horizon eventlog.Offset, now time.Time) bool {
 	// The random part prevents daemons that started together from appending at the same
 	// time.
-	spread := rand.N(c.opts.HorizonInterval)
-	return horizon > c.index.horizon && now.Sub(c.horizonRaised) >= c.opts.HorizonInterval+spread
+	jitter := rand.N(c.opts.HorizonInterval)
+	return horizon > c.index.horizon && now.Sub(c.horizonRaised) >= c.opts.HorizonInterval+jitter
 }
 
 // encode returns a record with the claims and the horizon, and marks the claims as sent.
