--- a/once/keys.go
+++ b/once/keys.go
@@ -73,11 +73,11 @@
 // keyShard holds the keys whose serial numbers are congruent modulo keyShards.
 type keyShard struct {
 	mu sync.Mutex
-	// used contains serial/keyShards for each key under which a call has run or may have
+	// usedSerials contains serial/keyShards for each key under which a call has run or may have
 	// run.
-	used      bitset
-	calls     *callTable
-	tagBuffer aesBlock
+	usedSerials bitset
+	calls       *callTable
+	tagBuffer   aesBlock
 }
 
 // aesBlock is a buffer for the computation of a tag. Keeping it in the shard avoids an
@@ -92,7 +92,7 @@
 	k.tagCipher, _ = aes.NewCipher(secret[:])
 	bounds := opts.Bounds.split(keyShards)
 	for i := range k.shards {
-		k.shards[i].used = newBitset()
+		k.shards[i].usedSerials = newBitset()
 		k.shards[i].calls = newCallTable(bounds, func(uint64) {})
 	}
 	return k
@@ -174,14 +174,14 @@
 	now := k.clock.elapsed()
 	lim := k.serials.limitsAt(now)
 	s.calls.evict(now)
-	s.used.dropBelow(lim.droppedBelow / keyShards)
+	s.usedSerials.dropBelow(lim.droppedBelow / keyShards)
 	if e := s.calls.entries[key.serial]; e != nil {
 		return handleDuplicate(e, fp)
 	}
 	if err := s.checkStartable(key.serial, lim); err != nil {
 		return nil, nil, nil, err
 	}
-	s.used.set(key.serial / keyShards)
+	s.usedSerials.set(key.serial / keyShards)
 	e := s.calls.begin(key.serial, fp)
 	return &Execution{keys: k, serial: key.serial, entry: e}, nil, nil, nil
 }
@@ -225,7 +225,7 @@
 	switch {
 	case serial < lim.droppedBelow:
 		return errkind.New(errkind.OutcomeUnknown, "the idempotency key expired too long ago to determine whether it was used")
-	case s.used.has(serial / keyShards):
+	case s.usedSerials.has(serial / keyShards):
 		return errkind.New(errkind.OutcomeUnknown, "the idempotency key was used before, but the outcome is no longer stored")
 	case serial < lim.expiredBelow:
 		return errkind.New(errkind.KeyUnknown, "the idempotency key expired unused: "+keyHelp)
@@ -259,7 +259,7 @@
 func (e *Execution) FinishNotRun() {
 	e.finish(func(s *keyShard) {
 		s.calls.cancel(e.serial, e.entry)
-		s.used.clear(e.serial / keyShards)
+		s.usedSerials.clear(e.serial / keyShards)
 	})
 }
 
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -286,7 +286,7 @@
 	must.SliceEmpty(t, k.Issue(1))
 	clock.advance(opts.Lifetime)
 	must.Eq(t, [2]errkind.Kind{errkind.OutcomeUnknown, errkind.OutcomeUnknown}, kinds())
-	must.MapEmpty(t, k.shards[used.serial%keyShards].used.chunks)
+	must.MapEmpty(t, k.shards[used.serial%keyShards].usedSerials.chunks)
 	must.Len(t, opts.MaxIssue, k.Issue(opts.MaxIssue))
 }
 
