--- a/internal/proxy/advice/advice.go
+++ b/internal/proxy/advice/advice.go
@@ -7,8 +7,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// milli is the unit in which rates of calls travel: thousandths of a call.
-const milli = 1000
+// milliCallsPerCall is the unit in which rates of calls travel: thousandths of a call.
+const milliCallsPerCall = 1000
 
 // MadeByToProto returns the wire form of who makes the calls of a route.
 func MadeByToProto(m admission.MadeBy) peerpb.MadeBy {
@@ -36,7 +36,7 @@
 func CalleesToProto(rates []admission.Callee) []*peerpb.Callee {
 	var callees []*peerpb.Callee
 	for _, r := range rates {
-		callees = append(callees, &peerpb.Callee{Service: r.Service, MilliCalls: uint32(r.Calls * milli)})
+		callees = append(callees, &peerpb.Callee{Service: r.Service, MilliCalls: uint32(r.Calls * milliCallsPerCall)})
 	}
 	return callees
 }
@@ -45,7 +45,7 @@
 func CalleesFromProto(callees []*peerpb.Callee) []admission.Callee {
 	var rates []admission.Callee
 	for _, c := range callees {
-		rates = append(rates, admission.Callee{Service: c.GetService(), Calls: float64(c.GetMilliCalls()) / milli})
+		rates = append(rates, admission.Callee{Service: c.GetService(), Calls: float64(c.GetMilliCalls()) / milliCallsPerCall})
 	}
 	return rates
 }
--- a/internal/proxy/dialect/dialect_test.go
+++ b/internal/proxy/dialect/dialect_test.go
@@ -15,7 +15,7 @@
 
 // Only a dialect with a field for it lets a backend server say that it has not run a
 // call: in the project's own, a 503 or 421 is an answer like others.
-func TestRefusedUnrun(t *testing.T) {
+func TestIsRejection(t *testing.T) {
 	d := Dialect{NotRun: "Not-Run", ExpectedServer: "Expected"}
 	refusal := http.Header{"Not-Run": {"1"}}
 	must.True(t, d.IsRejection(http.StatusServiceUnavailable, refusal))
--- a/internal/proxy/outbound/anonymous.go
+++ b/internal/proxy/outbound/anonymous.go
@@ -12,9 +12,9 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// defaultWait is how long a call may take where neither its route nor its caller
+// defaultTimeout is how long a call may take where neither its route nor its caller
 // bounds that.
-const defaultWait = 30 * time.Second
+const defaultTimeout = 30 * time.Second
 
 // admitAnonymous admits a call without a customer under the terms of its route in
 // the document in force.
@@ -29,34 +29,34 @@
 	}
 	allowed := route.Timeout
 	if allowed == 0 {
-		allowed = defaultWait
+		allowed = defaultTimeout
 	}
-	wait, err := h.remaining(r.Header, allowed)
+	wait, err := h.callTimeout(r.Header, allowed)
 	if err != nil {
 		return nil, err
 	}
 	c := &call{
 		h: h, snap: snap, service: route.Service(rand.Uint32N), route: route,
 		terms: snapshot.CallTerms{NonIdempotent: route.NonIdempotent(), MaxWait: allowed},
-		start: start, deadline: start.Add(wait), inherited: 1, maxBody: h.opts.MaxBody,
+		start: start, deadline: start.Add(wait), inheritedAttempt: 1, maxBody: h.opts.MaxBody,
 		requestID: dialect.Get(r.Header, h.opts.Dialect.RequestID),
 		origin:    h.opts.Runs.Origin(start.Add(wait), start),
 	}
-	c.request = h.request(c, wait)
+	c.request = h.admissionRequest(c, wait)
 	if limit := doc.Limits.MaxBodyBytes; limit > 0 {
 		c.maxBody = min(c.maxBody, limit)
 	}
 	return c, nil
 }
 
-// request returns what counts for the call's treatment under overload.
-func (h *Handler) request(c *call, wait time.Duration) admission.Request {
+// admissionRequest returns what counts for the call's treatment under overload.
+func (h *Handler) admissionRequest(c *call, wait time.Duration) admission.Request {
 	r := admission.Request{
 		Nested: h.opts.NestedRoutes.Contains(c.route.Name), Priority: c.route.Priority, Objective: c.route.Objective,
 		FirstSent: c.start, Arrived: c.start, Deadline: c.deadline,
 	}
 	if !r.Nested && !h.opts.IgnoreCallerRetries {
-		r.FirstSent = c.start.Add(-h.usual.Elapsed(c.route.Name, wait))
+		r.FirstSent = c.start.Add(-h.initialTimeouts.Elapsed(c.route.Name, wait))
 	}
 	return r
 }
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -24,32 +24,32 @@
 	"github.com/crocuscross/crocuscross/transit"
 )
 
-// maxHeldBody is the largest request body that is held whole, in bytes. A body
+// maxBufferedBody is the largest request body that is held whole, in bytes. A body
 // held whole can be sent again when an attempt is refused; a larger one is
 // streamed after the gate has admitted the call.
-const maxHeldBody = 1 << 20
+const maxBufferedBody = 1 << 20
 
-// maxPromptBody is the largest body that is sent before the gate has admitted the
+// maxEagerBody is the largest body that is sent before the gate has admitted the
 // call, in bytes. A larger one would cross to another host for nothing where the
 // gate refuses the call.
-const maxPromptBody = 16 << 10
+const maxEagerBody = 16 << 10
 
-// maxBlindBody is that bound where the gate is not known to have a free slot. Under
+// maxEagerBodyIfBusy is that bound where the gate is not known to have a free slot. Under
 // overload most gates refuse, and a question costs a round trip, some 2 ms. In a minute of
 // 11 hosts where one request in four has a body of 4 kB, 38 MB went between availability zones
 // with it, 63 MB without.
-const maxBlindBody = 1 << 10
+const maxEagerBodyIfBusy = 1 << 10
 
-// leastAttempt is the time below which another attempt cannot end well: two
+// minAttemptTime is the time below which another attempt cannot end well: two
 // hops and the shortest calls take that long.
-const leastAttempt = 2 * time.Millisecond
+const minAttemptTime = 2 * time.Millisecond
 
 var (
 	errDeadline = errors.New("the call's time is up")
-	// errLeaving ends the calls of a process that is about to end.
-	errLeaving = errors.New("this host is leaving")
-	// errAnswerCut means that an answer broke off after its head was written.
-	errAnswerCut = errors.New("answer cut short")
+	// errShuttingDown ends the calls of a process that is about to end.
+	errShuttingDown = errors.New("this host is leaving")
+	// errResponseTruncated means that an answer broke off after its head was written.
+	errResponseTruncated = errors.New("answer cut short")
 )
 
 // call is one call of a caller in progress.
@@ -73,8 +73,8 @@
 	requestID string
 	// identity is the same for the same request of its caller, set once the body is there.
 	identity quarantine.Identity
-	// inherited is the number of the attempt that brought the call here, from 1.
-	inherited uint32
+	// inheritedAttempt is the number of the attempt that brought the call here, from 1.
+	inheritedAttempt uint32
 	// attempts is how many attempts this daemon has made.
 	attempts int
 	// arrivals counts those that may have reached a backend server, refusals the
@@ -83,24 +83,24 @@
 	// crashes counts the backend servers that ended under the request, as far as was known
 	// when the call began, and under the call itself.
 	crashes int
-	// last is the attempt made last, status that of the answer, 0 without one.
-	last   *attempt
-	status uint32
-	// patient is set once the call waits at a gate for as long as its time allows.
-	patient bool
+	// lastAttempt is the attempt made lastAttempt, status that of the answer, 0 without one.
+	lastAttempt *attempt
+	status      uint32
+	// fullWait is set once the call waits at a gate for as long as its time allows.
+	fullWait bool
 
 	head *peerpb.CallHead
-	// held is the whole request body, unless stream is set.
-	held   []byte
-	stream *streamedBody
-	// streamed is set once a byte of stream may have been read.
-	streamed bool
-	tried    []backend.ID
-	// control reaches the caller's connection.
-	control *http.ResponseController
+	// buffered is the whole request body, unless stream is set.
+	buffered []byte
+	stream   *streamedBody
+	// streamRead is set once a byte of stream may have been read.
+	streamRead bool
+	tried      []backend.ID
+	// responseController reaches the caller's connection.
+	responseController *http.ResponseController
 }
 
-var peerOrigins = map[admission.Origin]peerpb.Origin{
+var originToProto = map[admission.Origin]peerpb.Origin{
 	admission.OriginCaller:   peerpb.Origin_ORIGIN_CALLER,
 	admission.OriginMaybeRun: peerpb.Origin_ORIGIN_MAYBE_RUN,
 }
@@ -126,45 +126,45 @@
 	if c.route != nil {
 		c.head.Priority = uint32(c.request.Rank())
 		c.head.Route = c.route.Name
-		c.head.Origin = peerOrigins[c.origin]
+		c.head.Origin = originToProto[c.origin]
 		c.head.Nested = c.request.Nested
 	}
-	c.control = http.NewResponseController(w)
-	if err := c.takeBody(ctx, w, r); err != nil {
+	c.responseController = http.NewResponseController(w)
+	if err := c.receiveBody(ctx, w, r); err != nil {
 		return err
 	}
-	c.identify()
+	c.setIdentity()
 	return nil
 }
 
-// takeBody reads a body whole that may be held, and has a larger one streamed.
-func (c *call) takeBody(ctx context.Context, w http.ResponseWriter, r *http.Request) error {
+// receiveBody reads a body whole that may be held, and has a larger one streamed.
+func (c *call) receiveBody(ctx context.Context, w http.ResponseWriter, r *http.Request) error {
 	limited := http.MaxBytesReader(w, r.Body, c.maxBody)
 	if r.ContentLength == 0 {
 		return nil
 	}
-	if r.ContentLength < 0 || r.ContentLength > maxHeldBody {
-		_ = c.control.SetReadDeadline(c.deadline)
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
+		_ = c.responseController.SetReadDeadline(c.deadline)
 		c.stream = &streamedBody{src: limited}
 		c.head.ExpectContinue = true
 		return nil
 	}
 	// A caller that is slow to send must not hold the call beyond its time.
-	_ = c.control.SetReadDeadline(c.deadline)
-	defer c.control.SetReadDeadline(time.Time{})
-	c.held = make([]byte, r.ContentLength)
-	if _, err := io.ReadFull(limited, c.held); err != nil {
+	_ = c.responseController.SetReadDeadline(c.deadline)
+	defer c.responseController.SetReadDeadline(time.Time{})
+	c.buffered = make([]byte, r.ContentLength)
+	if _, err := io.ReadFull(limited, c.buffered); err != nil {
 		return bodyError(ctx, err)
 	}
-	c.head.ExpectContinue = len(c.held) > maxPromptBody
+	c.head.ExpectContinue = len(c.buffered) > maxEagerBody
 	return nil
 }
 
-// identify tells the request from others by what its caller would send again.
-func (c *call) identify() {
+// setIdentity tells the request from others by what its caller would send again.
+func (c *call) setIdentity() {
 	c.identity = quarantine.IdentityOf(quarantine.Request{
 		Customer: c.customer, Method: c.head.GetMethod(), Authority: c.head.GetAuthority(), Target: c.head.GetTarget(),
-		Body: c.held, Streamed: c.stream != nil,
+		Body: c.buffered, Streamed: c.stream != nil,
 	})
 	c.head.Identity = c.identity[:]
 }
@@ -186,31 +186,31 @@
 	case errors.As(err, &netErr) && netErr.Timeout():
 		return errkind.Wrap(errkind.DeadlineNotRun, err, "the request body came too slowly")
 	case ctx.Err() != nil:
-		return contextKind(ctx, errkind.DeadlineNotRun)
+		return contextError(ctx, errkind.DeadlineNotRun)
 	}
 	return errkind.Wrap(errkind.BadRequest, err, "read request body")
 }
 
-// open makes attempts until one is answered by a backend server or no further
+// runAttempts makes attempts until one is answered by a backend server or no further
 // one is allowed.
-func (c *call) open(ctx context.Context) (*answered, error) {
-	c.count()
+func (c *call) runAttempts(ctx context.Context) (*pendingResponse, error) {
+	c.recordForRetryBudget()
 	c.crashes = c.h.opts.Quarantine.Crashes(c.identity)
 	var failed error
 	for {
 		lease, err := c.pick()
 		if err != nil {
-			return nil, firstCertain(failed, err)
+			return nil, finalError(failed, err)
 		}
 		c.h.opts.Metrics.Attempt(c.attempts == 0)
 		c.attempts++
 		at := newAttempt(c, lease)
-		c.last = at
+		c.lastAttempt = at
 		a, err := at.run(ctx)
 		if err == nil {
 			c.arrivals++
 			c.status = a.head.GetStatus()
-			if !c.answerIsWorse(a) || !c.mayRetry(ctx, at, errBackendFailure) {
+			if !c.isRetryableResponse(a) || !c.shouldRetry(ctx, at, errBackendStatus500) {
 				return a, nil
 			}
 			a.close(errkind.None)
@@ -224,20 +224,20 @@
 		if errkind.Of(err) == errkind.BackendEnded {
 			c.crashes++
 		}
-		failed = firstCertain(failed, err)
-		if !c.mayRetry(ctx, at, err) {
+		failed = finalError(failed, err)
+		if !c.shouldRetry(ctx, at, err) {
 			return nil, failed
 		}
 	}
 }
 
-// errBackendFailure stands for a backend server's own answer that it has failed.
-var errBackendFailure = errkind.New(errkind.BackendFailed, "the backend server answered that it failed")
+// errBackendStatus500 stands for a backend server's own answer that it has failed.
+var errBackendStatus500 = errkind.New(errkind.BackendFailed, "the backend server answered that it failed")
 
-// firstCertain returns the error that a call with several failed attempts ends
+// finalError returns the error that a call with several failed attempts ends
 // with: the latest, unless an earlier attempt may have run. "Not run" must not
 // be said of a call that did run once.
-func firstCertain(earlier, latest error) error {
+func finalError(earlier, latest error) error {
 	if earlier == nil || errkind.RunOf(earlier) == errkind.NotRun {
 		return latest
 	}
@@ -266,8 +266,8 @@
 		Origin:         c.head.Origin,
 		Nested:         c.head.Nested,
 		Identity:       c.head.Identity,
-		MaxQueueMs:     uint32(c.maxQueue() / time.Millisecond),
-		Attempt:        c.inherited + uint32(c.attempts) - 1,
+		MaxQueueMs:     uint32(c.maxQueueTime() / time.Millisecond),
+		Attempt:        c.inheritedAttempt + uint32(c.attempts) - 1,
 		Traceparent:    telemetry.Traceparent(ctx),
 		SenderHost:     c.h.opts.Host,
 		SenderBoot:     c.h.opts.Boot,
@@ -282,8 +282,8 @@
 	return h
 }
 
-// heldBody returns a new reader of the held body.
-func (c *call) heldBody() io.Reader { return bytes.NewReader(c.held) }
+// bufferedBody returns a new reader of the held body.
+func (c *call) bufferedBody() io.Reader { return bytes.NewReader(c.buffered) }
 
 // streamedBody is a caller's body that is passed on as it comes.
 type streamedBody struct {
@@ -301,21 +301,21 @@
 	return n, err
 }
 
-// stopUpload makes a read of the caller's body return, so that nothing reads it
+// interruptBodyRead makes a read of the caller's body return, so that nothing reads it
 // after the call has ended.
-func (c *call) stopUpload() { _ = c.control.SetReadDeadline(time.Unix(1, 0)) }
+func (c *call) interruptBodyRead() { _ = c.responseController.SetReadDeadline(time.Unix(1, 0)) }
 
-// uploadDone lifts the bound on reads, which would else end the caller's
+// clearReadDeadline lifts the bound on reads, which would else end the caller's
 // connection when it is used again.
-func (c *call) uploadDone() { _ = c.control.SetReadDeadline(time.Time{}) }
+func (c *call) clearReadDeadline() { _ = c.responseController.SetReadDeadline(time.Time{}) }
 
-// contextKind tells a caller that went away from a time that is up. The time is
+// contextError tells a caller that went away from a time that is up. The time is
 // looked at as well as the cause: a read deadline that fires while this process
 // was paused makes the HTTP library cancel the request as if the caller had gone.
-func contextKind(ctx context.Context, onDeadline errkind.Kind) error {
+func contextError(ctx context.Context, onDeadline errkind.Kind) error {
 	end, ok := ctx.Deadline()
-	if isLeaving(ctx) {
-		return errkind.Wrap(leavingKind(onDeadline), errLeaving, "give up")
+	if isShuttingDown(ctx) {
+		return errkind.Wrap(shutdownKind(onDeadline), errShuttingDown, "give up")
 	}
 	if errors.Is(context.Cause(ctx), errDeadline) || ok && !time.Now().Before(end) {
 		return errkind.Wrap(onDeadline, errDeadline, "give up")
@@ -323,11 +323,11 @@
 	return errkind.Wrap(errkind.Canceled, context.Cause(ctx), "the caller went away")
 }
 
-func isLeaving(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errLeaving) }
+func isShuttingDown(ctx context.Context) bool { return errors.Is(context.Cause(ctx), errShuttingDown) }
 
-// leavingKind is the kind of a call that is given up as the host leaves, by the one that
+// shutdownKind is the kind of a call that is given up as the host leaves, by the one that
 // it would have if its time were up: only that tells whether it may have run.
-func leavingKind(onDeadline errkind.Kind) errkind.Kind {
+func shutdownKind(onDeadline errkind.Kind) errkind.Kind {
 	if onDeadline == errkind.DeadlineNotRun {
 		return errkind.Draining
 	}
--- a/internal/proxy/outbound/credit.go
+++ b/internal/proxy/outbound/credit.go
@@ -7,53 +7,53 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errNoCredit means that the attempt ended before the gate had asked for the rest.
-var errNoCredit = errors.New("the rest of the body was not asked for")
+// errAttemptEnded means that the attempt ended before the gate had asked for the rest.
+var errAttemptEnded = errors.New("the rest of the body was not asked for")
 
-// credit is a body of which the gate asks for one part after the other. A nil *credit
+// creditReader is a body of which the gate asks for one part after the other. A nil *creditReader
 // has no bound.
-type credit struct {
+type creditReader struct {
 	src io.Reader
 	// length of the whole body.
 	length int64
 
 	mu   sync.Mutex
-	more *sync.Cond
-	// left may still be read, sent has been.
-	left, sent      int64
+	cond *sync.Cond
+	// available may still be read, sent has been.
+	available, sent int64
 	reading, closed bool
 }
 
-func newCredit(src io.Reader, length, allowed int64) *credit {
-	c := &credit{src: src, length: length, left: allowed}
-	c.more = sync.NewCond(&c.mu)
+func newCreditReader(src io.Reader, length, allowed int64) *creditReader {
+	c := &creditReader{src: src, length: length, available: allowed}
+	c.cond = sync.NewCond(&c.mu)
 	return c
 }
 
 // add lets so many more bytes be read.
-func (c *credit) add(n int64) {
+func (c *creditReader) add(n int64) {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.left += n
-	c.more.Signal()
+	c.available += n
+	c.cond.Signal()
 }
 
 // close ends the reading; a read that waits fails.
-func (c *credit) close() {
+func (c *creditReader) close() {
 	if c == nil {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closed = true
-	c.more.Broadcast()
+	c.cond.Broadcast()
 }
 
-// partOnly closes the body and reports whether a part of it will certainly never be sent.
-func (c *credit) partOnly() bool {
+// closeTruncated closes the body and reports whether a part of it will certainly never be sent.
+func (c *creditReader) closeTruncated() bool {
 	if c == nil {
 		return false
 	}
@@ -64,23 +64,23 @@
 }
 
 // Read implements io.Reader. It waits until the gate has asked for something.
-func (c *credit) Read(p []byte) (int, error) {
+func (c *creditReader) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	for c.left <= 0 && !c.closed {
-		c.more.Wait()
+	for c.available <= 0 && !c.closed {
+		c.cond.Wait()
 	}
 	if c.closed {
 		c.mu.Unlock()
-		return 0, errNoCredit
+		return 0, errAttemptEnded
 	}
-	p = p[:min(int64(len(p)), c.left)]
+	p = p[:min(int64(len(p)), c.available)]
 	c.reading = true
 	c.mu.Unlock()
 	n, err := c.src.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
-	c.left -= int64(n)
+	c.available -= int64(n)
 	c.sent += int64(n)
 	return n, err
 }
--- a/internal/proxy/outbound/credit_test.go
+++ b/internal/proxy/outbound/credit_test.go
@@ -10,9 +10,9 @@
 )
 
 // A gate asks for a body in two parts. What it has not asked for stays here.
-func TestCreditIsNotExceeded(t *testing.T) {
+func TestCreditReader_WaitsForCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCredit(strings.NewReader("question and answer"), 19, 8)
+		c := newCreditReader(strings.NewReader("question and answer"), 19, 8)
 		got := make(chan string, 1)
 		go func() {
 			b, err := io.ReadAll(c)
@@ -20,7 +20,7 @@
 			got <- string(b)
 		}()
 		synctest.Wait()
-		must.Eq(t, 0, c.left)
+		must.Eq(t, 0, c.available)
 		must.Eq(t, 0, len(got))
 		c.add(100)
 		must.Eq(t, "question and answer", <-got)
@@ -29,30 +29,30 @@
 
 // The attempt ends while the gate has not asked for the rest. Whoever reads the body
 // must come to an end: the call waits for it.
-func TestCreditEndsWithItsAttempt(t *testing.T) {
-	c := newCredit(strings.NewReader("question"), 8, 0)
+func TestCreditReader_CloseUnblocksRead(t *testing.T) {
+	c := newCreditReader(strings.NewReader("question"), 8, 0)
 	done := make(chan error)
 	go func() {
 		_, err := c.Read(make([]byte, 8))
 		done <- err
 	}()
 	c.close()
-	must.ErrorIs(t, <-done, errNoCredit)
-	var none *credit
+	must.ErrorIs(t, <-done, errAttemptEnded)
+	var none *creditReader
 	none.add(1)
 	none.close()
 }
 
 // The link breaks. Whether the call may have run depends on whether its gate can ever
 // have the whole body.
-func TestCreditTellsAPartFromTheWhole(t *testing.T) {
+func TestCreditReader_ReportsTruncation(t *testing.T) {
 	for allowed, part := range map[int64]bool{4: true, 8: false} {
-		c := newCredit(strings.NewReader("question"), 8, allowed)
+		c := newCreditReader(strings.NewReader("question"), 8, allowed)
 		_, err := c.Read(make([]byte, 32))
 		must.NoError(t, err)
-		must.Eq(t, part, c.partOnly())
+		must.Eq(t, part, c.closeTruncated())
 		_, err = c.Read(make([]byte, 32))
-		must.ErrorIs(t, err, errNoCredit)
+		must.ErrorIs(t, err, errAttemptEnded)
 	}
-	must.False(t, (*credit)(nil).partOnly())
+	must.False(t, (*creditReader)(nil).closeTruncated())
 }
--- a/internal/proxy/outbound/learn.go
+++ b/internal/proxy/outbound/feedback.go
@@ -5,8 +5,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// learn takes in what a gate tells of its service and of the call's route.
-func (a *attempt) learn(head *peerpb.AnswerHead) {
+// updateStats takes in what a gate tells of its service and of the call's route.
+func (a *attempt) updateStats(head *peerpb.AnswerHead) {
 	o := a.c.h.opts
 	o.NestedRoutes.Update(a.c.head.GetRoute(), advice.MadeByFromProto(head.GetMadeBy()))
 	o.CallGraph.Update(a.c.service, advice.CalleesFromProto(head.GetCallees()))
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -85,21 +85,21 @@
 
 // Handler serves callers' requests.
 type Handler struct {
-	opts     Options
-	router   *bunrouter.Router
-	lanes    *once.IDAllocator
-	sizes    sizes
-	usual    admission.InitialTimeouts
-	lines    telemetry.LineLimit
-	inFlight atomic.Int64
+	opts            Options
+	router          *bunrouter.Router
+	idAllocator      *once.IDAllocator
+	responseSizes   responseSizes
+	initialTimeouts admission.InitialTimeouts
+	logLimit        telemetry.LineLimit
+	inFlight        atomic.Int64
 	// running holds the context.CancelCauseFunc of each call in progress.
 	running sync.Map
 }
 
 // NewHandler returns the handler for the callers' listener.
 func NewHandler(opts Options) *Handler {
-	h := &Handler{opts: opts, lines: telemetry.NewLineLimit(answeredLines)}
-	h.lanes = once.NewIDAllocator(once.DefaultIDAllocatorOptions(h.openLane))
+	h := &Handler{opts: opts, logLimit: telemetry.NewLineLimit(maxRoutineLogRate)}
+	h.idAllocator = once.NewIDAllocator(once.DefaultIDAllocatorOptions(h.openLane))
 	h.router = bunrouter.New(bunrouter.WithNotFoundHandler(h.proxy), bunrouter.WithMethodNotAllowedHandler(h.proxy))
 	h.router.POST(KeysPath, h.issueKeys)
 	return h
@@ -116,7 +116,7 @@
 // may have run as a failure, unless its gate has the answer already.
 func (h *Handler) CancelCalls() {
 	h.running.Range(func(call, cancel any) bool {
-		cancel.(context.CancelCauseFunc)(errLeaving)
+		cancel.(context.CancelCauseFunc)(errShuttingDown)
 		return true
 	})
 }
@@ -144,18 +144,18 @@
 	kind := errkind.Of(err)
 	span.SetAttributes(attribute.String("crocuscross.kind", string(kind)))
 	h.opts.Metrics.Outbound(kind, time.Since(start))
-	h.logEnd(r.Request, c, err, start, callerGone)
-	h.finish(w, err)
+	h.logRequestEnd(r.Request, c, err, start, callerGone)
+	h.writeError(w, err)
 	return nil
 }
 
-// finish answers with an error, unless the answer has begun: then the
+// writeError answers with an error, unless the answer has begun: then the
 // connection is cut, so that no caller takes a part for the whole.
-func (h *Handler) finish(w http.ResponseWriter, err error) {
+func (h *Handler) writeError(w http.ResponseWriter, err error) {
 	if err == nil {
 		return
 	}
-	if errors.Is(err, errAnswerCut) {
+	if errors.Is(err, errResponseTruncated) {
 		panic(http.ErrAbortHandler)
 	}
 	answer.WriteAs(w, err, h.opts.Dialect.RetryAfter)
@@ -166,7 +166,7 @@
 	key := r.Header.Get(body.HeaderIdempotencyKey)
 	c, err := h.admit(r, start, inFlight)
 	if err != nil {
-		return nil, refusedWithKey(key, err)
+		return nil, rejectedBeforeKeyLookup(key, err)
 	}
 	if c.grant != nil {
 		defer c.grant.Done()
@@ -178,25 +178,25 @@
 	h.running.Store(c, giveUp)
 	defer h.running.Delete(c)
 	if err := c.readBody(ctx, w, r); err != nil {
-		return c, refusedWithKey(key, err)
+		return c, rejectedBeforeKeyLookup(key, err)
 	}
 	if left := h.opts.Quarantine.QuarantinedFor(c.identity); left > 0 {
-		return c, refusedWithKey(key, quarantine.Refusal(left))
+		return c, rejectedBeforeKeyLookup(key, quarantine.Refusal(left))
 	}
 	if key != "" && c.terms.NonIdempotent && c.route == nil {
 		return c, c.serveKeyed(ctx, w, key)
 	}
-	a, err := c.open(ctx)
+	a, err := c.runAttempts(ctx)
 	if err != nil {
 		return c, err
 	}
 	return c, a.writeTo(w)
 }
 
-// refusedWithKey is the error of a request that was refused before its key was
+// rejectedBeforeKeyLookup is the error of a request that was refused before its key was
 // looked up. An earlier request under the key may have run, so a repeat must
 // not be told that the call was not run.
-func refusedWithKey(key string, err error) error {
+func rejectedBeforeKeyLookup(key string, err error) error {
 	if key == "" {
 		return err
 	}
@@ -222,14 +222,14 @@
 	}
 	route, ok := snap.Route(r.URL.Path)
 	if !ok {
-		return nil, noRoute(snap, r.URL.Path)
+		return nil, noRouteError(snap, r.URL.Path)
 	}
 	terms := contract.Terms(r.Method, r.URL.Path)
-	wait, err := h.remaining(r.Header, terms.MaxWait)
+	wait, err := h.callTimeout(r.Header, terms.MaxWait)
 	if err != nil {
 		return nil, err
 	}
-	attempt, err := h.firstAttempt(r.Header)
+	attempt, err := h.inheritedAttempt(r.Header)
 	if err != nil {
 		return nil, err
 	}
@@ -239,22 +239,22 @@
 	}
 	return &call{
 		h: h, snap: snap, service: route.Service, terms: terms, customer: customer, grant: grant,
-		deadline: start.Add(wait), inherited: attempt, maxBody: h.opts.MaxBody,
+		deadline: start.Add(wait), inheritedAttempt: attempt, maxBody: h.opts.MaxBody,
 	}, nil
 }
 
-// noRoute tells a route that waits for its backend servers from one that does
+// noRouteError tells a route that waits for its backend servers from one that does
 // not exist.
-func noRoute(snap *snapshot.Snapshot, path string) error {
+func noRouteError(snap *snapshot.Snapshot, path string) error {
 	if snap.Withholds(path) {
 		return errkind.Newf(errkind.NoBackend, "the route for %s waits for its first backend server", path)
 	}
 	return errkind.Newf(errkind.NoRoute, "no route for %s", path)
 }
 
-// remaining returns how long a call may take: what the contract allows, or
+// callTimeout returns how long a call may take: what the contract allows, or
 // what an earlier hop says is left, if that is less.
-func (h *Handler) remaining(header http.Header, allowed time.Duration) (time.Duration, error) {
+func (h *Handler) callTimeout(header http.Header, allowed time.Duration) (time.Duration, error) {
 	v := dialect.Get(header, h.opts.Dialect.Remaining)
 	if v == "" {
 		return allowed, nil
@@ -266,8 +266,8 @@
 	return min(allowed, time.Duration(ms)*time.Millisecond), nil
 }
 
-// firstAttempt returns the number of the attempt that brought the call here.
-func (h *Handler) firstAttempt(header http.Header) (uint32, error) {
+// inheritedAttempt returns the number of the attempt that brought the call here.
+func (h *Handler) inheritedAttempt(header http.Header) (uint32, error) {
 	v := dialect.Get(header, h.opts.Dialect.Attempt)
 	if v == "" {
 		return 1, nil
--- a/internal/proxy/outbound/keyed.go
+++ b/internal/proxy/outbound/keyed.go
@@ -22,8 +22,8 @@
 const (
 	// maxKeyedBody and maxKeyedAnswer bound what is held whole of a call under
 	// an idempotency key, in bytes.
-	maxKeyedBody   = 8 << 20
-	maxKeyedAnswer = 16 << 20
+	maxKeyedBody     = 8 << 20
+	maxKeyedResponse = 16 << 20
 	// headTimeout bounds the time until a forwarded call's head is there.
 	headTimeout = 5 * time.Second
 )
@@ -31,11 +31,11 @@
 // serveKeyed runs a non-idempotent call under its key, at the daemon that
 // issued the key and nowhere else.
 func (c *call) serveKeyed(ctx context.Context, w http.ResponseWriter, header string) error {
-	key, err := c.issuedKey(ctx, header)
+	key, err := c.resolveKey(ctx, header)
 	if err != nil {
 		return err
 	}
-	if err := c.holdBody(ctx); err != nil {
+	if err := c.bufferBody(ctx); err != nil {
 		return errkind.Doubt(err)
 	}
 	host, boot := key.Holder()
@@ -44,23 +44,23 @@
 		if err != nil {
 			return err
 		}
-		return writeKept(w, ans)
+		return writeRecordedResponse(w, ans)
 	}
 	return c.forwardKeyed(ctx, w, key)
 }
 
-// issuedKey returns the key itself, or the issued one that stands for a key of
+// resolveKey returns the key itself, or the issued one that stands for a key of
 // the caller's own making.
-func (c *call) issuedKey(ctx context.Context, header string) (once.Key, error) {
+func (c *call) resolveKey(ctx context.Context, header string) (once.Key, error) {
 	if once.IsIssued(header) {
 		return once.ParseKey(header)
 	}
 	return c.h.opts.OwnKeys.Resolve(ctx, c.customer, header)
 }
 
-// holdBody reads the rest of a large body, which must be held to be told from
+// bufferBody reads the rest of a large body, which must be held to be told from
 // another request under the same key.
-func (c *call) holdBody(ctx context.Context) error {
+func (c *call) bufferBody(ctx context.Context) error {
 	if c.stream == nil {
 		return nil
 	}
@@ -71,11 +71,11 @@
 	if len(held) > maxKeyedBody {
 		return errkind.Newf(errkind.TooLarge, "a call under an idempotency key may have a body of at most %d bytes", maxKeyedBody)
 	}
-	c.uploadDone()
-	c.held, c.stream = held, nil
+	c.clearReadDeadline()
+	c.buffered, c.stream = held, nil
 	c.head.ContentLength = int64(len(held))
 	c.head.ExpectContinue = false
-	c.identify()
+	c.setIdentity()
 	return nil
 }
 
@@ -83,7 +83,7 @@
 // on when the caller goes away, so that a repeat finds an outcome.
 func (c *call) runKeyed(ctx context.Context, key once.Key) (*once.Response, error) {
 	fp := once.NewFingerprint(c.head.GetMethod(), c.head.GetTarget(), c.customer)
-	_, _ = fp.Write(c.held)
+	_, _ = fp.Write(c.buffered)
 	exec, ans, err := c.h.opts.Keys.BeginOrWait(ctx, key, fp.Sum())
 	if err != nil || ans != nil {
 		return ans, err
@@ -93,14 +93,14 @@
 	defer exec.FinishUnknown()
 	ctx, cancel := context.WithDeadlineCause(context.WithoutCancel(ctx), c.deadline, errDeadline)
 	defer cancel()
-	a, err := c.open(ctx)
+	a, err := c.runAttempts(ctx)
 	if err != nil {
 		if errkind.RunOf(err) == errkind.NotRun {
 			exec.FinishNotRun()
 		}
 		return nil, err
 	}
-	ans, err = a.hold()
+	ans, err = a.readAll()
 	if err != nil {
 		return nil, err
 	}
@@ -108,11 +108,11 @@
 	return ans, nil
 }
 
-// hold reads the whole answer.
-func (s *answered) hold() (*once.Response, error) {
-	b, err := io.ReadAll(io.LimitReader(s.body, maxKeyedAnswer+1))
-	if err == nil && len(b) > maxKeyedAnswer {
-		err = errors.Newf("the answer has more than %d bytes", maxKeyedAnswer)
+// readAll reads the whole answer.
+func (s *pendingResponse) readAll() (*once.Response, error) {
+	b, err := io.ReadAll(io.LimitReader(s.body, maxKeyedResponse+1))
+	if err == nil && len(b) > maxKeyedResponse {
+		err = errors.Newf("the answer has more than %d bytes", maxKeyedResponse)
 	}
 	if err != nil {
 		s.close(errkind.BackendFailed)
@@ -126,16 +126,16 @@
 	return ans, nil
 }
 
-func writeKept(w http.ResponseWriter, ans *once.Response) error {
-	body.SetFields(w.Header(), keptHead(ans).GetFields())
+func writeRecordedResponse(w http.ResponseWriter, ans *once.Response) error {
+	body.SetFields(w.Header(), recordedResponseHead(ans).GetFields())
 	w.WriteHeader(ans.Status)
 	if _, err := w.Write(ans.Body); err != nil {
-		return errors.Mark(errkind.Wrap(errkind.Canceled, err, "write to the caller"), errAnswerCut)
+		return errors.Mark(errkind.Wrap(errkind.Canceled, err, "write to the caller"), errResponseTruncated)
 	}
 	return nil
 }
 
-func keptHead(ans *once.Response) *peerpb.AnswerHead {
+func recordedResponseHead(ans *once.Response) *peerpb.AnswerHead {
 	head := &peerpb.AnswerHead{Status: uint32(ans.Status), ContentLength: int64(len(ans.Body))}
 	for _, f := range ans.Fields {
 		head.Fields = append(head.Fields, &peerpb.Field{Name: f.Name, Value: f.Value})
@@ -154,7 +154,7 @@
 	}
 	st, err := c.h.opts.Pool.Open(ctx, m.PeerAddr, peerpb.Kind_KIND_KEYED_CALL)
 	if err != nil {
-		return unresolved(err)
+		return keyUnresolvedError(err)
 	}
 	defer st.Close()
 	defer st.BindContext(ctx)()
@@ -165,12 +165,12 @@
 	body.SetFields(w.Header(), head.GetFields())
 	w.WriteHeader(int(head.GetStatus()))
 	if _, err := copyFlushing(w, body.NewReader(st), false); err != nil {
-		return errors.Mark(errkind.Wrap(errkind.OutcomeUnknown, err, "stream the answer"), errAnswerCut)
+		return errors.Mark(errkind.Wrap(errkind.OutcomeUnknown, err, "stream the answer"), errResponseTruncated)
 	}
 	return nil
 }
 
-func unresolved(err error) error {
+func keyUnresolvedError(err error) error {
 	return errkind.Wrap(errkind.KeyUnresolved, err, "the daemon that issued the key does not answer")
 }
 
@@ -179,14 +179,14 @@
 	req := c.callHead(ctx, nil)
 	req.IdempotencyKey = key.String()
 	if err := st.Queue(req); err != nil {
-		return nil, unresolved(err)
+		return nil, keyUnresolvedError(err)
 	}
-	if err := body.Send(st, c.heldBody(), int64(len(c.held))); err != nil {
-		return nil, unresolved(err)
+	if err := body.Send(st, c.bufferedBody(), int64(len(c.buffered))); err != nil {
+		return nil, keyUnresolvedError(err)
 	}
 	head := new(peerpb.AnswerHead)
-	if err := st.RecvMax(head, maxAnswerHead); err != nil {
-		return nil, unresolved(err)
+	if err := st.RecvMax(head, maxHeadBytes); err != nil {
+		return nil, keyUnresolvedError(err)
 	}
 	if head.GetErrorKind() != "" {
 		return nil, gateError(head)
@@ -201,7 +201,7 @@
 	defer h.inFlight.Add(-1)
 	_ = st.SetReadDeadline(time.Now().Add(headTimeout))
 	head := new(peerpb.CallHead)
-	if err := st.RecvMax(head, maxAnswerHead); err != nil {
+	if err := st.RecvMax(head, maxHeadBytes); err != nil {
 		return errors.Wrap(err, "read keyed call")
 	}
 	ans, err := h.runForwarded(ctx, st, head)
@@ -213,7 +213,7 @@
 		}
 		return errors.CombineErrors(err, st.Send(refusal))
 	}
-	if err := st.Queue(keptHead(ans)); err != nil {
+	if err := st.Queue(recordedResponseHead(ans)); err != nil {
 		return err
 	}
 	return body.Send(st, bytes.NewReader(ans.Body), int64(len(ans.Body)))
@@ -241,7 +241,7 @@
 	c := &call{
 		h: h, snap: snap, service: head.GetService(), maxBody: h.opts.MaxBody,
 		terms: snapshot.CallTerms{NonIdempotent: true}, customer: head.GetCustomer(),
-		deadline: deadline, inherited: max(1, head.GetAttempt()), head: head, held: held,
+		deadline: deadline, inheritedAttempt: max(1, head.GetAttempt()), head: head, buffered: held,
 	}
 	c.identity, _ = quarantine.IdentityFrom(head.GetIdentity())
 	return c.runKeyed(ctx, key)
--- a/internal/proxy/outbound/issue.go
+++ b/internal/proxy/outbound/keys.go
@@ -43,7 +43,7 @@
 		// Keys of a host that leaves would soon be good for nothing.
 		return nil, errkind.New(errkind.Draining, "this host is leaving, ask another one for keys")
 	}
-	n, err := keyCount(r.URL.Query().Get("count"))
+	n, err := parseKeyCount(r.URL.Query().Get("count"))
 	if err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 	return out, nil
 }
 
-func keyCount(v string) (int, error) {
+func parseKeyCount(v string) (int, error) {
 	if v == "" {
 		return 1, nil
 	}
--- a/internal/proxy/outbound/log.go
+++ b/internal/proxy/outbound/log.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// answeredLines is how many log lines a second tell of requests that were
+	// maxRoutineLogRate is how many log lines a second tell of requests that were
 	// answered at the first try, in time. At some 300 bytes a line that is 10 KB a
 	// second at most; the others are told of whole.
-	answeredLines = 30
+	maxRoutineLogRate = 30
 )
 
-// logEnd tells how a request ended, and what decided it. Of those that went well
+// logRequestEnd tells how a request ended, and what decided it. Of those that went well
 // only some are told while there are many. callerGone is whether its caller had gone before
 // it was handled.
-func (h *Handler) logEnd(r *http.Request, c *call, err error, start time.Time, callerGone bool) {
+func (h *Handler) logRequestEnd(r *http.Request, c *call, err error, start time.Time, callerGone bool) {
 	took := time.Since(start)
 	if c == nil {
 		h.opts.Logger.Info("outbound: request not admitted",
@@ -27,10 +27,10 @@
 			"kind", errkind.Of(err), "took", took, "error", err)
 		return
 	}
-	if c.wentWell(err, took) && !callerGone && !h.lines.Allow() {
+	if c.isRoutine(err, took) && !callerGone && !h.logLimit.Allow() {
 		return
 	}
-	attrs := c.outcome(err, took)
+	attrs := c.endLogAttrs(err, took)
 	if callerGone {
 		attrs = append(attrs, "caller_gone", true)
 	}
@@ -41,20 +41,20 @@
 // before.
 func (h *Handler) RecordDisconnect(r *http.Request) {
 	h.opts.Metrics.CallerGone.Inc()
-	if h.lines.Allow() {
+	if h.logLimit.Allow() {
 		h.opts.Logger.Info("outbound: request not begun",
 			"request", dialect.Get(r.Header, h.opts.Dialect.RequestID), "virtual_host", r.Host, "path", rawPath(r),
 			"kind", errkind.Canceled, "run", errkind.NotRun, "error", "its caller has left")
 	}
 }
 
-// wentWell reports whether nothing about the request needs an explanation.
-func (c *call) wentWell(err error, took time.Duration) bool {
+// isRoutine reports whether nothing about the request needs an explanation.
+func (c *call) isRoutine(err error, took time.Duration) bool {
 	onTime := c.route == nil || c.route.Objective == 0 || took <= c.route.Objective
 	return err == nil && c.attempts == 1 && c.status < http.StatusInternalServerError && onTime
 }
 
-func (c *call) outcome(err error, took time.Duration) []any {
+func (c *call) endLogAttrs(err error, took time.Duration) []any {
 	attrs := []any{
 		"request", c.requestID, "service", c.service, "config", c.snap.Offset,
 		"non_idempotent", c.terms.NonIdempotent, "allowed", c.terms.MaxWait, "took", took,
@@ -63,8 +63,8 @@
 	if c.route != nil {
 		attrs = append(attrs, "route", c.route.Name, "priority", c.route.Priority, "objective", c.route.Objective, "began_before", c.start.Sub(c.request.FirstSent), "nested", c.request.Nested)
 	}
-	if c.last != nil {
-		attrs = append(attrs, "to", c.last.server.Host, "to_zone", c.last.server.AvailabilityZone)
+	if c.lastAttempt != nil {
+		attrs = append(attrs, "to", c.lastAttempt.server.Host, "to_zone", c.lastAttempt.server.AvailabilityZone)
 	}
 	if c.request.Nested {
 		attrs = append(attrs, "made_for", c.h.opts.Runs.PossibleParents(c.deadline))
@@ -75,10 +75,10 @@
 	return attrs
 }
 
-// logRetry tells what was decided after a failed attempt. Refusals for the length of
+// logFailedAttempt tells what was decided after a failed attempt. Refusals for the length of
 // a queue are only counted, in the line at the request's end: under overload there are
 // several for each request.
-func (c *call) logRetry(a *attempt, err error, again bool, reason string) {
+func (c *call) logFailedAttempt(a *attempt, err error, again bool, reason string) {
 	if errkind.Of(err) == errkind.Overloaded {
 		return
 	}
--- a/internal/proxy/outbound/settle.go
+++ b/internal/proxy/outbound/outcome.go
@@ -18,89 +18,89 @@
 // exchange, and up to 300 ms that it waits for an attempt that runs.
 const askTimeout = time.Second
 
-// askPause is the least time between two asks.
-const askPause = 50 * time.Millisecond
+// askInterval is the least time between two asks.
+const askInterval = 50 * time.Millisecond
 
-// keptAnswer is an answer that a gate had kept.
-type keptAnswer struct {
+// recordedResponse is an answer that a gate had kept.
+type recordedResponse struct {
 	head *peerpb.AnswerHead
 	body io.Reader
 }
 
-// settle turns a failed exchange into an answer or an error whose kind says no
+// resolveFailure turns a failed exchange into an answer or an error whose kind says no
 // more than is certain. Only a link that broke needs work: the gate may or may
 // not have run the call.
-func (a *attempt) settle(ctx context.Context, err error) (*keptAnswer, error) {
-	var lost *lostError
+func (a *attempt) resolveFailure(ctx context.Context, err error) (*recordedResponse, error) {
+	var lost *linkLostError
 	if !errors.As(err, &lost) {
 		return nil, err
 	}
-	if a.credit.partOnly() {
+	if a.credit.closeTruncated() {
 		// A gate that asks for parts begins with a whole body only.
 		a.arrived = false
-		return nil, a.unreachable(ctx, lost)
+		return nil, a.unreachableError(ctx, lost)
 	}
-	if isLeaving(ctx) && a.c.terms.NonIdempotent {
-		return a.askLast()
+	if isShuttingDown(ctx) && a.c.terms.NonIdempotent {
+		return a.askBeforeShutdown()
 	}
 	if ctx.Err() != nil {
-		a.cancel()
-		return nil, contextKind(ctx, errkind.Deadline)
+		a.sendCancel()
+		return nil, contextError(ctx, errkind.Deadline)
 	}
 	if !a.c.terms.NonIdempotent {
 		return nil, errkind.Wrap(errkind.BackendFailed, lost, "the link to the backend server's host broke")
 	}
-	return a.ask(ctx)
+	return a.askUntilKnown(ctx)
 }
 
-// lastAskTimeout bounds the ask of a host that is leaving: it has a sixth of the time
+// shutdownAskTimeout bounds the ask of a host that is leaving: it has a sixth of the time
 // until its kill for all that is left to do.
-const lastAskTimeout = 200 * time.Millisecond
+const shutdownAskTimeout = 200 * time.Millisecond
 
-// askLast asks once for a call that can wait no longer. Whatever the gate has barred has
+// askBeforeShutdown asks once for a call that can wait no longer. Whatever the gate has barred has
 // not run, and the caller may send it again.
-func (a *attempt) askLast() (*keptAnswer, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), lastAskTimeout)
+func (a *attempt) askBeforeShutdown() (*recordedResponse, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownAskTimeout)
 	defer cancel()
 	ans, _ := a.askOnce(ctx)
-	kept, kind, text := a.read(ans)
+	kept, kind, text := a.interpretOutcome(ans)
 	switch {
 	case kept != nil:
 		return kept, nil
 	case kind == errkind.Unreachable:
-		return nil, errkind.Wrap(errkind.Draining, errLeaving, text)
+		return nil, errkind.Wrap(errkind.Draining, errShuttingDown, text)
 	case kind != errkind.None:
 		return nil, errkind.New(kind, text)
 	}
-	return nil, errkind.Wrap(errkind.OutcomeUnknown, errLeaving, "the call still runs")
+	return nil, errkind.Wrap(errkind.OutcomeUnknown, errShuttingDown, "the call still runs")
 }
 
-// ask learns the outcome of a non-idempotent attempt over another stream; the
+// askUntilKnown learns the outcome of a non-idempotent attempt over another stream; the
 // pool has connected anew if the session itself broke or was silent. The gate
 // bars an attempt that has not started, so that "not run" stays true. It is
 // asked until it answers or the call's time is up: a gate that cannot be asked
 // leaves the outcome unknown.
-func (a *attempt) ask(ctx context.Context) (*keptAnswer, error) {
+func (a *attempt) askUntilKnown(ctx context.Context) (*recordedResponse, error) {
 	for {
 		ans, err := a.askOnce(ctx)
-		if err != nil && (a.gone() || errors.Is(err, syscall.ECONNREFUSED)) {
+		if err != nil && (a.gateGone() || errors.Is(err, syscall.ECONNREFUSED)) {
 			a.c.h.opts.Metrics.Ask(peerpb.Outcome_OUTCOME_UNKNOWN)
 			return nil, errkind.Wrap(errkind.OutcomeUnknown, err, "the backend server's host is gone")
 		}
-		if kept, kind, text := a.read(ans); kept != nil {
+		if kept, kind, text := a.interpretOutcome(ans); kept != nil {
 			return kept, nil
 		} else if kind != errkind.None {
 			return nil, errkind.New(kind, text)
 		}
-		if !loop.Sleep(ctx, askPause) {
-			return nil, contextKind(ctx, errkind.Deadline)
+		if !loop.Sleep(ctx, askInterval) {
+			return nil, contextError(ctx, errkind.Deadline)
 		}
 	}
 }
 
-// read returns the kept answer, or the kind of error that an outcome stands
+// interpretOutcome returns the kept answer, or the kind of error that an outcome stands
 // for; neither while the outcome is open.
-func (a *attempt) read(ans *peerpb.AskAnswer) (*keptAnswer, errkind.Kind, string) {
+func (a *attempt) interpretOutcome(ans *peerpb.AskAnswer) (*recordedResponse, errkind.Kind, string) {
 	switch ans.GetOutcome() {
 	case peerpb.Outcome_OUTCOME_NOT_RUN:
 		a.arrived = false
@@ -111,13 +111,13 @@
 		if ans.GetAnswer() == nil {
 			return nil, errkind.OutcomeUnknown, "the call ran, its answer is no longer kept"
 		}
-		return &keptAnswer{head: ans.GetAnswer(), body: bytes.NewReader(ans.GetBody())}, errkind.None, ""
+		return &recordedResponse{head: ans.GetAnswer(), body: bytes.NewReader(ans.GetBody())}, errkind.None, ""
 	}
 	return nil, errkind.None, ""
 }
 
-// gone reports whether the life of the gate that the attempt went to has ended.
-func (a *attempt) gone() bool {
+// gateGone reports whether the life of the gate that the attempt went to has ended.
+func (a *attempt) gateGone() bool {
 	m := a.c.h.opts.Board.Members.Load().Find(a.server.Host)
 	return m == nil || m.Boot != a.server.Boot || !m.Usable()
 }
--- a/internal/proxy/outbound/choose.go
+++ b/internal/proxy/outbound/pick.go
@@ -14,18 +14,18 @@
 // may.
 func (c *call) pick() (*balance.Lease, error) {
 	servers := c.snap.Backends(c.service)
-	need := balance.PickOptions{Exclude: c.wasTried, RemoteCost: c.remoteCost()}
+	opts := balance.PickOptions{Exclude: c.wasTried, RemoteCost: c.remoteCost()}
 	if c.route != nil {
-		need.Objective = c.route.Objective
+		opts.Objective = c.route.Objective
 	}
 	if !c.h.opts.TryBusyGates {
-		need.MaxWait = c.maxQueue()
+		opts.MaxWait = c.maxQueueTime()
 	}
-	lease, err := c.h.opts.Picker.PickWithOptions(servers, need)
-	if err != nil && !c.patient && c.route != nil {
-		c.patient, c.tried = true, nil
-		need.MaxWait = c.maxQueue()
-		lease, err = c.h.opts.Picker.PickWithOptions(servers, need)
+	lease, err := c.h.opts.Picker.PickWithOptions(servers, opts)
+	if err != nil && !c.fullWait && c.route != nil {
+		c.fullWait, c.tried = true, nil
+		opts.MaxWait = c.maxQueueTime()
+		lease, err = c.h.opts.Picker.PickWithOptions(servers, opts)
 	}
 	if err != nil {
 		return nil, err
@@ -44,18 +44,18 @@
 	if objective == 0 {
 		objective = c.terms.MaxWait
 	}
-	kilobytes := (float64(len(c.held)) + c.h.sizes.of(c.route.Name)) / 1000
+	kilobytes := (float64(len(c.buffered)) + c.h.responseSizes.mean(c.route.Name)) / 1000
 	return time.Duration(kilobytes * objective.Seconds() * float64(c.h.opts.KilobyteCost()))
 }
 
-// maxQueue returns how long the next attempt may have to wait for a slot, 0 for as long as
+// maxQueueTime returns how long the next attempt may have to wait for a slot, 0 for as long as
 // its time allows.
-func (c *call) maxQueue() time.Duration {
+func (c *call) maxQueueTime() time.Duration {
 	if c.route == nil {
 		return 0
 	}
-	tries := admission.AttemptHistory{Refusals: c.refusals, FullWait: c.patient, RemoteCost: c.remoteCost()}
-	return c.request.MaxWait(tries, time.Now())
+	history := admission.AttemptHistory{Refusals: c.refusals, FullWait: c.fullWait, RemoteCost: c.remoteCost()}
+	return c.request.MaxWait(history, time.Now())
 }
 
 func (c *call) wasTried(id backend.ID) bool { return slices.Contains(c.tried, id) }
--- a/internal/proxy/outbound/answer.go
+++ b/internal/proxy/outbound/response.go
@@ -20,13 +20,13 @@
 	HeaderConfig = "Crocuscross-Config"
 )
 
-// copyBytes is how much of an answer is held at once.
-const copyBytes = 32 << 10
+// copyBufferBytes is how much of an answer is held at once.
+const copyBufferBytes = 32 << 10
 
-var copyBuffers = sync.Pool{New: func() any { return new([copyBytes]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
 // writeTo streams the answer to the caller.
-func (s *answered) writeTo(w http.ResponseWriter) error {
+func (s *pendingResponse) writeTo(w http.ResponseWriter) error {
 	c := s.a.c
 	s.setHeader(w.Header())
 	w.Header().Set(HeaderServedBy, s.a.server.Host)
@@ -34,17 +34,17 @@
 	w.WriteHeader(int(s.head.GetStatus()))
 	n, err := copyFlushing(w, s.body, s.head.GetContentLength() < 0)
 	if c.route != nil {
-		c.h.sizes.add(c.route.Name, n)
+		c.h.responseSizes.observe(c.route.Name, n)
 	}
 	if err != nil {
 		s.close(errkind.BackendFailed)
-		return errors.Mark(errkind.Wrap(errkind.BackendFailed, err, "stream the answer"), errAnswerCut)
+		return errors.Mark(errkind.Wrap(errkind.BackendFailed, err, "stream the answer"), errResponseTruncated)
 	}
 	s.close(errkind.None)
 	return nil
 }
 
-func (s *answered) setHeader(h http.Header) {
+func (s *pendingResponse) setHeader(h http.Header) {
 	body.SetFields(h, s.head.GetFields())
 	if n := s.head.GetContentLength(); n >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(n, 10))
@@ -54,7 +54,7 @@
 // copyFlushing copies a body and returns its length. One without a known length is flushed chunk by
 // chunk, so that a caller sees each part when it comes.
 func copyFlushing(w http.ResponseWriter, src io.Reader, flush bool) (int64, error) {
-	buf := copyBuffers.Get().(*[copyBytes]byte)
+	buf := copyBuffers.Get().(*[copyBufferBytes]byte)
 	defer copyBuffers.Put(buf)
 	rc := http.NewResponseController(w)
 	total := int64(0)
--- a/internal/proxy/outbound/again.go
+++ b/internal/proxy/outbound/retry.go
@@ -9,11 +9,11 @@
 	"github.com/crocuscross/crocuscross/retry"
 )
 
-// count counts the call where it counts for the retries that a service may get.
-func (c *call) count() {
+// recordForRetryBudget counts the call where it counts for the retries that a service may get.
+func (c *call) recordForRetryBudget() {
 	switch {
 	case c.route == nil:
-		c.h.opts.Budgets.Deposit(contractCalls)
+		c.h.opts.Budgets.Deposit(contractBudget)
 	case c.request.Nested:
 		c.h.opts.CalleeStats.AddCall(c.service)
 	default:
@@ -21,50 +21,50 @@
 	}
 }
 
-// contractCalls stands for all services in the budget of calls under contracts.
-const contractCalls = ""
+// contractBudget stands for all services in the budget of calls under contracts.
+const contractBudget = ""
 
-// retryNeeds returns what sending the call again costs, and where.
-func (c *call) retryNeeds() []retry.ServiceCost {
+// retryCosts returns what sending the call again costs, and where.
+func (c *call) retryCosts() []retry.ServiceCost {
 	if c.route == nil {
-		return []retry.ServiceCost{{Service: contractCalls, Calls: 1}}
+		return []retry.ServiceCost{{Service: contractBudget, Calls: 1}}
 	}
-	var needs []retry.ServiceCost
+	var costs []retry.ServiceCost
 	for _, callee := range c.h.opts.CallGraph.CallsPerRequest(c.service) {
-		needs = append(needs, retry.ServiceCost(callee))
+		costs = append(costs, retry.ServiceCost(callee))
 	}
-	return needs
+	return costs
 }
 
-// answerIsWorse reports whether another backend server may give a better answer to
+// isRetryableResponse reports whether another backend server may give a better answer to
 // a call that may be repeated.
-func (c *call) answerIsWorse(a *answered) bool {
+func (c *call) isRetryableResponse(a *pendingResponse) bool {
 	return c.route != nil && !c.terms.NonIdempotent && a.head.GetStatus() == http.StatusInternalServerError
 }
 
-// mayRetry decides whether another attempt may follow a failed one.
-func (c *call) mayRetry(ctx context.Context, a *attempt, err error) bool {
-	if ctx.Err() != nil || c.streamed {
-		c.logRetry(a, err, false, "ended")
+// shouldRetry decides whether another attempt may follow a failed one.
+func (c *call) shouldRetry(ctx context.Context, a *attempt, err error) bool {
+	if ctx.Err() != nil || c.streamRead {
+		c.logFailedAttempt(a, err, false, "ended")
 		return false
 	}
 	d := retry.Allowed(errkind.Of(err), c.retryCall(a))
-	again := d.Retry && (d.BudgetExempt || c.h.opts.Budgets.Withdraw(c.retryNeeds()...))
+	again := d.Retry && (d.BudgetExempt || c.h.opts.Budgets.Withdraw(c.retryCosts()...))
 	reason := string(d.Reason)
 	if d.Retry && !again {
 		reason = "budget"
 	}
-	c.logRetry(a, err, again, reason)
+	c.logFailedAttempt(a, err, again, reason)
 	return again
 }
 
 func (c *call) retryCall(a *attempt) retry.Call {
 	r := retry.Call{
-		InheritedAttempt: int(c.inherited),
+		InheritedAttempt: int(c.inheritedAttempt),
 		Attempts:         c.attempts,
 		NonIdempotent:    c.terms.NonIdempotent,
 		Remaining:        time.Until(c.deadline),
-		Expected:         leastAttempt,
+		Expected:         minAttemptTime,
 		Crashes:          c.crashes,
 	}
 	if c.route != nil {
--- a/internal/proxy/outbound/upload_test.go
+++ b/internal/proxy/outbound/upload_test.go
@@ -22,13 +22,13 @@
 			w.WriteHeader(http.StatusTeapot)
 			return
 		}
-		a := &attempt{upload: make(chan struct{}), c: &call{
-			stream: &streamedBody{src: r.Body}, control: http.NewResponseController(w),
+		a := &attempt{uploadDone: make(chan struct{}), c: &call{
+			stream: &streamedBody{src: r.Body}, responseController: http.NewResponseController(w),
 		}}
-		_ = a.c.control.SetReadDeadline(time.Now().Add(time.Minute))
+		_ = a.c.responseController.SetReadDeadline(time.Now().Add(time.Minute))
 		read := make(chan struct{})
 		go func() {
-			defer close(a.upload)
+			defer close(a.uploadDone)
 			_, _ = io.Copy(io.Discard, a.c.stream)
 			close(read)
 			// Holds the last chunk until the answer is there.
