--- a/internal/proxy/outbound/anonymous.go
+++ b/internal/proxy/outbound/anonymous.go
@@ -30,18 +30,18 @@
 	if allowed == 0 {
 		allowed = defaultTimeout
 	}
-	wait, err := h.callTimeout(r.Header, allowed)
+	timeout, err := h.callTimeout(r.Header, allowed)
 	if err != nil {
 		return nil, err
 	}
 	c := &call{
 		h: h, snap: snap, service: route.Service(rand.Uint32N), route: route,
 		terms: snapshot.CallTerms{NonIdempotent: route.NonIdempotent(), MaxWait: allowed},
-		start: start, deadline: start.Add(wait), inheritedAttempt: 1, maxBody: h.opts.MaxBody,
+		start: start, deadline: start.Add(timeout), inheritedAttempt: 1, maxBody: h.opts.MaxBody,
 		requestID: dialect.Get(r.Header, h.opts.Dialect.RequestID),
-		origin:    h.opts.Runs.Origin(start.Add(wait), start),
+		origin:    h.opts.Runs.Origin(start.Add(timeout), start),
 	}
-	c.request = h.admissionRequest(c, wait)
+	c.request = h.admissionRequest(c, timeout)
 	if limit := doc.Limits.MaxBodyBytes; limit > 0 {
 		c.maxBody = min(c.maxBody, limit)
 	}
@@ -49,14 +49,14 @@
 }
 
 // admissionRequest returns the properties that determine how the call is treated under
-// overload. wait is the time limit that the call arrived with.
-func (h *Handler) admissionRequest(c *call, wait time.Duration) admission.Request {
+// overload. timeout is the call's time limit.
+func (h *Handler) admissionRequest(c *call, timeout time.Duration) admission.Request {
 	r := admission.Request{
 		Nested: h.opts.NestedRoutes.Contains(c.route.Name), Priority: c.route.Priority, Objective: c.route.Objective,
 		FirstSent: c.start, Arrived: c.start, Deadline: c.deadline,
 	}
 	if !r.Nested && !h.opts.IgnoreCallerRetries {
-		r.FirstSent = c.start.Add(-h.initialTimeouts.Elapsed(c.route.Name, wait))
+		r.FirstSent = c.start.Add(-h.initialTimeouts.Elapsed(c.route.Name, timeout))
 	}
 	return r
 }
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -79,16 +79,16 @@
 	if err == nil {
 		return &pendingResponse{a: a, head: head, body: src, latency: latency}, nil
 	}
-	kept, err := a.resolveFailure(ctx, err)
+	recorded, err := a.resolveFailure(ctx, err)
 	a.close(balance.Result{Kind: errkind.Of(err), Latency: a.latency(), Load: loadFromHead(head)})
 	if err != nil {
 		return nil, err
 	}
-	return &pendingResponse{a: a, head: kept.head, body: kept.body, closed: true}, nil
+	return &pendingResponse{a: a, head: recorded.head, body: recorded.body, closed: true}, nil
 }
 
-// latency returns the time since the attempt began as a measure of the backend server, or 0 if
-// it is none: the duration of a streamed upload depends on the caller.
+// latency returns the time since the attempt began as a sample of the backend server's latency,
+// or 0 if it is no such sample: the duration of a streamed upload depends on the caller.
 func (a *attempt) latency() time.Duration {
 	if a.uploadDone != nil && a.c.stream != nil {
 		return 0
@@ -112,7 +112,7 @@
 	a.st = st
 	a.unbindReads = st.BindReads(ctx)
 	_ = st.SetWriteDeadline(a.c.deadline)
-	// The call may arrive from here on, unless the gate reports that it did not.
+	// From here on the call may reach the backend server, unless the gate reports otherwise.
 	a.arrived = true
 	head := a.c.callHead(ctx, a.id[:])
 	head.ExpectContinue = a.expectContinue
@@ -185,14 +185,14 @@
 	if n := head.GetContentLength(); n < 0 || n > body.MaxBufferedResponse {
 		return src, nil
 	}
-	held, err := io.ReadAll(src)
+	buf, err := io.ReadAll(src)
 	if errors.Is(err, body.ErrAborted) {
 		return nil, errkind.Wrap(errkind.BackendFailed, err, "the backend server ended its response early")
 	}
 	if err != nil {
 		return nil, newLinkLostError(err)
 	}
-	return bytes.NewReader(held), nil
+	return bytes.NewReader(buf), nil
 }
 
 // continueUpload starts sending the body or, if that has begun, lets it continue. It allows the
@@ -254,8 +254,8 @@
 	a.c.clearReadDeadline()
 }
 
-// sendCancel notifies the gate that the caller no longer waits for the response. While the body
-// is still being sent, the end of the stream notifies the gate instead.
+// sendCancel notifies the gate that the caller no longer waits for the response. If the body
+// has not been sent whole, the end of the stream notifies the gate instead.
 func (a *attempt) sendCancel() {
 	if a.st == nil || !a.bodySent && !a.uploadComplete() {
 		return
@@ -264,8 +264,8 @@
 	_ = body.SendAbort(a.st, errkind.Canceled)
 }
 
-// uploadComplete reports whether the body was sent whole after the gate had asked for it. It
-// waits up to cancelTimeout for a sending that is about to end.
+// uploadComplete reports whether the body was sent whole after the gate had asked for it. If
+// only the end of the body is still being sent, it waits for that for up to cancelTimeout.
 func (a *attempt) uploadComplete() bool {
 	if a.uploadDone == nil || a.c.stream != nil && !a.c.stream.ended.Load() {
 		return false
@@ -278,16 +278,16 @@
 	}
 }
 
-// handleRefusal invalidates the attempt's lane or records a quarantine verdict if the gate
-// reported that, and returns the refusal as an error.
+// handleRefusal returns a gate's refusal as an error. It invalidates the attempt's lane if the
+// gate barred the attempt, and records a verdict if the gate quarantined the request.
 func (a *attempt) handleRefusal(head *peerpb.AnswerHead) error {
 	err := gateError(head)
 	switch errkind.Of(err) {
 	case errkind.Barred:
 		a.c.h.idAllocator.Invalidate(a.gate(), a.id)
 	case errkind.Quarantined:
-		left := errkind.RetryAfterOf(err)
-		a.c.h.opts.Quarantine.Add(quarantine.Verdict{Identity: a.c.identity, Until: time.Now().Add(left), Duration: left})
+		remaining := errkind.RetryAfterOf(err)
+		a.c.h.opts.Quarantine.Add(quarantine.Verdict{Identity: a.c.identity, Until: time.Now().Add(remaining), Duration: remaining})
 	}
 	return err
 }
@@ -333,7 +333,8 @@
 	head    *peerpb.AnswerHead
 	body    io.Reader
 	latency time.Duration
-	// closed is set once the attempt has ended, with the body in memory.
+	// closed is set once the attempt has ended, from the start for a recorded response, whose
+	// body is in memory.
 	closed bool
 }
 
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -103,7 +103,8 @@
 	// streamRead is set once some of stream may have been read, which rules out another
 	// attempt.
 	streamRead bool
-	// tried lists the backend servers that were picked already.
+	// tried lists the backend servers that were picked already. It is cleared when fullWait is
+	// set.
 	tried []backend.ID
 	// responseController controls the caller's connection.
 	responseController *http.ResponseController
@@ -257,7 +258,7 @@
 // callHead returns the message head of the current attempt. id identifies a non-idempotent
 // attempt at the gate, and is zero or nil for other attempts.
 func (c *call) callHead(ctx context.Context, id []byte) *peerpb.CallHead {
-	left := time.Until(c.deadline)
+	remaining := time.Until(c.deadline)
 	h := &peerpb.CallHead{
 		AttemptId:      id,
 		Customer:       c.head.Customer,
@@ -287,8 +288,8 @@
 	if c.route != nil {
 		h.ObjectiveLeftMs = uint32(c.request.ObjectiveLeft(time.Now()) / time.Millisecond)
 	}
-	if left > 0 {
-		h.RemainingMs = uint32(left / time.Millisecond)
+	if remaining > 0 {
+		h.RemainingMs = uint32(remaining / time.Millisecond)
 	}
 	return h
 }
--- a/internal/proxy/outbound/credit_test.go
+++ b/internal/proxy/outbound/credit_test.go
@@ -45,11 +45,11 @@
 
 // When the link is lost, the call cannot have run if the gate can never receive the whole body.
 func TestCreditReader_ReportsTruncation(t *testing.T) {
-	for allowed, part := range map[int64]bool{4: true, 8: false} {
+	for allowed, truncated := range map[int64]bool{4: true, 8: false} {
 		c := newCreditReader(strings.NewReader("question"), 8, allowed)
 		_, err := c.Read(make([]byte, 32))
 		must.NoError(t, err)
-		must.Eq(t, part, c.closeTruncated())
+		must.Eq(t, truncated, c.closeTruncated())
 		_, err = c.Read(make([]byte, 32))
 		must.ErrorIs(t, err, errAttemptEnded)
 	}
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -125,9 +125,9 @@
 // InFlight returns the number of requests in progress.
 func (h *Handler) InFlight() int { return int(h.inFlight.Load()) }
 
-// CancelCalls cancels the calls in progress, because a call without an answer when the process
-// exits gets none. Callers are told whether their call has certainly not run or may have run. A
-// call whose gate already holds the response is still answered with it.
+// CancelCalls cancels the calls in progress shortly before the process exits, when calls still
+// in progress would get no response at all. The response to a canceled call states that the
+// call has not run or may have run, unless its gate has recorded a response already.
 func (h *Handler) CancelCalls() {
 	h.running.Range(func(call, cancel any) bool {
 		cancel.(context.CancelCauseFunc)(errShuttingDown)
@@ -188,15 +188,15 @@
 	}
 	ctx, cancel := context.WithDeadlineCause(ctx, c.deadline, errDeadline)
 	defer cancel()
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	h.running.Store(c, giveUp)
+	ctx, cancelCall := context.WithCancelCause(ctx)
+	defer cancelCall(nil)
+	h.running.Store(c, cancelCall)
 	defer h.running.Delete(c)
 	if err := c.readBody(ctx, w, r); err != nil {
 		return c, rejectedBeforeKeyLookup(key, err)
 	}
-	if left := h.opts.Quarantine.QuarantinedFor(c.identity); left > 0 {
-		return c, rejectedBeforeKeyLookup(key, quarantine.Refusal(left))
+	if remaining := h.opts.Quarantine.QuarantinedFor(c.identity); remaining > 0 {
+		return c, rejectedBeforeKeyLookup(key, quarantine.Refusal(remaining))
 	}
 	if key != "" && c.terms.NonIdempotent && c.route == nil {
 		return c, c.serveKeyed(ctx, w, key)
@@ -240,7 +240,7 @@
 		return nil, noRouteError(snap, r.URL.Path)
 	}
 	terms := contract.Terms(r.Method, r.URL.Path)
-	wait, err := h.callTimeout(r.Header, terms.MaxWait)
+	timeout, err := h.callTimeout(r.Header, terms.MaxWait)
 	if err != nil {
 		return nil, err
 	}
@@ -254,7 +254,7 @@
 	}
 	return &call{
 		h: h, snap: snap, service: route.Service, terms: terms, customer: customer, grant: grant,
-		deadline: start.Add(wait), inheritedAttempt: attempt, maxBody: h.opts.MaxBody,
+		deadline: start.Add(timeout), inheritedAttempt: attempt, maxBody: h.opts.MaxBody,
 	}, nil
 }
 
--- a/internal/proxy/outbound/keyed.go
+++ b/internal/proxy/outbound/keyed.go
@@ -65,16 +65,16 @@
 	if c.stream == nil {
 		return nil
 	}
-	held, err := io.ReadAll(io.LimitReader(c.stream, maxKeyedBody+1))
+	buf, err := io.ReadAll(io.LimitReader(c.stream, maxKeyedBody+1))
 	if err != nil {
 		return bodyError(ctx, err)
 	}
-	if len(held) > maxKeyedBody {
+	if len(buf) > maxKeyedBody {
 		return errkind.Newf(errkind.TooLarge, "the body of a call with an idempotency key exceeds the limit of %d bytes", maxKeyedBody)
 	}
 	c.clearReadDeadline()
-	c.buffered, c.stream = held, nil
-	c.head.ContentLength = int64(len(held))
+	c.buffered, c.stream = buf, nil
+	c.head.ContentLength = int64(len(buf))
 	c.head.ExpectContinue = false
 	c.setIdentity()
 	return nil
@@ -227,8 +227,8 @@
 	_ = st.SetReadDeadline(deadline)
 	// A failure before the key is looked up says nothing about earlier requests with the key,
 	// so its kind is KeyUnresolved.
-	held, err := io.ReadAll(io.LimitReader(body.NewReader(st), maxKeyedBody+1))
-	if err != nil || len(held) > maxKeyedBody {
+	buf, err := io.ReadAll(io.LimitReader(body.NewReader(st), maxKeyedBody+1))
+	if err != nil || len(buf) > maxKeyedBody {
 		return nil, errkind.New(errkind.KeyUnresolved, "the body of the forwarded call is incomplete or too large")
 	}
 	snap := h.opts.Board.Snapshot.Load()
@@ -244,7 +244,7 @@
 	c := &call{
 		h: h, snap: snap, service: head.GetService(), maxBody: h.opts.MaxBody,
 		terms: snapshot.CallTerms{NonIdempotent: true}, customer: head.GetCustomer(),
-		deadline: deadline, inheritedAttempt: max(1, head.GetAttempt()), head: head, buffered: held,
+		deadline: deadline, inheritedAttempt: max(1, head.GetAttempt()), head: head, buffered: buf,
 	}
 	c.identity, _ = quarantine.IdentityFrom(head.GetIdentity())
 	return c.runKeyed(ctx, key)
--- a/internal/proxy/outbound/keys.go
+++ b/internal/proxy/outbound/keys.go
@@ -41,7 +41,7 @@
 		return nil, errkind.Newf(errkind.UnknownCustomer, "no contract for customer %q", customer)
 	}
 	if l := h.opts.Board.Lifecycle.Load(); l != nil && l.Phase >= blackboard.Draining {
-		// Keys become useless when the daemon that issued them ends.
+		// Keys become useless when the daemon that issued them exits.
 		return nil, errkind.New(errkind.Draining, "the daemon is shutting down, request keys from another host")
 	}
 	n, err := parseKeyCount(r.URL.Query().Get("count"))
--- a/internal/proxy/outbound/lane.go
+++ b/internal/proxy/outbound/lane.go
@@ -8,8 +8,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// openLane asks a gate for a lane, the sequence in which this daemon numbers its non-idempotent
-// attempts at the gate. Each gate that receives such attempts needs a lane of its own.
+// openLane asks a gate for a lane: a sequence of attempt IDs in which this daemon numbers its
+// non-idempotent attempts at that gate. It is called for each gate that receives such attempts.
 func (h *Handler) openLane(ctx context.Context, g once.GateID) (once.Lane, error) {
 	view := h.opts.Board.Members.Load()
 	m := view.Find(g.Host)
--- a/internal/proxy/outbound/log.go
+++ b/internal/proxy/outbound/log.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// maxRoutineLogRate limits the log lines per second for requests that need no explanation,
-	// see isRoutine. At some 300 bytes a line they amount to at most 10 KB/s. All other
-	// requests are logged.
+	// maxRoutineLogRate is the maximum number of log lines per second for routine requests (see
+	// isRoutine). At some 300 bytes a line these amount to at most 10 KB/s. All other requests
+	// are logged.
 	maxRoutineLogRate = 30
 )
 
@@ -37,8 +37,8 @@
 	h.opts.Logger.Info("outbound: request ended", attrs...)
 }
 
-// RecordDisconnect counts and logs a request that is not handled because its caller
-// disconnected before.
+// RecordDisconnect counts a request that is not handled because its caller has disconnected,
+// and logs it up to maxRoutineLogRate.
 func (h *Handler) RecordDisconnect(r *http.Request) {
 	h.opts.Metrics.CallerGone.Inc()
 	if h.logLimit.Allow() {
@@ -80,13 +80,13 @@
 // logFailedAttempt logs a failed attempt and the decision to retry. Refusals with kind
 // Overloaded are only counted, in the log line at the end of the request: under overload there
 // are several for each request.
-func (c *call) logFailedAttempt(a *attempt, err error, again bool, reason string) {
+func (c *call) logFailedAttempt(a *attempt, err error, retrying bool, reason string) {
 	if errkind.Of(err) == errkind.Overloaded {
 		return
 	}
 	c.h.opts.Logger.Info("outbound: attempt failed",
 		"request", c.requestID, "service", c.service, "attempt", c.attempts, "to", a.server.Host,
 		"to_zone", a.server.AvailabilityZone, "kind", string(errkind.Of(err)), "arrived", a.arrived,
-		"config", c.snap.Offset, "left", time.Until(c.deadline), "took", time.Since(a.start), "again", again, "reason", reason,
+		"config", c.snap.Offset, "left", time.Until(c.deadline), "took", time.Since(a.start), "again", retrying, "reason", reason,
 		slog.Any("error", err))
 }
--- a/internal/proxy/outbound/outcome.go
+++ b/internal/proxy/outbound/outcome.go
@@ -54,20 +54,20 @@
 	return a.askUntilKnown(ctx)
 }
 
-// shutdownAskTimeout bounds an ask while the daemon shuts down. A sixth of the time until the
-// process is killed is left for everything that remains to be done.
+// shutdownAskTimeout bounds an ask while the daemon shuts down. After the drain only a sixth of
+// the time until the process is killed remains, for this ask and all other steps.
 const shutdownAskTimeout = 200 * time.Millisecond
 
-// askBeforeShutdown asks once for the outcome of a call that can wait no longer. An attempt
+// askBeforeShutdown asks once for the outcome of a call that cannot wait any longer. An attempt
 // that the gate bars has not run, so the caller may send the call again.
 func (a *attempt) askBeforeShutdown() (*recordedResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownAskTimeout)
 	defer cancel()
 	ans, _ := a.askOnce(ctx)
-	kept, kind, text := a.interpretOutcome(ans)
+	recorded, kind, text := a.interpretOutcome(ans)
 	switch {
-	case kept != nil:
-		return kept, nil
+	case recorded != nil:
+		return recorded, nil
 	case kind == errkind.Unreachable:
 		return nil, errkind.Wrap(errkind.Draining, errShuttingDown, text)
 	case kind != errkind.None:
@@ -87,8 +87,8 @@
 			a.c.h.opts.Metrics.Ask(peerpb.Outcome_OUTCOME_UNKNOWN)
 			return nil, errkind.Wrap(errkind.OutcomeUnknown, err, "the daemon on the backend server's host is gone")
 		}
-		if kept, kind, text := a.interpretOutcome(ans); kept != nil {
-			return kept, nil
+		if recorded, kind, text := a.interpretOutcome(ans); recorded != nil {
+			return recorded, nil
 		} else if kind != errkind.None {
 			return nil, errkind.New(kind, text)
 		}
--- a/internal/proxy/outbound/retry.go
+++ b/internal/proxy/outbound/retry.go
@@ -46,21 +46,21 @@
 	return c.route != nil && !c.terms.NonIdempotent && a.head.GetStatus() == http.StatusInternalServerError
 }
 
-// shouldRetry decides whether another attempt follows the failed one, withdraws it from the
-// retry budget and logs the decision.
+// shouldRetry decides whether another attempt follows the failed attempt a, withdraws the cost
+// of the retry from the retry budgets and logs the decision.
 func (c *call) shouldRetry(ctx context.Context, a *attempt, err error) bool {
 	if ctx.Err() != nil || c.streamRead {
 		c.logFailedAttempt(a, err, false, "ended")
 		return false
 	}
 	d := retry.Allowed(errkind.Of(err), c.retryCall(a))
-	again := d.Retry && (d.BudgetExempt || c.h.opts.Budgets.Withdraw(c.retryCosts()...))
+	retrying := d.Retry && (d.BudgetExempt || c.h.opts.Budgets.Withdraw(c.retryCosts()...))
 	reason := string(d.Reason)
-	if d.Retry && !again {
+	if d.Retry && !retrying {
 		reason = "budget"
 	}
-	c.logFailedAttempt(a, err, again, reason)
-	return again
+	c.logFailedAttempt(a, err, retrying, reason)
+	return retrying
 }
 
 func (c *call) retryCall(a *attempt) retry.Call {
--- a/internal/proxy/outbound/upload_test.go
+++ b/internal/proxy/outbound/upload_test.go
@@ -26,15 +26,15 @@
 			stream: &streamedBody{src: r.Body}, responseController: http.NewResponseController(w),
 		}}
 		_ = a.c.responseController.SetReadDeadline(time.Now().Add(time.Minute))
-		read := make(chan struct{})
+		bodyRead := make(chan struct{})
 		go func() {
 			defer close(a.uploadDone)
 			_, _ = io.Copy(io.Discard, a.c.stream)
-			close(read)
+			close(bodyRead)
 			// Holds the last chunk until the response is complete.
 			<-r.Context().Done()
 		}()
-		<-read
+		<-bodyRead
 		// The server's own read began at the end of the body.
 		done := make(chan struct{})
 		go func() { a.endUpload(); close(done) }()
