--- a/internal/proxy/outbound/anonymous.go
+++ b/internal/proxy/outbound/anonymous.go
@@ -41,7 +41,7 @@
 		requestID: dialect.Get(r.Header, h.opts.Dialect.RequestID),
 		origin:    h.opts.Runs.Origin(start.Add(timeout), start),
 	}
-	c.request = h.admissionRequest(c, timeout)
+	c.admissionRequest = h.admissionRequest(c, timeout)
 	if limit := doc.Limits.MaxBodyBytes; limit > 0 {
 		c.maxBody = min(c.maxBody, limit)
 	}
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -64,9 +64,9 @@
 	// start is when the request arrived, set only for a call under a document's terms.
 	start    time.Time
 	deadline time.Time
-	// request holds the properties that determine how the call is treated under overload, set
-	// only for a call under a document's terms.
-	request admission.Request
+	// admissionRequest holds the properties that determine how the call is treated under
+	// overload, set only for a call under a document's terms.
+	admissionRequest admission.Request
 	// origin is whether this host's backend server may have made the call.
 	origin admission.Origin
 	// maxBody is the largest accepted request body, in bytes.
@@ -134,10 +134,10 @@
 		RequestId:     c.requestID,
 	}
 	if c.route != nil {
-		c.head.Priority = uint32(c.request.Rank())
+		c.head.Priority = uint32(c.admissionRequest.Rank())
 		c.head.Route = c.route.Name
 		c.head.Origin = originToProto[c.origin]
-		c.head.Nested = c.request.Nested
+		c.head.Nested = c.admissionRequest.Nested
 	}
 	c.responseController = http.NewResponseController(w)
 	if err := c.receiveBody(ctx, w, r); err != nil {
@@ -286,7 +286,7 @@
 		SentAtUs:       transit.Stamp(),
 	}
 	if c.route != nil {
-		h.ObjectiveLeftMs = uint32(c.request.ObjectiveLeft(time.Now()) / time.Millisecond)
+		h.ObjectiveLeftMs = uint32(c.admissionRequest.ObjectiveLeft(time.Now()) / time.Millisecond)
 	}
 	if remaining > 0 {
 		h.RemainingMs = uint32(remaining / time.Millisecond)
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -244,7 +244,7 @@
 	if err != nil {
 		return nil, err
 	}
-	attempt, err := h.inheritedAttempt(r.Header)
+	attempt, err := h.attemptNumber(r.Header)
 	if err != nil {
 		return nil, err
 	}
@@ -281,8 +281,8 @@
 	return min(allowed, time.Duration(ms)*time.Millisecond), nil
 }
 
-// inheritedAttempt returns the attempt number in the request header, 1 if there is none.
-func (h *Handler) inheritedAttempt(header http.Header) (uint32, error) {
+// attemptNumber returns the attempt number in the request header, 1 if there is none.
+func (h *Handler) attemptNumber(header http.Header) (uint32, error) {
 	v := dialect.Get(header, h.opts.Dialect.Attempt)
 	if v == "" {
 		return 1, nil
--- a/internal/proxy/outbound/pick.go
+++ b/internal/proxy/outbound/pick.go
@@ -55,7 +55,7 @@
 		return 0
 	}
 	history := admission.AttemptHistory{Refusals: c.refusals, FullWait: c.fullWait, RemoteCost: c.remoteCost()}
-	return c.request.MaxWait(history, time.Now())
+	return c.admissionRequest.MaxWait(history, time.Now())
 }
 
 func (c *call) wasTried(id backend.ID) bool { return slices.Contains(c.tried, id) }
--- a/internal/proxy/outbound/retry.go
+++ b/internal/proxy/outbound/retry.go
@@ -15,7 +15,7 @@
 	switch {
 	case c.route == nil:
 		c.h.opts.Budgets.Deposit(contractBudget)
-	case c.request.Nested:
+	case c.admissionRequest.Nested:
 		c.h.opts.CalleeStats.AddCall(c.service)
 	default:
 		c.h.opts.Budgets.Deposit(c.service)
