--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -25,7 +25,7 @@
 	cancelTimeout = 100 * time.Millisecond
 	// maxHeadBytes bounds the message that begins a call or a response, in bytes.
 	maxHeadBytes = 256 << 10
-	// statusContinue is the status of an AnswerHead that asks for the request body.
+	// statusContinue is the status of an AnswerHead by which a gate requests the body.
 	statusContinue = 100
 )
 
@@ -40,14 +40,14 @@
 	span        trace.Span
 	st          *peer.Stream
 	unbindReads func() bool
-	// expectContinue is whether the body is sent only once the gate asks for it.
+	// expectContinue is whether the body is sent only once the gate requests it.
 	expectContinue bool
-	// uploadDone is closed once the sending of a body that the gate asked for has ended, nil if
+	// uploadDone is closed once the sending of a body that the gate requested has ended, nil if
 	// it has not begun.
 	uploadDone chan struct{}
 	// uploadOK is whether that body was sent whole. It may be read once uploadDone is closed.
 	uploadOK bool
-	// credit limits the sent part of the body to what the gate asked for, nil for no limit.
+	// credit limits the sent part of the body to what the gate requested, nil for no limit.
 	credit *creditReader
 	// bodySent is whether the whole body was sent along with the head.
 	bodySent bool
@@ -122,8 +122,8 @@
 	return a.receiveHead()
 }
 
-// send sends the head and the buffered body, or only the head if the body must wait until the
-// gate asks for it.
+// send sends the head and the buffered body, or only the head if the gate must request the body
+// first.
 func (a *attempt) send(head *peerpb.CallHead) error {
 	if head.GetExpectContinue() {
 		return a.st.Send(head)
@@ -137,8 +137,8 @@
 	return nil
 }
 
-// assignID gives a non-idempotent attempt the ID by which the gate can be asked for its
-// outcome.
+// assignID gives a non-idempotent attempt the ID by which its outcome can be queried at the
+// gate.
 func (a *attempt) assignID(ctx context.Context) error {
 	if !a.c.terms.NonIdempotent {
 		return nil
@@ -158,7 +158,7 @@
 	return errkind.Wrap(errkind.Unreachable, err, "reach the backend server's host")
 }
 
-// receiveHead waits for the head of the response. When the gate asks for the body, it starts or
+// receiveHead waits for the head of the response. When the gate requests the body, it starts or
 // continues the upload.
 func (a *attempt) receiveHead() (*peerpb.AnswerHead, error) {
 	for {
@@ -264,7 +264,7 @@
 	_ = body.SendAbort(a.st, errkind.Canceled)
 }
 
-// uploadComplete reports whether the body was sent whole after the gate had asked for it. If
+// uploadComplete reports whether the body was sent whole after the gate had requested it. If
 // only the end of the body is still being sent, it waits for that for up to cancelTimeout.
 func (a *attempt) uploadComplete() bool {
 	if a.uploadDone == nil || a.c.stream != nil && !a.c.stream.ended.Load() {
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -35,7 +35,7 @@
 const maxEagerBody = 16 << 10
 
 // maxEagerBodyIfBusy replaces maxEagerBody if the gate is not known to have a free slot, in
-// bytes. Under overload most gates refuse, while waiting for the gate to ask for the body costs
+// bytes. Under overload most gates refuse, while waiting for the gate to request the body costs
 // a round trip of some 2 ms. With 11 hosts and a quarter of the requests carrying 4 kB, this
 // limit reduced the traffic between availability zones from 63 MB to 38 MB per minute.
 const maxEagerBodyIfBusy = 1 << 10
--- a/internal/proxy/outbound/credit.go
+++ b/internal/proxy/outbound/credit.go
@@ -7,11 +7,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// errAttemptEnded means that the attempt ended before the gate had asked for the rest of the
+// errAttemptEnded means that the attempt ended before the gate had requested the rest of the
 // body.
-var errAttemptEnded = errors.New("the attempt ended before the gate had asked for the rest of the body")
+var errAttemptEnded = errors.New("the attempt ended before the gate had requested the rest of the body")
 
-// creditReader reads a body no further than the gate has asked for. The methods other than Read
+// creditReader reads a body no further than the gate has requested. The methods other than Read
 // accept a nil *creditReader, which stands for a body without a limit.
 type creditReader struct {
 	src io.Reader
@@ -66,7 +66,7 @@
 	return !c.reading && c.sent < c.length
 }
 
-// Read implements io.Reader. It waits until the gate has asked for more of the body.
+// Read implements io.Reader. It waits until the gate has requested more of the body.
 func (c *creditReader) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	for c.available <= 0 && !c.closed {
--- a/internal/proxy/outbound/credit_test.go
+++ b/internal/proxy/outbound/credit_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// Guards against sending more of a body than the gate has asked for, here in two parts.
+// Guards against sending more of a body than the gate has requested, here in two parts.
 func TestCreditReader_WaitsForCredit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCreditReader(strings.NewReader("question and answer"), 19, 8)
@@ -27,7 +27,7 @@
 	})
 }
 
-// An attempt may end before the gate has asked for the rest of the body. A pending read must
+// An attempt may end before the gate has requested the rest of the body. A pending read must
 // return, since the call waits for it.
 func TestCreditReader_CloseUnblocksRead(t *testing.T) {
 	c := newCreditReader(strings.NewReader("question"), 8, 0)
--- a/internal/proxy/outbound/lane.go
+++ b/internal/proxy/outbound/lane.go
@@ -8,7 +8,7 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// openLane asks a gate for a lane: a sequence of attempt IDs in which this daemon numbers its
+// openLane requests a lane from a gate: a sequence of attempt IDs in which this daemon numbers its
 // non-idempotent attempts at that gate. It is called for each gate that receives such attempts.
 func (h *Handler) openLane(ctx context.Context, g once.GateID) (once.Lane, error) {
 	view := h.opts.Board.Members.Load()
--- a/internal/proxy/outbound/outcome.go
+++ b/internal/proxy/outbound/outcome.go
@@ -14,12 +14,12 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// askTimeout bounds one ask for the outcome of an attempt. A live gate needs time for
+// queryTimeout bounds one query for the outcome of an attempt. A live gate needs time for
 // connecting, for one exchange, and up to 300 ms to wait for a running attempt.
-const askTimeout = time.Second
+const queryTimeout = time.Second
 
-// askInterval is the pause between two asks.
-const askInterval = 50 * time.Millisecond
+// queryInterval is the pause between two queries.
+const queryInterval = 50 * time.Millisecond
 
 // recordedResponse is a response that a gate recorded for a non-idempotent attempt.
 type recordedResponse struct {
@@ -36,13 +36,13 @@
 		return nil, err
 	}
 	if a.credit.closeTruncated() {
-		// A gate that asks for the body in parts starts the call only once it has the whole
-		// body.
+		// A gate that requests the body in parts starts the call only once it has received the
+		// whole body.
 		a.arrived = false
 		return nil, a.unreachableError(ctx, lost)
 	}
 	if isShuttingDown(ctx) && a.c.terms.NonIdempotent {
-		return a.askBeforeShutdown()
+		return a.queryBeforeShutdown()
 	}
 	if ctx.Err() != nil {
 		a.sendCancel()
@@ -51,19 +51,19 @@
 	if !a.c.terms.NonIdempotent {
 		return nil, errkind.Wrap(errkind.BackendFailed, lost, "the link to the backend server's host was lost")
 	}
-	return a.askUntilKnown(ctx)
+	return a.queryUntilKnown(ctx)
 }
 
-// shutdownAskTimeout bounds an ask while the daemon shuts down. After the drain only a sixth of
-// the time until the process is killed remains, for this ask and all other steps.
-const shutdownAskTimeout = 200 * time.Millisecond
+// shutdownQueryTimeout bounds a query while the daemon shuts down. After the drain only a sixth
+// of the time until the process is killed remains, for this query and all other steps.
+const shutdownQueryTimeout = 200 * time.Millisecond
 
-// askBeforeShutdown asks once for the outcome of a call that cannot wait any longer. An attempt
-// that the gate bars has not run, so the caller may send the call again.
-func (a *attempt) askBeforeShutdown() (*recordedResponse, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownAskTimeout)
+// queryBeforeShutdown queries once the outcome of a call that cannot wait any longer. An
+// attempt that the gate bars has not run, so the caller may send the call again.
+func (a *attempt) queryBeforeShutdown() (*recordedResponse, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownQueryTimeout)
 	defer cancel()
-	ans, _ := a.askOnce(ctx)
+	ans, _ := a.queryOnce(ctx)
 	recorded, kind, text := a.interpretOutcome(ans)
 	switch {
 	case recorded != nil:
@@ -76,13 +76,14 @@
 	return nil, errkind.Wrap(errkind.OutcomeUnknown, errShuttingDown, "the call is still running")
 }
 
-// askUntilKnown asks the gate over another stream for the outcome of a non-idempotent attempt.
-// The pool reconnects if the session itself broke or was silent. The gate bars an attempt that
-// has not started, so that "not run" stays true. The ask is repeated until the gate answers or
-// the call's deadline passes. A gate that cannot be asked leaves the outcome unknown.
-func (a *attempt) askUntilKnown(ctx context.Context) (*recordedResponse, error) {
+// queryUntilKnown queries the outcome of a non-idempotent attempt over another stream to the
+// gate. The pool reconnects if the session itself broke or was silent. The gate bars an attempt
+// that has not started, so that "not run" stays true. The query is repeated until the gate
+// answers or the call's deadline passes. A gate that cannot be queried leaves the outcome
+// unknown.
+func (a *attempt) queryUntilKnown(ctx context.Context) (*recordedResponse, error) {
 	for {
-		ans, err := a.askOnce(ctx)
+		ans, err := a.queryOnce(ctx)
 		if err != nil && (a.gateGone() || errors.Is(err, syscall.ECONNREFUSED)) {
 			a.c.h.opts.Metrics.Ask(peerpb.Outcome_OUTCOME_UNKNOWN)
 			return nil, errkind.Wrap(errkind.OutcomeUnknown, err, "the daemon on the backend server's host is gone")
@@ -92,7 +93,7 @@
 		} else if kind != errkind.None {
 			return nil, errkind.New(kind, text)
 		}
-		if !loop.Sleep(ctx, askInterval) {
+		if !loop.Sleep(ctx, queryInterval) {
 			return nil, contextError(ctx, errkind.Deadline)
 		}
 	}
@@ -122,8 +123,8 @@
 	return m == nil || m.Boot != a.server.Boot || !m.Usable()
 }
 
-func (a *attempt) askOnce(ctx context.Context) (*peerpb.AskAnswer, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (a *attempt) queryOnce(ctx context.Context) (*peerpb.AskAnswer, error) {
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	ans := new(peerpb.AskAnswer)
 	req := &peerpb.Ask{AttemptId: a.id[:], Bar: true}
