--- a/internal/proxy/outbound/log.go
+++ b/internal/proxy/outbound/log.go
@@ -77,9 +77,9 @@
 	return attrs
 }
 
-// logFailedAttempt logs a failed attempt and the decision to retry. Refusals with kind
-// Overloaded are only counted, in the log line at the end of the request: under overload there
-// are several for each request.
+// logFailedAttempt logs a failed attempt and whether it is retried. Refusals because of the
+// length of a gate's queue (Overloaded) are only counted, in the log line at the end of the
+// request: under overload there are several for each request.
 func (c *call) logFailedAttempt(a *attempt, err error, retrying bool, reason string) {
 	if errkind.Of(err) == errkind.Overloaded {
 		return
--- a/internal/proxy/outbound/outcome.go
+++ b/internal/proxy/outbound/outcome.go
@@ -58,7 +58,7 @@
 // of the time until the process is killed remains, for this query and all other steps.
 const shutdownQueryTimeout = 200 * time.Millisecond
 
-// queryBeforeShutdown queries once the outcome of a call that cannot wait any longer. An
+// queryBeforeShutdown queries the outcome of a call that cannot wait any longer, once. An
 // attempt that the gate bars has not run, so the caller may send the call again.
 func (a *attempt) queryBeforeShutdown() (*recordedResponse, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownQueryTimeout)
