--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -32,11 +32,11 @@
 func TestNoCheckpoint(t *testing.T) {
 	svc, stream := newStream()
 	_, err := Latest(t.Context(), stream)
-	must.ErrorIs(t, err, ErrNone)
+	must.ErrorIs(t, err, ErrNoCheckpoint)
 	svc.SetOutage(true)
 	_, err = Latest(t.Context(), stream)
 	must.ErrorIs(t, err, eventlog.ErrUnavailable)
-	must.False(t, errors.Is(err, ErrNone), must.Sprint("an outage must not look like an empty stream"))
+	must.False(t, errors.Is(err, ErrNoCheckpoint), must.Sprint("an outage must not look like an empty stream"))
 }
 
 // The log goes down between finding a checkpoint and loading it. The
@@ -138,7 +138,7 @@
 		})
 		if len(whole) == 0 {
 			// A repeat after the cut can make up for a part that was cut.
-			must.True(t, errors.Is(err, ErrNone) || got != nil)
+			must.True(t, errors.Is(err, ErrNoCheckpoint) || got != nil)
 			return
 		}
 		must.NoError(t, err)
--- a/checkpoint/load.go
+++ b/checkpoint/load.go
@@ -13,9 +13,9 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// ErrNone means that the stream holds no whole checkpoint that this program
+// ErrNoCheckpoint means that the stream holds no whole checkpoint that this program
 // can use.
-var ErrNone = errors.New("no whole checkpoint")
+var ErrNoCheckpoint = errors.New("no whole checkpoint")
 
 // errDamaged means that a checkpoint is not what its parts claim.
 var errDamaged = errors.New("checkpoint is damaged")
@@ -50,7 +50,7 @@
 		passed = errors.CombineErrors(passed, errors.Wrapf(err, "checkpoint %d by %s", f.Offset, f.Writer))
 		s.whole = s.whole[1:]
 	}
-	return nil, errors.WithSecondaryError(ErrNone, passed)
+	return nil, errors.WithSecondaryError(ErrNoCheckpoint, passed)
 }
 
 // unusable reports whether an error is the checkpoint's own, so that another
@@ -62,7 +62,7 @@
 		errors.Is(err, fold.ErrBadState) || errors.Is(err, errDamaged)
 }
 
-func (s *Scanner) load(ctx context.Context, f *Found) (*fold.State, error) {
+func (s *Scanner) load(ctx context.Context, f *Checkpoint) (*fold.State, error) {
 	data, err := s.read(ctx, f)
 	if err != nil {
 		return nil, err
@@ -82,7 +82,7 @@
 }
 
 // read joins the parts.
-func (s *Scanner) read(ctx context.Context, f *Found) ([]byte, error) {
+func (s *Scanner) read(ctx context.Context, f *Checkpoint) ([]byte, error) {
 	var data bytes.Buffer
 	data.Grow(f.Bytes)
 	for _, at := range f.parts {
--- a/checkpoint/policy.go
+++ b/checkpoint/policy.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Sighting is the newest whole checkpoint that a daemon knows of.
-type Sighting struct {
+// KnownCheckpoint is the newest whole checkpoint that a daemon knows of.
+type KnownCheckpoint struct {
 	// Offset of the state.
 	Offset uint64
 	// Age is the time since the daemon first saw it.
@@ -85,19 +85,19 @@
 	AgeKnown bool
 }
 
-// Situation is what a daemon knows when it asks whether a checkpoint is due.
-type Situation struct {
+// PolicyInput is what a daemon knows when it asks whether a checkpoint is due.
+type PolicyInput struct {
 	// Offset of the state that the daemon could write.
 	Offset uint64
 	// Config is what the configuration stream retains.
 	Config eventlog.Bounds
 	// Newest is nil where the stream holds no whole checkpoint.
-	Newest *Sighting
+	Newest *KnownCheckpoint
 }
 
 // Due returns why a checkpoint is due, ReasonNone if none is. A daemon that is
 // behind the newest checkpoint leaves it to others.
-func (p Policy) Due(s Situation) Reason {
+func (p Policy) Due(s PolicyInput) Reason {
 	covered, age := uint64(0), p.MaxAge
 	if s.Newest != nil {
 		covered, age = s.Newest.Offset, p.ageOf(*s.Newest)
@@ -121,7 +121,7 @@
 	return ReasonNone
 }
 
-func (p Policy) ageOf(s Sighting) time.Duration {
+func (p Policy) ageOf(s KnownCheckpoint) time.Duration {
 	if s.AgeKnown {
 		return s.Age
 	}
@@ -133,11 +133,11 @@
 	return needed < retained.First+(retained.End-retained.First)/2
 }
 
-// Turn returns how long a host waits once a checkpoint is due, and whether it
+// WriteDelay returns how long a host waits once a checkpoint is due, and whether it
 // is a candidate at all. The order of the live hosts changes every EveryRecords
 // records, so that the work goes around. jitter is a random number from 0 to 1
 // that tells apart hosts which differ over who is alive.
-func (p Policy) Turn(host string, live []string, offset uint64, jitter float64) (wait time.Duration, ok bool) {
+func (p Policy) WriteDelay(host string, live []string, offset uint64, jitter float64) (wait time.Duration, ok bool) {
 	epoch := offset / max(1, p.EveryRecords)
 	own := rendezvous(host, epoch)
 	rank := 0
--- a/checkpoint/policy_test.go
+++ b/checkpoint/policy_test.go
@@ -17,26 +17,26 @@
 
 func TestDue(t *testing.T) {
 	p := PolicyFor(4 * time.Hour)
-	seen := func(offset uint64, age time.Duration) *Sighting { return &Sighting{offset, age, true} }
+	seen := func(offset uint64, age time.Duration) *KnownCheckpoint { return &KnownCheckpoint{offset, age, true} }
 	for name, tc := range map[string]struct {
-		s    Situation
+		s    PolicyInput
 		want Reason
 	}{
-		"nothing published":            {Situation{0, eventlog.Bounds{First: 1, End: 1}, nil}, ReasonNone},
-		"none yet":                     {Situation{5, eventlog.Bounds{First: 1, End: 6}, nil}, ReasonAge},
-		"none, and the log has cut":    {Situation{5, eventlog.Bounds{First: 3, End: 6}, nil}, ReasonTail},
-		"fresh":                        {Situation{100, eventlog.Bounds{First: 1, End: 101}, seen(60, time.Minute)}, ReasonNone},
-		"tail broken though fresh":     {Situation{100, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonTail},
-		"tail just unbroken":           {Situation{100, eventlog.Bounds{First: 90, End: 101}, seen(89, time.Minute)}, ReasonNone},
-		"tail broken, covered by own":  {Situation{89, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonNone},
-		"half of retention":            {Situation{100, eventlog.Bounds{First: 1, End: 101}, seen(49, 10*time.Minute)}, ReasonRetention},
-		"later half of retention":      {Situation{100, eventlog.Bounds{First: 1, End: 101}, seen(50, 10*time.Minute)}, ReasonNone},
-		"nothing new in a short log":   {Situation{100, eventlog.Bounds{First: 101, End: 101}, seen(100, 10*time.Minute)}, ReasonNone},
-		"many records":                 {Situation{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, 10*time.Minute)}, ReasonRecords},
-		"many records at once":         {Situation{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, time.Minute)}, ReasonNone},
-		"old though nothing new":       {Situation{100, eventlog.Bounds{First: 101, End: 101}, seen(100, time.Hour)}, ReasonAge},
-		"age unknown counts half":      {Situation{100, eventlog.Bounds{First: 101, End: 101}, &Sighting{100, 30 * time.Minute, false}}, ReasonAge},
-		"behind the newest checkpoint": {Situation{100, eventlog.Bounds{First: 150, End: 201}, seen(120, time.Hour)}, ReasonNone},
+		"nothing published":            {PolicyInput{0, eventlog.Bounds{First: 1, End: 1}, nil}, ReasonNone},
+		"none yet":                     {PolicyInput{5, eventlog.Bounds{First: 1, End: 6}, nil}, ReasonAge},
+		"none, and the log has cut":    {PolicyInput{5, eventlog.Bounds{First: 3, End: 6}, nil}, ReasonTail},
+		"fresh":                        {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(60, time.Minute)}, ReasonNone},
+		"tail broken though fresh":     {PolicyInput{100, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonTail},
+		"tail just unbroken":           {PolicyInput{100, eventlog.Bounds{First: 90, End: 101}, seen(89, time.Minute)}, ReasonNone},
+		"tail broken, covered by own":  {PolicyInput{89, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonNone},
+		"half of retention":            {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(49, 10*time.Minute)}, ReasonRetention},
+		"later half of retention":      {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(50, 10*time.Minute)}, ReasonNone},
+		"nothing new in a short log":   {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, seen(100, 10*time.Minute)}, ReasonNone},
+		"many records":                 {PolicyInput{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, 10*time.Minute)}, ReasonRecords},
+		"many records at once":         {PolicyInput{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, time.Minute)}, ReasonNone},
+		"old though nothing new":       {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, seen(100, time.Hour)}, ReasonAge},
+		"age unknown counts half":      {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, &KnownCheckpoint{100, 30 * time.Minute, false}}, ReasonAge},
+		"behind the newest checkpoint": {PolicyInput{100, eventlog.Bounds{First: 150, End: 201}, seen(120, time.Hour)}, ReasonNone},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, tc.want, p.Due(tc.s)) })
 	}
@@ -54,7 +54,7 @@
 		offset := rapid.Uint64Range(0, 1e6).Draw(t, "offset")
 		waits := map[time.Duration]bool{}
 		for _, h := range hosts {
-			if wait, ok := p.Turn(h, hosts, offset, 0); ok {
+			if wait, ok := p.WriteDelay(h, hosts, offset, 0); ok {
 				waits[wait] = true
 			}
 		}
@@ -70,7 +70,7 @@
 	}
 	for epoch := range uint64(40) {
 		for _, h := range hosts {
-			if wait, ok := p.Turn(h, hosts, epoch*p.EveryRecords, 0); ok && wait == 0 {
+			if wait, ok := p.WriteDelay(h, hosts, epoch*p.EveryRecords, 0); ok && wait == 0 {
 				first[h] = true
 			}
 		}
@@ -86,7 +86,7 @@
 	stream *memlog.Stream
 	state  *fold.State
 	hosts  []string
-	list   []*Keeper
+	list   []*Checkpointer
 	next   []time.Time
 }
 
@@ -99,7 +99,7 @@
 	opts.Now = func() time.Time { return f.now }
 	f.svc = memlog.New(opts)
 	f.config, f.stream = f.svc.Stream(eventlog.StreamConfig), f.svc.Stream(eventlog.StreamCheckpoints)
-	f.list, f.next = make([]*Keeper, hosts), make([]time.Time, hosts)
+	f.list, f.next = make([]*Checkpointer, hosts), make([]time.Time, hosts)
 	for i := range hosts {
 		f.hosts = append(f.hosts, fmt.Sprint("host-", i))
 		f.restart(i)
@@ -109,12 +109,12 @@
 
 // restart replaces a host's keeper by one that knows nothing.
 func (f *keepers) restart(i int) {
-	opts := DefaultKeeperOptions(keeperRetention)
+	opts := DefaultCheckpointerOptions(keeperRetention)
 	opts.Writer = options()
 	opts.Writer.NewID = func() uint64 { return uint64(f.now.UnixNano()) }
 	opts.Now = func() time.Time { return f.now }
 	opts.Jitter = func() float64 { return 0 }
-	f.list[i] = NewKeeper(f.hosts[i], f.config, f.stream, opts)
+	f.list[i] = NewCheckpointer(f.hosts[i], f.config, f.stream, opts)
 	f.next[i] = f.now
 }
 
@@ -192,7 +192,7 @@
 	f.run(keeperRetention + time.Hour)
 	f.svc.SetOutage(false)
 	_, err := Latest(t.Context(), f.stream)
-	must.ErrorIs(t, err, ErrNone)
+	must.ErrorIs(t, err, ErrNoCheckpoint)
 	f.run(2 * time.Minute)
 	f.checkNewcomer(t)
 	bounds, _ := f.stream.Bounds(t.Context())
@@ -233,7 +233,7 @@
 		f := newKeepers(2)
 		f.publish()
 		first, second := f.list[0], f.list[1]
-		if wait, _ := PolicyFor(keeperRetention).Turn(f.hosts[0], f.hosts, f.state.Offset, 0); wait > 0 {
+		if wait, _ := PolicyFor(keeperRetention).WriteDelay(f.hosts[0], f.hosts, f.state.Offset, 0); wait > 0 {
 			first, second = second, first
 		}
 		wait, err := second.Step(t.Context(), f.state, f.hosts)
--- a/checkpoint/scan.go
+++ b/checkpoint/scan.go
@@ -22,8 +22,8 @@
 	maxWhole = 64
 )
 
-// Found is a checkpoint in the stream.
-type Found struct {
+// Checkpoint is a checkpoint in the stream.
+type Checkpoint struct {
 	// Offset of the state.
 	Offset uint64
 	Writer string
@@ -36,7 +36,7 @@
 }
 
 // End is the stream's offset of the last part.
-func (f *Found) End() eventlog.Offset { return f.parts[len(f.parts)-1] }
+func (f *Checkpoint) End() eventlog.Offset { return f.parts[len(f.parts)-1] }
 
 // Scanner finds the whole checkpoints of a stream. It keeps no part's data, so
 // its memory is bounded whatever the stream holds. It must not be used by two
@@ -48,14 +48,14 @@
 	// swept is where open was last rid of checkpoints given up.
 	swept eventlog.Offset
 	// open are the checkpoints of which some parts have been seen.
-	open map[partKey]*Found
+	open map[partKey]*Checkpoint
 	// whole in descending order of state and stream offset.
-	whole []*Found
+	whole []*Checkpoint
 }
 
 // NewScanner returns a scanner that has seen nothing.
 func NewScanner(log eventlog.Log) *Scanner {
-	return &Scanner{log: log, open: make(map[partKey]*Found)}
+	return &Scanner{log: log, open: make(map[partKey]*Checkpoint)}
 }
 
 // Scan goes on to the present end of the stream, and forgets the checkpoints
@@ -72,7 +72,7 @@
 		*s = *NewScanner(s.log)
 	}
 	s.next = max(s.next, bounds.First)
-	s.whole = slices.DeleteFunc(s.whole, func(f *Found) bool { return f.parts[0] < bounds.First })
+	s.whole = slices.DeleteFunc(s.whole, func(f *Checkpoint) bool { return f.parts[0] < bounds.First })
 	for s.next < bounds.End {
 		if err := s.scanSome(ctx); err != nil {
 			return err
@@ -111,7 +111,7 @@
 	}
 	f := s.open[key]
 	if f == nil && part.GetIndex() == 0 {
-		f = &Found{Offset: key.offset, Writer: key.writer, digest: key.digest}
+		f = &Checkpoint{Offset: key.offset, Writer: key.writer, digest: key.digest}
 		s.open[key] = f
 	}
 	if f == nil || int(part.GetIndex()) != len(f.parts) {
@@ -127,7 +127,7 @@
 }
 
 // complete keeps a checkpoint all of whose parts are there.
-func (s *Scanner) complete(f *Found) {
+func (s *Scanner) complete(f *Checkpoint) {
 	i, _ := slices.BinarySearchFunc(s.whole, f, newestFirst)
 	s.whole = slices.Insert(s.whole, i, f)
 	if len(s.whole) > maxWhole {
@@ -137,7 +137,7 @@
 
 // newestFirst orders by state and then by place in the stream: of two
 // checkpoints of one state the later expires later.
-func newestFirst(a, b *Found) int {
+func newestFirst(a, b *Checkpoint) int {
 	return cmp.Or(cmp.Compare(b.Offset, a.Offset), cmp.Compare(b.End(), a.End()))
 }
 
@@ -156,7 +156,7 @@
 
 // Newest returns the whole checkpoint of the highest state offset, nil if none
 // has been found. Only Load tells whether the parts agree with their digest.
-func (s *Scanner) Newest() *Found {
+func (s *Scanner) Newest() *Checkpoint {
 	if len(s.whole) == 0 {
 		return nil
 	}
--- a/fold/document.go
+++ b/fold/document.go
@@ -41,7 +41,7 @@
 // before; without a second look a daemon that starts from it serves that one until
 // the operator's next version.
 func (s *State) WithLastDocument(data []byte) *State {
-	if !s.LastIs(data) {
+	if !s.LastRecordIs(data) {
 		return s
 	}
 	rec, fault, err := readRecord(s.Offset, data)
@@ -59,14 +59,14 @@
 // FromDocument returns the state of a daemon that begins with the record of a
 // document; see FromLatest.
 func FromDocument(offset uint64, data []byte) (*State, error) {
-	return FromLatest([]eventlog.Record{{Offset: offset, Data: data}})
+	return FromLatestRecords([]eventlog.Record{{Offset: offset, Data: data}})
 }
 
-// FromLatest returns the state of a daemon that begins with the latest document and the
+// FromLatestRecords returns the state of a daemon that begins with the latest document and the
 // latest rollout of each service, in the order of their offsets, for a log that keeps
 // these alone. The state equals that of a daemon that folded all records up to the last
 // of them. The error is ErrBadDocument where the document would have been rejected.
-func FromLatest(records []eventlog.Record) (*State, error) {
+func FromLatestRecords(records []eventlog.Record) (*State, error) {
 	s := Empty()
 	var reasons []string
 	for _, r := range records {
--- a/fold/property_test.go
+++ b/fold/property_test.go
@@ -58,8 +58,8 @@
 			must.True(t, err == nil || errors.Is(err, ErrGap))
 			must.Eq(t, want[s.Offset], encoded(s))
 			must.Eq(t, states[s.Offset].Chain, s.Chain)
-			must.True(t, s.Offset == 0 || s.LastIs(records[s.Offset-1].Data))
-			must.False(t, s.LastIs([]byte("another")))
+			must.True(t, s.Offset == 0 || s.LastRecordIs(records[s.Offset-1].Data))
+			must.False(t, s.LastRecordIs([]byte("another")))
 		}
 		for i, old := range states {
 			must.Eq(t, want[i], encoded(old), must.Sprint("an older state was written to"))
--- a/fold/restore.go
+++ b/fold/restore.go
@@ -7,7 +7,7 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// After returns the state that a daemon puts in force at s if it has prev in force and the
+// AfterRestore returns the state that a daemon puts in force at s if it has prev in force and the
 // log was restored from an older copy in between; s itself if both are of one epoch. The
 // copy may lack what is in force, and hold what has been replaced or withdrawn since. Taken
 // as it is, callers of routes added lately would get 404, and contracts would revert, until
@@ -16,17 +16,17 @@
 // Of two documents the one with the higher version stays, as versions only rise. Rollouts
 // have no number of their own; see orderAfter. The chain is that of the log, so that what
 // follows folds alike at all daemons, whatever they have carried over.
-func (s *State) After(prev *State) *State {
+func (s *State) AfterRestore(prev *State) *State {
 	if prev == nil || eventlog.Epoch(s.Offset) <= eventlog.Epoch(prev.Offset) {
 		return s
 	}
 	return s.carry(prev)
 }
 
-// WithCarried returns the state with what another daemon has in force beyond it, s itself if
+// WithNewerPeerState returns the state with what another daemon has in force beyond it, s itself if
 // that is no newer. A daemon that has started from a log restored from an older copy learns so
 // what the copy lacks.
-func (s *State) WithCarried(theirs *State) *State {
+func (s *State) WithNewerPeerState(theirs *State) *State {
 	if theirs.document.GetVersion() <= s.document.GetVersion() {
 		return s
 	}
--- a/fold/restore_test.go
+++ b/fold/restore_test.go
@@ -34,7 +34,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := folded(t, 2, c.log...)
-			s := log.After(before)
+			s := log.AfterRestore(before)
 			must.Eq(t, c.want, s.Document().GetVersion())
 			must.Eq(t, log.Offset, s.Offset)
 			must.Eq(t, log.Chain, s.Chain)
@@ -52,8 +52,8 @@
 			}
 		})
 	}
-	must.True(t, before.After(before) == before)
-	must.True(t, folded(t, 1, plainDocument(t, 3)).After(before).Document().GetVersion() == 3, must.Sprint("one epoch"))
+	must.True(t, before.AfterRestore(before) == before)
+	must.True(t, folded(t, 1, plainDocument(t, 3)).AfterRestore(before).Document().GetVersion() == 3, must.Sprint("one epoch"))
 }
 
 // A document that is written again is no rejected record.
@@ -83,7 +83,7 @@
 		"another one where there was none": {[][]byte{plainDocument(t, 3), plainDocument(t, 4), plainDocument(t, 5), plainDocument(t, 6), signs("v2")}, "v2", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := folded(t, 2, c.log...).After(before)
+			s := folded(t, 2, c.log...).AfterRestore(before)
 			got := s.Rollout("signs")
 			must.Eq(t, c.version, got.GetRollout().GetToVersion())
 			must.Eq(t, c.renamed, got.GetOffset() != order.GetOffset())
@@ -91,7 +91,7 @@
 	}
 
 	// Behind the restore the operator writes the order again: it is the same one, once.
-	s := folded(t, 2, plainDocument(t, 3)).After(before)
+	s := folded(t, 2, plainDocument(t, 3)).AfterRestore(before)
 	again, _, err := Apply(s, s.Offset+1, signs("v3"))
 	must.NoError(t, err)
 	must.Eq(t, order.GetOffset(), again.Rollout("signs").GetOffset())
@@ -107,11 +107,11 @@
 func TestState_WithCarried(t *testing.T) {
 	before := folded(t, 1, plainDocument(t, 3), plainDocument(t, 9))
 	log := folded(t, 2, plainDocument(t, 3))
-	for _, theirs := range []*State{before, log.After(before)} {
-		s := log.WithCarried(theirs)
+	for _, theirs := range []*State{before, log.AfterRestore(before)} {
+		s := log.WithNewerPeerState(theirs)
 		must.Eq(t, 9, s.Document().GetVersion())
 		must.Eq(t, log.Offset, s.Offset)
-		must.True(t, s.WithCarried(theirs) == s)
-		must.True(t, s.WithCarried(log) == s)
+		must.True(t, s.WithNewerPeerState(theirs) == s)
+		must.True(t, s.WithNewerPeerState(log) == s)
 	}
 }
--- a/fold/rollout_test.go
+++ b/fold/rollout_test.go
@@ -30,7 +30,7 @@
 	}
 	all, _, err := ApplyAll(Empty(), records)
 	must.NoError(t, err)
-	latest, err := FromLatest([]eventlog.Record{records[1], records[2], records[4]})
+	latest, err := FromLatestRecords([]eventlog.Record{records[1], records[2], records[4]})
 	must.NoError(t, err)
 	must.Eq(t, all.Offset, latest.Offset)
 	must.Eq(t, all.Chain, latest.Chain)
@@ -38,7 +38,7 @@
 		must.Eq(t, 5, s.Document().GetVersion())
 		must.Eq(t, 2, s.Rollout("signs").GetOffset())
 		must.Eq(t, "v7", s.Rollout("ops").GetRollout().GetToVersion())
-		must.True(t, s.LastIs(records[4].Data))
+		must.True(t, s.LastRecordIs(records[4].Data))
 		decoded, err := Decode(s.Encode())
 		must.NoError(t, err)
 		must.Len(t, 2, decoded.Rollouts())
--- a/fold/state.go
+++ b/fold/state.go
@@ -145,10 +145,10 @@
 	return e
 }
 
-// LastIs reports whether data is the record that the state folded last. A log
+// LastRecordIs reports whether data is the record that the state folded last. A log
 // that lost its end and gave offsets out again holds another record there;
 // whoever folds on from a state must ask first, or would mix two histories.
-func (s *State) LastIs(data []byte) bool {
+func (s *State) LastRecordIs(data []byte) bool {
 	return s.Offset > 0 && s.previous.Extend(s.Offset, data) == s.Chain
 }
 
--- a/internal/cli/command/connect.go
+++ b/internal/cli/command/connect.go
@@ -76,7 +76,7 @@
 func (c *Connect) checkpoint(log eventlog.Log) configlog.Checkpoint {
 	return func(ctx context.Context) (*fold.State, error) {
 		st, err := checkpoint.Latest(ctx, log)
-		if !errors.Is(err, checkpoint.ErrNone) {
+		if !errors.Is(err, checkpoint.ErrNoCheckpoint) {
 			return st, err
 		}
 		if c.HasDaemon() {
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -245,11 +245,11 @@
 // buildStreams makes the parts that keep streams of the project's own in the
 // platform's log.
 func (p *parts) buildStreams(d *Daemon) {
-	keeping := checkpoint.DefaultKeeperOptions(time.Duration(d.settings.Platform.Retention))
+	keeping := checkpoint.DefaultCheckpointerOptions(time.Duration(d.settings.Platform.Retention))
 	keeping.Logger = d.logger
 	p.checkpoints = &checkpoints.Controller{
 		Board: d.board, Logger: d.logger,
-		Checkpointer: checkpoint.NewKeeper(d.settings.Host, p.log.Stream(eventlog.StreamConfig),
+		Checkpointer: checkpoint.NewCheckpointer(d.settings.Host, p.log.Stream(eventlog.StreamConfig),
 			p.stream(eventlog.StreamCheckpoints), keeping),
 	}
 	p.checkpointLoop = p.checkpoints.Run
--- a/internal/proxy/outbound/anonymous.go
+++ b/internal/proxy/outbound/anonymous.go
@@ -35,7 +35,7 @@
 		return nil, err
 	}
 	c := &call{
-		h: h, snap: snap, service: route.Service(rand.Uint32N), route: route,
+		h: h, snap: snap, service: route.PickService(rand.Uint32N), route: route,
 		terms: snapshot.CallTerms{NonIdempotent: route.NonIdempotent(), MaxWait: allowed},
 		start: start, deadline: start.Add(timeout), inheritedAttempt: 1, maxBody: h.opts.MaxBody,
 		requestID: dialect.Get(r.Header, h.opts.Dialect.RequestID),
--- a/recovery/round.go
+++ b/recovery/round.go
@@ -32,7 +32,7 @@
 	// scanner resumes where it stopped, so that a later round reads new records only. found is
 	// the checkpoint loaded last, loaded its state.
 	scanner *checkpoint.Scanner
-	found   *checkpoint.Found
+	found   *checkpoint.Checkpoint
 	loaded  *fold.State
 	// needLog is set once a round has shown that the answers of daemons are not sufficient.
 	needLog bool
@@ -165,7 +165,7 @@
 		return nil
 	}
 	st, err := r.scanner.Load(ctx)
-	if err != nil && !errors.Is(err, checkpoint.ErrNone) {
+	if err != nil && !errors.Is(err, checkpoint.ErrNoCheckpoint) {
 		return err
 	}
 	r.found, r.loaded = r.scanner.Newest(), st
@@ -226,7 +226,7 @@
 // daemons that have not yet received the new epoch. The newest state of such a daemon is fetched
 // and merged; if that fails, only the state of this host is.
 func (r *recoverer) mergeEarlierEpoch(ctx context.Context, in *Input, st *fold.State) *fold.State {
-	st = st.After(r.state)
+	st = st.AfterRestore(r.state)
 	var earlier PeerAnswer
 	for _, a := range in.Peers.Answers {
 		if !a.StateUnavailable && a.Offset > earlier.Offset && eventlog.Epoch(a.Offset) < eventlog.Epoch(st.Offset) {
@@ -241,7 +241,7 @@
 		r.opts.Logger.Warn("recovery: cannot fetch state of earlier epoch", "host", earlier.Host, "error", err)
 		return st
 	}
-	return st.After(theirs)
+	return st.AfterRestore(theirs)
 }
 
 // refreshBounds reads the bounds of the log again if the current state is beyond its end. Records
@@ -302,7 +302,7 @@
 		status.Readable = false
 		return false
 	}
-	status.Rewritten = !r.state.LastIs(records[0].Data)
+	status.Rewritten = !r.state.LastRecordIs(records[0].Data)
 	r.state = r.state.WithLastDocument(records[0].Data)
 	return !status.Rewritten
 }
--- a/snapshot/document.go
+++ b/snapshot/document.go
@@ -64,11 +64,11 @@
 	return r.Kind != configpb.CallKind_CALL_KIND_IDEMPOTENT
 }
 
-// Service returns where a call goes; rnd returns a random number below its
+// PickService returns where a call goes; rnd returns a random number below its
 // argument. Each part of a split gets its weight's share of the calls whether or
 // not it has room: a part that is short of room must not move its calls to
 // another version of the service.
-func (r *DocumentRoute) Service(rnd func(uint32) uint32) string {
+func (r *DocumentRoute) PickService(rnd func(uint32) uint32) string {
 	if len(r.parts) == 1 {
 		return r.parts[0].service
 	}
--- a/snapshot/document_test.go
+++ b/snapshot/document_test.go
@@ -67,7 +67,7 @@
 	got := map[string]int{}
 	next := uint32(0)
 	for range 100 {
-		got[r.Service(func(n uint32) uint32 { next = (next + 1) % n; return next })]++
+		got[r.PickService(func(n uint32) uint32 { next = (next + 1) % n; return next })]++
 	}
 	must.Eq(t, map[string]int{"one": 90, "two": 10}, got)
 }
--- a/spread/history.go
+++ b/spread/history.go
@@ -109,7 +109,7 @@
 	if h.state != nil && st.Offset <= h.state.Offset {
 		return false
 	}
-	st = st.After(h.state)
+	st = st.AfterRestore(h.state)
 	h.state = st
 	h.ring.reset(st.Offset, st.Chain, lastRecord(st))
 	h.onState(st)
@@ -122,7 +122,7 @@
 func (h *history) mergeNewer(theirs *fold.State) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	st := h.state.WithCarried(theirs)
+	st := h.state.WithNewerPeerState(theirs)
 	if st == h.state {
 		return false
 	}
@@ -145,7 +145,7 @@
 		return nil
 	}
 	data, err := fold.EncodeDocument(d)
-	if err != nil || !st.LastIs(data) {
+	if err != nil || !st.LastRecordIs(data) {
 		return nil
 	}
 	return data
