--- a/balance/model_test.go
+++ b/balance/model_test.go
@@ -212,7 +212,7 @@
 		}
 		r.mu.Unlock()
 		ok = result.Kind == errkind.None && result.Status == http.StatusOK
-		again = result.Kind != errkind.None && result.Kind.Answer().Run == errkind.NotRun
+		again = result.Kind != errkind.None && result.Kind.Response().Run == errkind.NotRun
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/balance/picker.go
+++ b/balance/picker.go
@@ -248,7 +248,7 @@
 	if shortest == 0 {
 		return errNoBackend
 	}
-	return errAllBusy.After(shortest)
+	return errAllBusy.WithRetryAfter(shortest)
 }
 
 // draw returns a random member of the group other than first, or nil if all are excluded. A
--- a/errkind/errkind.go
+++ b/errkind/errkind.go
@@ -55,8 +55,8 @@
 	RunUnknown Run = "unknown"
 )
 
-// Answer is what a caller gets for a kind.
-type Answer struct {
+// Response is what a caller gets for a kind.
+type Response struct {
 	// Status is the HTTP status.
 	Status int
 	// Run tells whether the call ran.
@@ -84,7 +84,7 @@
 // quarantinedWait stands for the rest of a quarantine, which the error itself tells.
 const quarantinedWait = time.Minute
 
-var table = map[Kind]Answer{
+var table = map[Kind]Response{
 	BadRequest:       {http.StatusBadRequest, NotRun, false, 0},
 	TooLarge:         {http.StatusRequestEntityTooLarge, NotRun, false, 0},
 	UnknownCustomer:  {http.StatusForbidden, NotRun, false, 0},
@@ -121,9 +121,9 @@
 	return kinds
 }
 
-// Answer returns the kind's row of the table; a name that is not in the list
+// Response returns the kind's row of the table; a name that is not in the list
 // is answered as Internal.
-func (k Kind) Answer() Answer {
+func (k Kind) Response() Response {
 	a, ok := table[k]
 	if !ok {
 		return table[Internal]
@@ -163,17 +163,17 @@
 	return &Error{Kind: k, cause: errors.WrapWithDepth(1, err, text)}
 }
 
-// After returns a copy that tells the caller when to come back.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy that tells the caller when to come back.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// Doubt returns err with the promise taken back that the call has not run. It is
+// WithRunUnknown returns err with the promise taken back that the call has not run. It is
 // for a refusal of this request under a key that an earlier request may have run
 // under: the refusal is true, "not run" may not be.
-func Doubt(err error) error {
+func WithRunUnknown(err error) error {
 	var e *Error
 	if !errors.As(err, &e) {
 		return err
@@ -189,7 +189,7 @@
 	if errors.As(err, &e) && e.doubt {
 		return RunUnknown
 	}
-	return Of(err).Answer().Run
+	return Of(err).Response().Run
 }
 
 // Error returns the text without the kind.
@@ -218,5 +218,5 @@
 	if errors.As(err, &e) && e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
-	return Of(err).Answer().RetryAfter
+	return Of(err).Response().RetryAfter
 }
--- a/errkind/errkind_test.go
+++ b/errkind/errkind_test.go
@@ -11,7 +11,7 @@
 
 func TestTable_EveryRowIsAnAnswer(t *testing.T) {
 	for _, k := range Kinds() {
-		a := k.Answer()
+		a := k.Response()
 		must.Between(t, 400, a.Status, 599, must.Sprint(k))
 		must.True(t, a.Run == NotRun || a.Run == RunUnknown, must.Sprint(k))
 		// A caller that is told to come back must be told that it may.
@@ -22,7 +22,7 @@
 func TestKind_UnknownNameIsInternal(t *testing.T) {
 	k := Kind("from_a_newer_daemon")
 	must.False(t, k.Known())
-	must.Eq(t, Internal.Answer(), k.Answer())
+	must.Eq(t, Internal.Response(), k.Response())
 }
 
 func TestOf_FindsTheKindInAChain(t *testing.T) {
@@ -36,17 +36,17 @@
 
 func TestRetryAfterOf_ErrorKnowsBetterThanTheTable(t *testing.T) {
 	plain := New(Overloaded, "full")
-	must.Eq(t, Overloaded.Answer().RetryAfter, RetryAfterOf(plain))
-	must.Eq(t, 7*time.Second, RetryAfterOf(plain.After(7*time.Second)))
-	must.Eq(t, Overloaded.Answer().RetryAfter, RetryAfterOf(plain))
+	must.Eq(t, Overloaded.Response().RetryAfter, RetryAfterOf(plain))
+	must.Eq(t, 7*time.Second, RetryAfterOf(plain.WithRetryAfter(7*time.Second)))
+	must.Eq(t, Overloaded.Response().RetryAfter, RetryAfterOf(plain))
 }
 
 func TestDoubt_TakesBackNotRun(t *testing.T) {
-	err := New(RateLimited, "over the rate").After(3 * time.Second)
+	err := New(RateLimited, "over the rate").WithRetryAfter(3 * time.Second)
 	must.Eq(t, NotRun, RunOf(err))
-	doubted := Doubt(err)
+	doubted := WithRunUnknown(err)
 	must.Eq(t, RunUnknown, RunOf(doubted))
 	must.Eq(t, RateLimited, Of(doubted))
 	must.Eq(t, 3*time.Second, RetryAfterOf(doubted))
-	must.NoError(t, Doubt(nil))
+	must.NoError(t, WithRunUnknown(nil))
 }
--- a/errkind/example_test.go
+++ b/errkind/example_test.go
@@ -12,9 +12,9 @@
 func Example() {
 	err := errors.Wrap(errkind.New(errkind.Draining, "the host is leaving"), "send the call")
 	kind := errkind.Of(err)
-	fmt.Println(kind, kind.Answer().Status, "ran:", errkind.RunOf(err))
+	fmt.Println(kind, kind.Response().Status, "ran:", errkind.RunOf(err))
 	// An earlier request under the same idempotency key may have run.
-	fmt.Println("ran:", errkind.RunOf(errkind.Doubt(err)))
+	fmt.Println("ran:", errkind.RunOf(errkind.WithRunUnknown(err)))
 	// Output:
 	// draining 503 ran: no
 	// ran: unknown
--- a/gate/admit.go
+++ b/gate/admit.go
@@ -44,14 +44,14 @@
 		return g.noTimeError(t, left, f)
 	}
 	if t.maxWait > 0 && f.wait(position) > t.maxWait {
-		return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
+		return errOverloaded.WithRetryAfter(t.retryAfter(f.wait(len(s.waiting))))
 	}
 	for i, w := range s.waiting {
 		if i >= position {
 			i++
 		}
 		if w.missesDue(f.wait(i), now) {
-			return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
+			return errOverloaded.WithRetryAfter(t.retryAfter(f.wait(len(s.waiting))))
 		}
 	}
 	return nil
@@ -79,7 +79,7 @@
 	if left < s.serviceTime.value {
 		return errTooLittleTime
 	}
-	return errOverloaded.After(t.retryAfter(f.wait(len(s.waiting))))
+	return errOverloaded.WithRetryAfter(t.retryAfter(f.wait(len(s.waiting))))
 }
 
 // forecast is the expected wait in the queue of one share as a function of the position.
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -169,7 +169,7 @@
 		return nil
 	}
 	if g.queue.len >= g.opts.MaxQueue && !g.displaceFor(t.share) {
-		return errOverloaded.After(maxRetryAfter)
+		return errOverloaded.WithRetryAfter(maxRetryAfter)
 	}
 	t.ready = make(chan error, 1)
 	t.waitTimeout = t.due.Sub(now)
@@ -268,7 +268,7 @@
 // expected.
 func (g *Gate) waitTimeoutError(t *Ticket) *errkind.Error {
 	if t.maxWait > 0 && t.deadline.Sub(g.opts.Now()) > t.share.serviceTime.value {
-		return errOverloaded.After(t.retryAfter(g.Load().Wait))
+		return errOverloaded.WithRetryAfter(t.retryAfter(g.Load().Wait))
 	}
 	return errTooLittleTime
 }
--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -55,7 +55,7 @@
 // WriteAs is Write for callers that take Retry-After in another form.
 func WriteAs(w http.ResponseWriter, err error, retryAfter func(time.Duration) string) {
 	kind := errkind.Of(err)
-	a := kind.Answer()
+	a := kind.Response()
 	body, _ := json.Marshal(Body{Error: Detail{Kind: kind, Text: textOf(err), Run: errkind.RunOf(err)}})
 	body = append(body, '\n')
 
@@ -91,7 +91,7 @@
 	}
 	e := errkind.New(kind, text)
 	if s, err := strconv.ParseUint(resp.Header.Get(headerRetryAfter), 10, 31); err == nil {
-		e = e.After(time.Duration(s) * time.Second)
+		e = e.WithRetryAfter(time.Duration(s) * time.Second)
 	}
 	return e
 }
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -26,7 +26,7 @@
 	for _, kind := range errkind.Kinds() {
 		t.Run(string(kind), func(t *testing.T) {
 			resp := write(errkind.New(kind, "some text"))
-			want := kind.Answer()
+			want := kind.Response()
 			must.Eq(t, want.Status, resp.StatusCode)
 			must.Eq(t, string(kind), resp.Header.Get(answer.HeaderError))
 			must.Eq(t, string(want.Run), resp.Header.Get(answer.HeaderRun))
@@ -43,7 +43,7 @@
 	for after, want := range map[time.Duration]string{
 		time.Millisecond: "1", time.Second: "1", 1001 * time.Millisecond: "2", time.Minute: "60",
 	} {
-		resp := write(errkind.New(errkind.RateLimited, "slow down").After(after))
+		resp := write(errkind.New(errkind.RateLimited, "slow down").WithRetryAfter(after))
 		must.Eq(t, want, resp.Header.Get("Retry-After"))
 	}
 }
@@ -60,7 +60,7 @@
 }
 
 func TestFromResponseReadsWrite(t *testing.T) {
-	err := answer.FromResponse(write(errors.Wrap(errkind.New(errkind.Overloaded, "no slot").After(3*time.Second), "gate")))
+	err := answer.FromResponse(write(errors.Wrap(errkind.New(errkind.Overloaded, "no slot").WithRetryAfter(3*time.Second), "gate")))
 	must.Eq(t, errkind.Overloaded, errkind.Of(err))
 	must.Eq(t, 3*time.Second, errkind.RetryAfterOf(err))
 	must.EqError(t, err, "gate: no slot")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -204,12 +204,12 @@
 
 // answerTheRest has the calls answered for which there is no time left.
 func (d *Daemon) answerTheRest() {
-	d.logger.Warn("daemon: calls given up by the drain timeout", "calls", d.outbound.InFlight(), "connections", d.callers.Open())
+	d.logger.Warn("daemon: calls given up by the drain timeout", "calls", d.outbound.InFlight(), "connections", d.callers.OpenConns())
 	ctx, cancel := context.WithTimeout(context.Background(), lastAnswersTimeout)
 	defer cancel()
 	d.outbound.CancelCalls()
 	if d.callers.Shutdown(ctx) != nil {
-		d.logger.Warn("daemon: callers' connections cut off", "connections", d.callers.Open())
+		d.logger.Warn("daemon: callers' connections cut off", "connections", d.callers.OpenConns())
 	}
 }
 
@@ -222,7 +222,7 @@
 // was shut. The HTTP server closes a connection on which no request has begun at
 // once, and cuts off a request that is just arriving on it.
 func (d *Daemon) lingerOn() {
-	for end := time.Now().Add(d.linger); time.Now().Before(end) && d.callers.Open() > 0; {
+	for end := time.Now().Add(d.linger); time.Now().Before(end) && d.callers.OpenConns() > 0; {
 		time.Sleep(lingerPoll)
 	}
 }
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -99,8 +99,8 @@
 	o := pipeline.DefaultOptions()
 	o.Handler = d.outbound
 	o.Limits = d.callerLimits
-	o.MaxKept = d.settings.Requests.MaxConnections
-	o.OnCallerLeft = d.outbound.RecordDisconnect
+	o.MaxKeepAliveConns = d.settings.Requests.MaxConnections
+	o.OnCallerDisconnected = d.outbound.RecordDisconnect
 	o.Logger = d.logger
 	o.OnMalformed = func(remote net.Addr, err error) {
 		d.meter.RejectedAt(listenerCallers, reasonMalformed)
--- a/internal/daemon/parts.go
+++ b/internal/daemon/parts.go
@@ -121,14 +121,14 @@
 func (p *parts) buildPeers(d *Daemon) {
 	opts := peer.DefaultPoolOptions()
 	opts.Meter = p.meter
-	opts.PlaceOf = d.placeOf
+	opts.LocalityOf = d.placeOf
 	opts.Dial = d.dialCalls
 	p.calls = peer.NewPool(opts)
 	opts.Dial = dialFrom(addrOf(d.ln.peers).Addr())
 	p.control = peer.NewPool(opts)
 	server := peer.DefaultServerOptions()
 	server.Meter = p.meter
-	server.PlaceOf = d.placeOf
+	server.LocalityOf = d.placeOf
 	server.Logger = d.logger
 	p.server = peer.NewServer(server)
 	log := httplog.DefaultOptions(d.settings.Platform.URL)
@@ -141,10 +141,10 @@
 }
 
 // placeOf returns where the daemon at an IP address is.
-func (d *Daemon) placeOf(ip netip.Addr) peer.Place {
+func (d *Daemon) placeOf(ip netip.Addr) peer.Locality {
 	view := d.board.Members.Load()
 	if view == nil {
-		return peer.UnknownPlace
+		return peer.UnknownLocality
 	}
 	for _, m := range view.Members {
 		if m.PeerAddr.Addr() != ip {
@@ -155,7 +155,7 @@
 		}
 		return peer.OtherZone
 	}
-	return peer.UnknownPlace
+	return peer.UnknownLocality
 }
 
 // onStore reports whether the platform has a metadata store, which its operator
--- a/internal/proxy/inbound/delay_test.go
+++ b/internal/proxy/inbound/delay_test.go
@@ -18,7 +18,7 @@
 	head := func(heldUp time.Duration) *peerpb.CallHead {
 		return &peerpb.CallHead{
 			RemainingMs: 300, SenderHost: "host-1", SenderBoot: 7,
-			SentAtUs: transit.Stamp() - heldUp.Microseconds(),
+			SentAtUs: transit.BootTimeMicros() - heldUp.Microseconds(),
 		}
 	}
 	must.Eq(t, 0, h.delay(head(0)))
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -185,5 +185,5 @@
 // delay returns how long the head of a call was held up on the way.
 func (h *Handler) delay(head *peerpb.CallHead) time.Duration {
 	sender := transit.Sender{Host: head.GetSenderHost(), Boot: head.GetSenderBoot()}
-	return h.transits.Delay(sender, head.GetSentAtUs(), transit.Stamp())
+	return h.transits.Delay(sender, head.GetSentAtUs(), transit.BootTimeMicros())
 }
--- a/internal/proxy/inbound/pace.go
+++ b/internal/proxy/inbound/pace.go
@@ -60,7 +60,7 @@
 // check refuses a call whose body would have to wait longer for the link than it may.
 func (p *pacer) check(maxWait time.Duration) error {
 	if wait := p.wait(); maxWait > 0 && wait > maxWait {
-		return errkind.New(errkind.Overloaded, "the host's link is taken by other bodies").After(wait)
+		return errkind.New(errkind.Overloaded, "the host's link is taken by other bodies").WithRetryAfter(wait)
 	}
 	return nil
 }
--- a/internal/proxy/outbound/attempt.go
+++ b/internal/proxy/outbound/attempt.go
@@ -299,7 +299,7 @@
 		k = errkind.Internal
 	}
 	e := errkind.New(k, head.GetErrorText())
-	return e.After(time.Duration(head.GetRetryAfterMs()) * time.Millisecond)
+	return e.WithRetryAfter(time.Duration(head.GetRetryAfterMs()) * time.Millisecond)
 }
 
 // linkLostError means that the link was lost while the outcome of the attempt was open.
--- a/internal/proxy/outbound/call.go
+++ b/internal/proxy/outbound/call.go
@@ -283,7 +283,7 @@
 		Traceparent:    telemetry.Traceparent(ctx),
 		SenderHost:     c.h.opts.Host,
 		SenderBoot:     c.h.opts.Boot,
-		SentAtUs:       transit.Stamp(),
+		SentAtUs:       transit.BootTimeMicros(),
 	}
 	if c.route != nil {
 		h.ObjectiveLeftMs = uint32(c.admissionRequest.ObjectiveLeft(time.Now()) / time.Millisecond)
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -215,7 +215,7 @@
 	if key == "" {
 		return err
 	}
-	return errkind.Doubt(err)
+	return errkind.WithRunUnknown(err)
 }
 
 // admit finds the contract and the route of a request and applies the customer's limits.
--- a/internal/proxy/outbound/keyed.go
+++ b/internal/proxy/outbound/keyed.go
@@ -37,7 +37,7 @@
 		return err
 	}
 	if err := c.bufferBody(ctx); err != nil {
-		return errkind.Doubt(err)
+		return errkind.WithRunUnknown(err)
 	}
 	host, boot := key.Holder()
 	if host == c.h.opts.Host && boot == c.h.opts.Boot {
--- a/internal/standin/caller/call.go
+++ b/internal/standin/caller/call.go
@@ -92,7 +92,7 @@
 		return true
 	}
 	if t.kind != errkind.None {
-		return t.kind.Answer().Retry
+		return t.kind.Response().Retry
 	}
 	return t.verdict == Unknown || t.status == http.StatusServiceUnavailable
 }
--- a/internal/telemetry/docs_test.go
+++ b/internal/telemetry/docs_test.go
@@ -190,7 +190,7 @@
 	}
 	must.MapLen(t, len(errkind.Kinds()), rows)
 	for _, k := range errkind.Kinds() {
-		a := k.Answer()
+		a := k.Response()
 		must.Eq(t, []string{strconv.Itoa(a.Status), string(a.Run)}, rows[k], must.Sprint(k))
 	}
 }
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -114,7 +114,7 @@
 // exchange is a kind of exchange with a peer at a place.
 type exchange struct {
 	kind  peerpb.Kind
-	place peer.Place
+	place peer.Locality
 }
 
 // NewPeerMeter registers the metrics of exchanges between daemons.
@@ -137,7 +137,7 @@
 		m.rejected.WithLabelValues(listenerPeers, string(r))
 	}
 	for number, name := range peerpb.Kind_name {
-		for _, place := range peer.Places() {
+		for _, place := range peer.Localities() {
 			e := exchange{peerpb.Kind(number), place}
 			m.sent[e] = bytes.WithLabelValues("sent", name, place.String())
 			m.received[e] = bytes.WithLabelValues("received", name, place.String())
@@ -147,14 +147,14 @@
 }
 
 // Sent implements peer.Meter.
-func (m *PeerMeter) Sent(k peerpb.Kind, place peer.Place, n int) {
+func (m *PeerMeter) Sent(k peerpb.Kind, place peer.Locality, n int) {
 	if c, ok := m.sent[exchange{k, place}]; ok {
 		c.Add(float64(n))
 	}
 }
 
 // Received implements peer.Meter.
-func (m *PeerMeter) Received(k peerpb.Kind, place peer.Place, n int) {
+func (m *PeerMeter) Received(k peerpb.Kind, place peer.Locality, n int) {
 	if c, ok := m.received[exchange{k, place}]; ok {
 		c.Add(float64(n))
 	}
--- a/once/claims.go
+++ b/once/claims.go
@@ -243,16 +243,16 @@
 func (c *ClaimResolver) rejection(now time.Time) error {
 	switch {
 	case c.applyErr != nil:
-		return errkind.Wrap(errkind.KeyUnresolved, c.applyErr, "this daemon cannot apply the claims of idempotency keys").After(time.Minute)
+		return errkind.Wrap(errkind.KeyUnresolved, c.applyErr, "this daemon cannot apply the claims of idempotency keys").WithRetryAfter(time.Minute)
 	case !c.readFailingSince.IsZero() && now.Sub(c.readFailingSince) >= logFailureTimeout:
-		return errkind.New(errkind.KeyUnresolved, "the platform's log, which caller-generated idempotency keys require, is unavailable").After(retryAfterLogFailure)
+		return errkind.New(errkind.KeyUnresolved, "the platform's log, which caller-generated idempotency keys require, is unavailable").WithRetryAfter(retryAfterLogFailure)
 	case c.mayMissClaims(now):
 		return errkind.New(errkind.KeyUnresolved, "the platform's log has lost claims of idempotency keys").
-			After(c.indexStarted.Add(c.opts.Lifetime).Sub(now))
+			WithRetryAfter(c.indexStarted.Add(c.opts.Lifetime).Sub(now))
 	case len(c.pending) >= c.opts.MaxPending:
 		return errkind.New(errkind.KeyUnresolved, "too many caller-generated idempotency keys are waiting for the platform's log")
 	case c.index != nil && c.index.liveClaims >= c.opts.MaxClaims:
-		return errkind.New(errkind.KeyUnresolved, "too many caller-generated idempotency keys are in use").After(time.Minute)
+		return errkind.New(errkind.KeyUnresolved, "too many caller-generated idempotency keys are in use").WithRetryAfter(time.Minute)
 	}
 	return nil
 }
--- a/once/claims_test.go
+++ b/once/claims_test.go
@@ -145,7 +145,7 @@
 		release := f.svc.Hold()
 		_, err := a.claim("k")
 		must.Eq(t, errkind.KeyUnresolved, errkind.Of(err))
-		must.Eq(t, errkind.RunUnknown, errkind.Of(err).Answer().Run)
+		must.Eq(t, errkind.RunUnknown, errkind.Of(err).Response().Run)
 		release()
 		time.Sleep(time.Minute)
 		k, err := b.claim("k")
--- a/once/keys_test.go
+++ b/once/keys_test.go
@@ -259,7 +259,7 @@
 	cancel()
 	_, _, err = k.BeginOrWait(ctx, key, Fingerprint{1})
 	must.Eq(t, errkind.KeyInProgress, errkind.Of(err))
-	must.Eq(t, errkind.RunUnknown, errkind.Of(err).Answer().Run)
+	must.Eq(t, errkind.RunUnknown, errkind.Of(err).Response().Run)
 }
 
 // A used and an unused key age: first they expire, then the KeyStore drops the bits of their
@@ -334,7 +334,7 @@
 	for _, bad := range []string{"", "order-17", KeyPrefix, KeyPrefix + "AAAA", KeyPrefix + strings.Repeat("A", maxKeyChars)} {
 		_, err := ParseKey(bad)
 		must.Eq(t, errkind.KeyUnknown, errkind.Of(err))
-		must.Eq(t, errkind.NotRun, errkind.Of(err).Answer().Run)
+		must.Eq(t, errkind.NotRun, errkind.Of(err).Response().Run)
 	}
 	must.False(t, IsIssued("order-17"))
 }
--- a/peer/place.go
+++ b/peer/locality.go
@@ -6,13 +6,13 @@
 	"sync/atomic"
 )
 
-// Place is where the other end of a session is, as far as bytes have a price.
-type Place uint32
+// Locality is where the other end of a session is, as far as bytes have a price.
+type Locality uint32
 
 // The places.
 const (
-	// UnknownPlace is that of a peer which no table lists yet.
-	UnknownPlace Place = iota
+	// UnknownLocality is that of a peer which no table lists yet.
+	UnknownLocality Locality = iota
 	// SameZone is the own availability zone.
 	SameZone
 	// OtherZone is any other one.
@@ -20,7 +20,7 @@
 )
 
 // String returns the name used in metrics.
-func (p Place) String() string {
+func (p Locality) String() string {
 	switch p {
 	case SameZone:
 		return "same_zone"
@@ -30,31 +30,31 @@
 	return "unknown"
 }
 
-// Places returns all places.
-func Places() []Place { return []Place{UnknownPlace, SameZone, OtherZone} }
+// Localities returns all places.
+func Localities() []Locality { return []Locality{UnknownLocality, SameZone, OtherZone} }
 
 // remote is the other end of a session. Its place is looked up once it is known, so that
 // a stream costs an atomic load.
 type remote struct {
 	addr   netip.Addr
-	lookup func(netip.Addr) Place
+	lookup func(netip.Addr) Locality
 	known  atomic.Uint32
 }
 
-func newRemote(addr netip.Addr, lookup func(netip.Addr) Place) *remote {
+func newRemote(addr netip.Addr, lookup func(netip.Addr) Locality) *remote {
 	return &remote{addr: addr.Unmap(), lookup: lookup}
 }
 
 // remoteOf returns the other end of a connection.
-func remoteOf(conn net.Conn, lookup func(netip.Addr) Place) *remote {
+func remoteOf(conn net.Conn, lookup func(netip.Addr) Locality) *remote {
 	if a, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
 		return newRemote(a.AddrPort().Addr(), lookup)
 	}
 	return newRemote(netip.Addr{}, lookup)
 }
 
-func (r *remote) place() Place {
-	if p := Place(r.known.Load()); p != UnknownPlace || r.lookup == nil {
+func (r *remote) place() Locality {
+	if p := Locality(r.known.Load()); p != UnknownLocality || r.lookup == nil {
 		return p
 	}
 	p := r.lookup(r.addr)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -28,8 +28,8 @@
 	// IdleTimeout is how long a session without streams is kept.
 	IdleTimeout time.Duration
 	Meter       Meter
-	// PlaceOf returns where a peer is, for the meter; nil where nobody asks.
-	PlaceOf func(netip.Addr) Place
+	// LocalityOf returns where a peer is, for the meter; nil where nobody asks.
+	LocalityOf func(netip.Addr) Locality
 	// Dial connects; tests put relays in between.
 	Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 }
@@ -130,7 +130,7 @@
 		return mark(errors.Wrapf(err, "connect to %s", addr), ErrUnreachable)
 	}
 	defer sess.Close()
-	st, err := p.openOn(sess, addr, kind, newRemote(addr.Addr(), p.opts.PlaceOf))
+	st, err := p.openOn(sess, addr, kind, newRemote(addr.Addr(), p.opts.LocalityOf))
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 func (p *Pool) session(ctx context.Context, addr netip.AddrPort) (*yamux.Session, *remote, error) {
 	v, ok := p.sessions.Load(addr)
 	if !ok {
-		v, _ = p.sessions.LoadOrStore(addr, newSlot(newRemote(addr.Addr(), p.opts.PlaceOf)))
+		v, _ = p.sessions.LoadOrStore(addr, newSlot(newRemote(addr.Addr(), p.opts.LocalityOf)))
 	}
 	s := v.(*slot)
 	s.used.Store(time.Now().UnixNano())
--- a/peer/server.go
+++ b/peer/server.go
@@ -39,9 +39,9 @@
 	// HeadTimeout is how long a new stream may take to say what it is.
 	HeadTimeout time.Duration
 	Meter       Meter
-	// PlaceOf returns where a peer is, for the meter; nil where nobody asks.
-	PlaceOf func(netip.Addr) Place
-	Logger  *slog.Logger
+	// LocalityOf returns where a peer is, for the meter; nil where nobody asks.
+	LocalityOf func(netip.Addr) Locality
+	Logger     *slog.Logger
 }
 
 // DefaultServerOptions suit a fleet of about a thousand daemons.
@@ -157,7 +157,7 @@
 		return
 	}
 	defer s.remove(sess)
-	remote := remoteOf(conn, s.opts.PlaceOf)
+	remote := remoteOf(conn, s.opts.LocalityOf)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	var wg sync.WaitGroup
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -158,8 +158,8 @@
 // Meter counts the bytes of messages by kind. Implementations are safe for
 // concurrent use.
 type Meter interface {
-	Sent(kind peerpb.Kind, place Place, bytes int)
-	Received(kind peerpb.Kind, place Place, bytes int)
+	Sent(kind peerpb.Kind, place Locality, bytes int)
+	Received(kind peerpb.Kind, place Locality, bytes int)
 	// Rejected counts input that was refused.
 	Rejected(reason RejectReason)
 }
@@ -184,10 +184,10 @@
 type NoMeter struct{}
 
 // Sent does nothing.
-func (NoMeter) Sent(peerpb.Kind, Place, int) {}
+func (NoMeter) Sent(peerpb.Kind, Locality, int) {}
 
 // Received does nothing.
-func (NoMeter) Received(peerpb.Kind, Place, int) {}
+func (NoMeter) Received(peerpb.Kind, Locality, int) {}
 
 // Rejected does nothing.
 func (NoMeter) Rejected(RejectReason) {}
--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -95,7 +95,7 @@
 		if c.callerLeft() {
 			// A process that was busy reads a request together with its caller's close, and would
 			// run the call before it reads on.
-			c.srv.opts.OnCallerLeft(x.req)
+			c.srv.opts.OnCallerDisconnected(x.req)
 			return errGone
 		}
 		if !c.begin(x) {
--- a/pipeline/left_test.go
+++ b/pipeline/disconnect_test.go
@@ -78,7 +78,7 @@
 			var began, left atomic.Int64
 			opts := DefaultOptions()
 			opts.Handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) { began.Add(1) })
-			opts.OnCallerLeft = func(*http.Request) { left.Add(1) }
+			opts.OnCallerDisconnected = func(*http.Request) { left.Add(1) }
 			s := NewServer(opts)
 			l := &accepted{Listener: ln, conns: make(chan net.Conn, 1)}
 			l.conns <- nc
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -153,7 +153,7 @@
 	_, dial := start(t, func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %v", b, err)
-	}, func(o *Options) { o.MaxHeldBody = 2 })
+	}, func(o *Options) { o.MaxBufferedBody = 2 })
 	nc := dial()
 	send(t, nc, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"+
 		"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\ndefg\r\n0\r\n\r\n"+get("/"))
@@ -173,7 +173,7 @@
 				must.NoError(t, err)
 				must.NoError(t, http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0)))
 				fmt.Fprint(w, r.Context().Err())
-			}, func(o *Options) { o.MaxHeldBody = maxHeld })
+			}, func(o *Options) { o.MaxBufferedBody = maxHeld })
 			nc := dial()
 			br := bufio.NewReader(nc)
 			for range 3 {
@@ -195,7 +195,7 @@
 	_, dial := start(t, func(w http.ResponseWriter, _ *http.Request) {
 		served++
 		w.WriteHeader(http.StatusServiceUnavailable)
-	}, func(o *Options) { o.MaxHeldBody = 2 })
+	}, func(o *Options) { o.MaxBufferedBody = 2 })
 	nc := dial()
 	rest := get("/smuggled")
 	send(t, nc, fmt.Sprintf("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n%s", len(rest), rest))
@@ -319,7 +319,7 @@
 // Callers open a new connection for each try. Beyond a number of them each answer
 // ends its connection, so that the process does not run out of descriptors.
 func TestConnectionsBeyondTheBoundEndWithTheirAnswer(t *testing.T) {
-	_, dial := start(t, func(http.ResponseWriter, *http.Request) {}, func(o *Options) { o.MaxKept = 1 })
+	_, dial := start(t, func(http.ResponseWriter, *http.Request) {}, func(o *Options) { o.MaxKeepAliveConns = 1 })
 	for _, closes := range []bool{false, true} {
 		nc := dial()
 		send(t, nc, get("/"))
--- a/pipeline/read.go
+++ b/pipeline/read.go
@@ -52,7 +52,7 @@
 			return err
 		}
 	}
-	limit := c.srv.opts.MaxHeldBody
+	limit := c.srv.opts.MaxBufferedBody
 	if r.ContentLength > limit {
 		x.streamBody(r.Body)
 		return c.nc.SetReadDeadline(time.Time{})
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -35,22 +35,22 @@
 	Handler http.Handler
 	// Limits returns the limits in force.
 	Limits func() Limits
-	// MaxHeldBody is the largest body that is read before its request is handled,
+	// MaxBufferedBody is the largest body that is read before its request is handled,
 	// in bytes. Larger ones are handed over as they come, and requests behind them
 	// wait.
-	MaxHeldBody int64
+	MaxBufferedBody int64
 	// MaxInFlight bounds the requests of one connection that are in progress.
 	MaxInFlight int
-	// MaxKept is how many connections are kept for further requests. With more, an
+	// MaxKeepAliveConns is how many connections are kept for further requests. With more, an
 	// answer with no request behind it ends its connection: callers that open a new
 	// one for each try would else use up the process's descriptors.
-	MaxKept int
+	MaxKeepAliveConns int
 	// OnMalformed is told of input that never became a request.
 	OnMalformed func(remote net.Addr, err error)
-	// OnCallerLeft is told of each request that was read and does not begin, as its caller
+	// OnCallerDisconnected is told of each request that was read and does not begin, as its caller
 	// had left by then.
-	OnCallerLeft func(r *http.Request)
-	Logger       *slog.Logger
+	OnCallerDisconnected func(r *http.Request)
+	Logger               *slog.Logger
 }
 
 // DefaultOptions suit callers on the same host.
@@ -59,12 +59,12 @@
 		Limits: func() Limits {
 			return Limits{MaxHeaderBytes: 64 << 10, HeaderTimeout: 10 * time.Second, IdleTimeout: 2 * time.Minute}
 		},
-		MaxHeldBody:  1 << 20,
-		MaxInFlight:  64,
-		MaxKept:      2048,
-		OnMalformed:  func(net.Addr, error) {},
-		OnCallerLeft: func(*http.Request) {},
-		Logger:       slog.New(slog.DiscardHandler),
+		MaxBufferedBody:      1 << 20,
+		MaxInFlight:          64,
+		MaxKeepAliveConns:    2048,
+		OnMalformed:          func(net.Addr, error) {},
+		OnCallerDisconnected: func(*http.Request) {},
+		Logger:               slog.New(slog.DiscardHandler),
 	}
 }
 
@@ -156,15 +156,17 @@
 	s.serving.Done()
 }
 
-// Open returns the number of open connections.
-func (s *Server) Open() int {
+// OpenConns returns the number of open connections.
+func (s *Server) OpenConns() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
 // mustShed reports whether connections are to end with their next answer.
-func (s *Server) mustShed() bool { return s.draining.Load() || s.Open() > s.opts.MaxKept }
+func (s *Server) mustShed() bool {
+	return s.draining.Load() || s.OpenConns() > s.opts.MaxKeepAliveConns
+}
 
 // Drain lets each connection end with its next answer that has no request behind
 // it. Connections are not cut, as a request may be on its way.
--- a/quota/admit.go
+++ b/quota/admit.go
@@ -106,7 +106,7 @@
 func (m *Manager) refusal(a *account, now time.Duration, err *errkind.Error) error {
 	m.stats.refused.Add(1)
 	if err.Kind == errkind.RateLimited {
-		return err.After(a.retryAfter(now))
+		return err.WithRetryAfter(a.retryAfter(now))
 	}
 	return err
 }
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -115,7 +115,7 @@
 		return Decision{Reason: ReasonAnswered}
 	case !otherServerMayAnswer(kind):
 		return Decision{Reason: ReasonNotRetryable}
-	case c.NonIdempotent && kind.Answer().Run != errkind.NotRun:
+	case c.NonIdempotent && kind.Response().Run != errkind.NotRun:
 		return Decision{Reason: ReasonMayHaveRun}
 	case kind == errkind.BackendEnded && c.Crashes > maxCrashes:
 		return Decision{Reason: ReasonCrashLimit}
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -63,7 +63,7 @@
 			NonIdempotent:    true,
 			Remaining:        time.Duration(rapid.Int64().Draw(t, "remaining")),
 		})
-		must.False(t, d.Retry && kind.Answer().Run != errkind.NotRun)
+		must.False(t, d.Retry && kind.Response().Run != errkind.NotRun)
 	})
 }
 
--- a/transit/transit.go
+++ b/transit/transit.go
@@ -26,10 +26,10 @@
 	Boot uint64
 }
 
-// Stamp returns the time by this host's clock since it was started, in microseconds. The
+// BootTimeMicros returns the time by this host's clock since it was started, in microseconds. The
 // clock counts times in which the host was suspended: one that does not would make
 // everything that comes after look as if it had been held up for as long.
-func Stamp() int64 {
+func BootTimeMicros() int64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// The kernel lacks the clock; without stamps nothing counts as held up.
--- a/transit/transit_test.go
+++ b/transit/transit_test.go
@@ -51,8 +51,8 @@
 
 // Messages of programs without stamps count as not held up.
 func TestWithoutStamp(t *testing.T) {
-	must.Eq(t, 0, New().Delay(Sender{}, 0, Stamp()))
-	must.Positive(t, Stamp())
+	must.Eq(t, 0, New().Delay(Sender{}, 0, BootTimeMicros()))
+	must.Positive(t, BootTimeMicros())
 }
 
 // Each call of another daemon asks for its delay.
