--- a/eventlog/directory.go
+++ b/eventlog/directory.go
@@ -2,26 +2,28 @@
 
 import "context"
 
-// Directory keeps the newest value of each key. Implementations are safe for
-// concurrent use.
+// Directory is a key-value store that keeps the newest value of each key. Implementations are safe
+// for concurrent use.
 type Directory interface {
-	// Put sets the value of a key; an empty value removes the key. The error is
-	// ErrUnavailable or ErrUnknown, as of Log.Append.
+	// Put sets the value of a key. An empty value removes the key. The error is ErrUnavailable or
+	// ErrUnknown, with the same meaning as for Log.Append.
 	Put(ctx context.Context, key string, value []byte) error
-	// List returns the values, the newest last where that is known.
+	// List returns the values of all keys. If the order of writing is known, the most recently
+	// written value comes last.
 	List(ctx context.Context) ([][]byte, error)
 }
 
-// TailDirectory is a Directory over the latest records of a log whose values name their
-// keys themselves. What is removed, and what lies further back than the tail, is
-// not told apart: it suits hints, such as contacts.
+// TailDirectory implements Directory over the most recent records of a log. It stores no keys: each
+// value has to identify its own key. Removed keys are not recorded, and List omits values older
+// than the last MaxRecords records without reporting so. It therefore suits hints, such as the
+// contact addresses of daemons, and not authoritative data.
 type TailDirectory struct {
 	Log Log
-	// MaxRecords is how many of the latest records are looked at.
+	// MaxRecords is the number of most recent records that List reads.
 	MaxRecords uint64
 }
 
-// Put implements Directory.
+// Put implements Directory. It appends the value to the log and ignores an empty value.
 func (t TailDirectory) Put(ctx context.Context, _ string, value []byte) error {
 	if len(value) == 0 {
 		return nil
@@ -30,7 +32,7 @@
 	return err
 }
 
-// List implements Directory. It returns older values of a key as well.
+// List implements Directory. The result may contain superseded values of a key.
 func (t TailDirectory) List(ctx context.Context) ([][]byte, error) {
 	b, err := t.Log.Bounds(ctx)
 	if err != nil {
--- a/eventlog/epoch_test.go
+++ b/eventlog/epoch_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Offsets are ordered by epoch first, and give both of their parts back.
+// Offsets are ordered by epoch first and then by index, and both parts can be read back.
 func TestOffsetsAreOrderedByEpoch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		epochs := [2]uint32{rapid.Uint32().Draw(t, "epoch"), rapid.Uint32().Draw(t, "other epoch")}
--- a/eventlog/example_test.go
+++ b/eventlog/example_test.go
@@ -10,8 +10,8 @@
 	"github.com/crocuscross/crocuscross/eventlog/memlog"
 )
 
-// What became of an append is one of three things. Only after the second is it
-// safe to append a record again that must not be there twice.
+// An append has three possible outcomes. A record that must not be stored twice may be appended
+// again only after ErrUnavailable.
 func ExampleLog() {
 	svc := memlog.New(memlog.DefaultOptions())
 	var log eventlog.Log = svc.Stream(eventlog.StreamConfig)
--- a/eventlog/httplog/client.go
+++ b/eventlog/httplog/client.go
@@ -10,24 +10,24 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Options tells how the service is reached.
+// Options configures a Client.
 type Options struct {
-	// BaseURL is the service's root, such as "http://10.0.0.9:7000".
+	// BaseURL is the root URL of the service, such as "http://10.0.0.9:7000".
 	BaseURL string
-	// AppendTimeout bounds one append. After it the outcome is unknown.
+	// AppendTimeout limits one append. An append that times out has an unknown outcome.
 	AppendTimeout time.Duration
-	// ReadTimeout bounds one read beyond the time that the read waits for
-	// records, and a request for the bounds.
+	// ReadTimeout limits a request for bounds. It also limits a read, in addition to the time for
+	// which the read waits for records.
 	ReadTimeout time.Duration
-	// MaxReadBytes bounds the answer to one read. It must exceed what the
-	// service sends at once.
+	// MaxReadBytes limits the size of the response to one read. It must exceed the amount that the
+	// service sends in one response.
 	MaxReadBytes int64
-	// HTTPClient sends the requests; its redirects are not followed. It must
-	// not repeat a request by itself. Nil means NewHTTPClient().
+	// HTTPClient sends the requests. The log client does not follow redirects. HTTPClient must not
+	// retry requests on its own. If nil, NewHTTPClient() is used.
 	HTTPClient *http.Client
 }
 
-// DefaultOptions suit a service that is a few milliseconds away.
+// DefaultOptions returns options for a service with a round-trip time of a few milliseconds.
 func DefaultOptions(baseURL string) Options {
 	return Options{
 		BaseURL:       baseURL,
@@ -43,10 +43,9 @@
 	maxIdleConnsPerHost = 4
 )
 
-// NewHTTPClient returns the client used by default. It speaks HTTP/1.1 only:
-// there, a request that times out closes its connection, so that the next one
-// connects anew. A multiplexed connection that has gone silent would be used
-// for request after request, and each would time out.
+// NewHTTPClient returns the default HTTP client. It uses HTTP/1.1 only, because a timed-out
+// HTTP/1.1 request closes its connection and the next request opens a new one. A multiplexed
+// connection that no longer delivers data would be reused, and every request on it would time out.
 func NewHTTPClient() *http.Client {
 	var protocols http.Protocols
 	protocols.SetHTTP1(true)
@@ -59,14 +58,14 @@
 	}}
 }
 
-// Client reaches the streams of one service.
+// Client accesses the streams of one log service.
 type Client struct {
 	opts Options
 	http *http.Client
 }
 
-// New returns a client. Zero fields of opts get their defaults; a BaseURL that
-// is not valid shows at the first request.
+// New returns a client. Zero fields of opts are set to their defaults. An invalid BaseURL is
+// reported by the first request.
 func New(opts Options) *Client {
 	def := DefaultOptions(opts.BaseURL)
 	if opts.AppendTimeout <= 0 {
@@ -83,12 +82,12 @@
 	}
 	opts.BaseURL = strings.TrimRight(opts.BaseURL, "/")
 	hc := *opts.HTTPClient
-	// A followed redirect would send the record a second time.
+	// Following a redirect would send the record a second time.
 	hc.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{opts: opts, http: &hc}
 }
 
-// Stream returns the stream of a name. It costs nothing to ask again.
+// Stream returns the named stream. It sends no request, so it may be called repeatedly.
 func (c *Client) Stream(name string) eventlog.Log {
 	return &stream{c: c, url: c.opts.BaseURL + "/v1/streams/" + url.PathEscape(name)}
 }
--- a/eventlog/httplog/httplog_test.go
+++ b/eventlog/httplog/httplog_test.go
@@ -26,11 +26,11 @@
 	"github.com/crocuscross/crocuscross/internal/standin/relay"
 )
 
-// shortTimeout is for requests that are meant to time out, and long enough to
-// send one over loopback on a busy machine.
+// shortTimeout applies to requests that are expected to time out. It is long enough to send a
+// request over loopback on a busy machine.
 const shortTimeout = 300 * time.Millisecond
 
-// service is a stand-in with a client to it.
+// service is an in-memory log service behind HTTP, with a client for it.
 type service struct {
 	*memlog.Service
 	addr   string
@@ -81,10 +81,10 @@
 	must.Eq(t, eventlog.TruncatedError{Requested: 2, First: 3}, *trunc)
 }
 
-// The record is in the log, then the connection ends without an answer. The
-// caller must see ErrUnknown, and the record must be there once: on a reused
-// connection a client might take the end for a stale one and send again.
-func TestLostAnswerIsUnknown(t *testing.T) {
+// The connection closes without a response after the record has been appended. The append must
+// return ErrUnknown, and the record must be in the log only once: an HTTP client may take the close
+// of a reused connection for a stale connection and retry.
+func TestLostResponseIsUnknown(t *testing.T) {
 	s := newService(t, httplog.Options{})
 	log := s.client.Stream("config")
 	_, err := log.Append(t.Context(), []byte("before"))
@@ -95,8 +95,8 @@
 	must.Eq(t, 2, s.Counters().Appends)
 }
 
-// The request is lost on its way. The caller sees the same as for a lost
-// answer, since it cannot know.
+// A lost request returns the same error as a lost response, because the client cannot distinguish
+// them.
 func TestLostRequestIsUnknown(t *testing.T) {
 	s := newService(t, httplog.Options{})
 	s.LoseRequests(1)
@@ -105,8 +105,8 @@
 	must.Eq(t, 0, s.Counters().Appends)
 }
 
-// The service stalls. One caller gives up, another's append runs out of its
-// time; both see ErrUnknown. The service goes on, and the record turns up.
+// An append to a stalled service returns ErrUnknown, both if the caller cancels it and if it
+// exceeds AppendTimeout. The record is appended when the service resumes.
 func TestStalledAppendIsUnknown(t *testing.T) {
 	s := newService(t, httplog.Options{AppendTimeout: shortTimeout})
 	patient := httplog.New(httplog.Options{BaseURL: "http://" + s.addr, AppendTimeout: time.Hour})
@@ -129,8 +129,8 @@
 	mustBeUnknown(t, err)
 }
 
-// Nothing listens, the service refuses in an outage, or the caller's time is
-// up before it begins: the record is certainly not there.
+// An append is reported as unavailable if the connection is refused, if the service rejects it
+// during an outage, or if the caller's context has ended before the append begins.
 func TestNotSentIsUnavailable(t *testing.T) {
 	s := newService(t, httplog.Options{})
 	log := s.client.Stream("config")
@@ -156,7 +156,7 @@
 	must.Eq(t, 0, s.Counters().Appends)
 }
 
-// Connecting takes longer than the append may: nothing has been sent.
+// If connecting takes longer than AppendTimeout, nothing has been sent.
 func TestConnectTimeoutIsUnavailable(t *testing.T) {
 	transport := &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 		<-ctx.Done()
@@ -167,23 +167,23 @@
 	mustBeUnavailable(t, err)
 }
 
-type muteTransport struct{}
+type untracedTransport struct{}
 
-func (muteTransport) RoundTrip(*http.Request) (*http.Response, error) {
+func (untracedTransport) RoundTrip(*http.Request) (*http.Response, error) {
 	return nil, errors.New("connection refused")
 }
 
-// A transport that does not tell how far it got proves nothing, whatever its
+// A transport without support for tracing does not show whether the request was sent, whatever its
 // error says.
-func TestMuteTransportIsUnknown(t *testing.T) {
-	opts := httplog.Options{BaseURL: "http://127.0.0.1:1", HTTPClient: &http.Client{Transport: muteTransport{}}}
+func TestUntracedTransportIsUnknown(t *testing.T) {
+	opts := httplog.Options{BaseURL: "http://127.0.0.1:1", HTTPClient: &http.Client{Transport: untracedTransport{}}}
 	_, err := httplog.New(opts).Stream("config").Append(t.Context(), []byte("x"))
 	mustBeUnknown(t, err)
 }
 
-// answering returns a log whose service reads each request whole, sends raw
-// bytes and closes.
-func answering(t *testing.T, raw string) eventlog.Log {
+// logReturning returns a log whose service reads each request completely, sends the raw response
+// and closes the connection.
+func logReturning(t *testing.T, raw string) eventlog.Log {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = ln.Close() })
@@ -203,39 +203,39 @@
 	return httplog.New(httplog.Options{BaseURL: "http://" + ln.Addr().String()}).Stream("config")
 }
 
-// cut leaves off the last n bytes.
-func cut(raw string, n int) string { return raw[:len(raw)-n] }
+// trimEnd removes the last n bytes.
+func trimEnd(raw string, n int) string { return raw[:len(raw)-n] }
 
-func answer(status int, body string) string {
+func rawResponse(status int, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d x\r\nLocation: /elsewhere\r\nContent-Length: %d\r\nConnection: close\r\n\r\n%s", status, len(body), body)
 }
 
-// What each answer says about the record. Only those by which the service says
-// that it took nothing, or will not, are definite.
-func TestAppendAnswers(t *testing.T) {
+// Only the statuses with which the service states that it did not or will not accept the request
+// have a definite outcome. All other responses leave the outcome unknown.
+func TestAppendResponses(t *testing.T) {
 	for name, tc := range map[string]struct {
 		raw     string
 		unknown bool
 		rejects bool
 	}{
-		"no answer":       {raw: "", unknown: true},
-		"cut header":      {raw: "HTTP/1.1 201 Crea", unknown: true},
-		"cut body":        {raw: cut(answer(201, `{"offset":1}`), 3), unknown: true},
-		"not JSON":        {raw: answer(201, "fine"), unknown: true},
-		"no offset":       {raw: answer(201, "{}"), unknown: true},
-		"other success":   {raw: answer(200, `{"offset":1}`), unknown: true},
-		"redirect":        {raw: answer(307, ""), unknown: true},
-		"internal error":  {raw: answer(500, ""), unknown: true},
-		"bad gateway":     {raw: answer(502, ""), unknown: true},
-		"gateway timeout": {raw: answer(504, ""), unknown: true},
-		"unavailable":     {raw: answer(503, "")},
-		"too many":        {raw: answer(429, "")},
-		"request timeout": {raw: answer(408, "")},
-		"bad request":     {raw: answer(400, "why"), rejects: true},
-		"too large":       {raw: answer(413, ""), rejects: true},
+		"no response":      {raw: "", unknown: true},
+		"truncated header": {raw: "HTTP/1.1 201 Crea", unknown: true},
+		"truncated body":   {raw: trimEnd(rawResponse(201, `{"offset":1}`), 3), unknown: true},
+		"not JSON":         {raw: rawResponse(201, "fine"), unknown: true},
+		"no offset":        {raw: rawResponse(201, "{}"), unknown: true},
+		"other success":    {raw: rawResponse(200, `{"offset":1}`), unknown: true},
+		"redirect":         {raw: rawResponse(307, ""), unknown: true},
+		"internal error":   {raw: rawResponse(500, ""), unknown: true},
+		"bad gateway":      {raw: rawResponse(502, ""), unknown: true},
+		"gateway timeout":  {raw: rawResponse(504, ""), unknown: true},
+		"unavailable":      {raw: rawResponse(503, "")},
+		"too many":         {raw: rawResponse(429, "")},
+		"request timeout":  {raw: rawResponse(408, "")},
+		"bad request":      {raw: rawResponse(400, "why"), rejects: true},
+		"too large":        {raw: rawResponse(413, ""), rejects: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := answering(t, tc.raw).Append(t.Context(), []byte("x"))
+			_, err := logReturning(t, tc.raw).Append(t.Context(), []byte("x"))
 			if tc.unknown {
 				mustBeUnknown(t, err)
 				return
@@ -247,8 +247,7 @@
 	}
 }
 
-// The service answers an append with a redirect to itself. Following it would
-// append the record a second time.
+// Following a redirect in response to an append could append the record a second time.
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var requests atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -261,7 +260,7 @@
 	must.Eq(t, 1, requests.Load())
 }
 
-// record encodes one record as the service does.
+// record encodes one record in the format of the service.
 func record(t *testing.T, off eventlog.Offset, data []byte) string {
 	var b strings.Builder
 	_, err := protodelim.MarshalTo(&b, &configpb.SequencedRecord{Offset: off, Data: data})
@@ -269,33 +268,33 @@
 	return b.String()
 }
 
-// Answers to a read that are cut short, too long, out of order or nonsense must
-// be errors: a record skipped in silence would be missing for good.
-func TestReadAnswers(t *testing.T) {
+// Responses to a read that are truncated, too long, out of order or malformed must return an error.
+// A record that is skipped without an error would be missing permanently.
+func TestReadResponses(t *testing.T) {
 	one, two, three := record(t, 1, []byte("a")), record(t, 2, []byte("b")), record(t, 3, []byte("c"))
 	for name, raw := range map[string]string{
-		"cut record":   answer(200, cut(one+two, 3)),
-		"cut answer":   cut(answer(200, one+two), len(two)),
-		"gap":          answer(200, one+three),
-		"other start":  answer(200, two+three),
-		"over limit":   answer(200, one+two+three),
-		"large record": answer(200, record(t, 1, make([]byte, eventlog.MaxRecordBytes+100))),
-		"nonsense":     answer(200, "hello"),
-		"bad 410":      answer(410, "{}"),
-		"redirect":     answer(302, ""),
+		"truncated record":   rawResponse(200, trimEnd(one+two, 3)),
+		"truncated response": trimEnd(rawResponse(200, one+two), len(two)),
+		"gap":                rawResponse(200, one+three),
+		"other start":        rawResponse(200, two+three),
+		"over limit":         rawResponse(200, one+two+three),
+		"large record":       rawResponse(200, record(t, 1, make([]byte, eventlog.MaxRecordBytes+100))),
+		"nonsense":           rawResponse(200, "hello"),
+		"bad 410":            rawResponse(410, "{}"),
+		"redirect":           rawResponse(302, ""),
 	} {
 		t.Run(name, func(t *testing.T) {
-			recs, err := answering(t, raw).Read(t.Context(), 1, 2, 0)
+			recs, err := logReturning(t, raw).Read(t.Context(), 1, 2, 0)
 			mustBeUnavailable(t, err)
 			must.SliceEmpty(t, recs)
 		})
 	}
-	recs, err := answering(t, answer(200, one+two)).Read(t.Context(), 1, 2, 0)
+	recs, err := logReturning(t, rawResponse(200, one+two)).Read(t.Context(), 1, 2, 0)
 	must.NoError(t, err)
 	must.Len(t, 2, recs)
 }
 
-// An answer above the bound is cut off there and not held in memory.
+// A response larger than MaxReadBytes is truncated at the limit and not held in memory.
 func TestReadIsBounded(t *testing.T) {
 	s := newService(t, httplog.Options{MaxReadBytes: 1000})
 	log := s.client.Stream("config")
@@ -324,9 +323,9 @@
 	must.Eq(t, 1, off)
 }
 
-// The open connection goes silent for good while new ones work. One append
-// ends as unknown; the next must not use the same connection again.
-func TestSilentConnectionIsLeft(t *testing.T) {
+// An open connection stops delivering data while new connections work. The append on it has an
+// unknown outcome, and the next append must use a new connection.
+func TestSilentConnectionIsNotReused(t *testing.T) {
 	s := newService(t, httplog.Options{})
 	r, err := relay.Listen(s.addr)
 	must.NoError(t, err)
--- a/eventlog/httplog/progress.go
+++ b/eventlog/httplog/progress.go
@@ -8,30 +8,30 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// progress tells whether any byte of a request can have left this process. It
-// errs on one side only: a record that is reported as not sent but was sent
-// would be published again as new, while one that is reported as unknown is
-// looked up first.
+// progress records whether a request may have left this process. When in doubt, it reports that the
+// request may have been sent: a record that was sent but is reported as not sent would be published
+// a second time, whereas the publisher looks up a record with an unknown outcome before it
+// publishes it again.
 type progress struct {
-	// asked is set when the transport looks for a connection. A transport that
-	// never sets it reports nothing, so nothing follows from its silence.
-	asked atomic.Bool
-	// connected is set when it has one, before it writes. It is never cleared:
-	// a client that repeats a request by itself may have written at first and
-	// found no connection later.
-	connected atomic.Bool
+	// connRequested is set when the transport starts to obtain a connection. If it is not set, the
+	// transport does not support tracing, and nothing is known about the request.
+	connRequested atomic.Bool
+	// connObtained is set when the transport has obtained a connection, before it writes to it. It
+	// is never cleared: a client that retries on its own may have written to the first connection
+	// and then failed to obtain another.
+	connObtained atomic.Bool
 }
 
-func (p *progress) watch(ctx context.Context) context.Context {
+func (p *progress) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GetConn: func(string) { p.asked.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { p.connected.Store(true) },
+		GetConn: func(string) { p.connRequested.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { p.connObtained.Store(true) },
 	})
 }
 
-// classify says what an append that got no answer means.
+// classify returns the error of an append that received no response.
 func (p *progress) classify(err error) error {
-	if p.asked.Load() && !p.connected.Load() {
+	if p.connRequested.Load() && !p.connObtained.Load() {
 		return eventlog.Unavailable(err)
 	}
 	return eventlog.Unknown(err)
--- a/eventlog/httplog/stream.go
+++ b/eventlog/httplog/stream.go
@@ -21,21 +21,21 @@
 )
 
 const (
-	// maxSmallBytes bounds JSON answers and the text of errors.
-	maxSmallBytes = 4 << 10
-	// recordOverheadBytes is more than a record's offset and field headers
-	// take.
+	// maxSmallBodyBytes limits the size of a JSON response and of the text of an error response.
+	maxSmallBodyBytes = 4 << 10
+	// recordOverheadBytes is an upper bound of the size of a record's offset and field headers in
+	// the encoded message.
 	recordOverheadBytes = 32
 )
 
-// stream is one stream as a eventlog.Log.
+// stream implements eventlog.Log for one stream.
 type stream struct {
 	c   *Client
 	url string
 }
 
-// Append sends one record, once. An append is never repeated here: whoever
-// publishes knows how to make a repeat harmless.
+// Append sends the record exactly once. It never retries, because only the publisher knows how to
+// make a retry idempotent.
 func (s *stream) Append(ctx context.Context, data []byte) (eventlog.Offset, error) {
 	if len(data) > eventlog.MaxRecordBytes {
 		return 0, &eventlog.RejectedError{Reason: fmt.Sprintf("record of %d bytes is too large", len(data))}
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithTimeout(ctx, s.c.opts.AppendTimeout)
 	defer cancel()
 	var p progress
-	req, err := http.NewRequestWithContext(p.watch(ctx), http.MethodPost, s.url+"/records", bytes.NewReader(data))
+	req, err := http.NewRequestWithContext(p.trace(ctx), http.MethodPost, s.url+"/records", bytes.NewReader(data))
 	if err != nil {
 		return 0, eventlog.Unavailable(err)
 	}
@@ -55,22 +55,23 @@
 		return 0, p.classify(err)
 	}
 	defer resp.Body.Close()
-	return appendAnswer(resp)
+	return parseAppendResponse(resp)
 }
 
-// appendAnswer maps each status to what it says about the record.
-func appendAnswer(resp *http.Response) (eventlog.Offset, error) {
+// parseAppendResponse returns the offset of the new record, or the error that the status implies
+// for the outcome of the append.
+func parseAppendResponse(resp *http.Response) (eventlog.Offset, error) {
 	switch {
 	case resp.StatusCode == http.StatusCreated:
 		var a AppendResponse
-		if err := decodeSmall(resp, &a); err != nil {
+		if err := decodeJSON(resp, &a); err != nil {
 			return 0, eventlog.Unknown(err)
 		}
 		if a.Offset == 0 {
-			return 0, eventlog.Unknown(errors.New("log service answered no offset"))
+			return 0, eventlog.Unknown(errors.New("log service returned no offset"))
 		}
 		return a.Offset, nil
-	case tookNothing(resp.StatusCode):
+	case isUnavailable(resp.StatusCode):
 		return 0, eventlog.Unavailable(statusError(resp))
 	case isRejection(resp.StatusCode):
 		return 0, &eventlog.RejectedError{Reason: statusError(resp).Error()}
@@ -78,7 +79,7 @@
 	return 0, eventlog.Unknown(statusError(resp))
 }
 
-// Read returns records in order and without gaps, or an error.
+// Read implements eventlog.Log. It returns records in order and without gaps, or an error.
 func (s *stream) Read(ctx context.Context, from eventlog.Offset, limit int, wait time.Duration) ([]eventlog.Record, error) {
 	wait = max(wait, 0)
 	ctx, cancel := context.WithTimeout(ctx, wait+s.c.opts.ReadTimeout)
@@ -101,12 +102,12 @@
 		}
 		return recs, nil
 	case resp.StatusCode == http.StatusGone:
-		return nil, truncated(resp, from)
+		return nil, truncatedError(resp, from)
 	}
 	return nil, readError(resp)
 }
 
-// Bounds asks for the current first and end offset.
+// Bounds implements eventlog.Log.
 func (s *stream) Bounds(ctx context.Context) (eventlog.Bounds, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.c.opts.ReadTimeout)
 	defer cancel()
@@ -119,11 +120,11 @@
 		return eventlog.Bounds{}, readError(resp)
 	}
 	var a BoundsResponse
-	if err := decodeSmall(resp, &a); err != nil {
+	if err := decodeJSON(resp, &a); err != nil {
 		return eventlog.Bounds{}, eventlog.Unavailable(err)
 	}
 	if a.First == 0 || a.End < a.First {
-		return eventlog.Bounds{}, eventlog.Unavailable(errors.Newf("log service answered bounds %d to %d", a.First, a.End))
+		return eventlog.Bounds{}, eventlog.Unavailable(errors.Newf("log service returned invalid bounds %d to %d", a.First, a.End))
 	}
 	return eventlog.Bounds{First: a.First, End: a.End}, nil
 }
@@ -140,9 +141,9 @@
 	return resp, nil
 }
 
-// decodeRecords checks the order of offsets: a record skipped here would be
-// missing from the fold for good, and the daemon would reach other verdicts
-// than its peers.
+// decodeRecords decodes records and verifies that their offsets are consecutive. A record skipped
+// here would be missing from the folded state permanently, and the daemon would accept or reject
+// configuration versions differently from its peers.
 func decodeRecords(body io.Reader, from eventlog.Offset, limit int) ([]eventlog.Record, error) {
 	r := bufio.NewReader(body)
 	opts := protodelim.UnmarshalOptions{MaxSize: eventlog.MaxRecordBytes + recordOverheadBytes}
@@ -158,38 +159,38 @@
 		}
 		want := from + eventlog.Offset(len(recs))
 		if m.GetOffset() != want {
-			return nil, errors.Newf("log service answered offset %d in place of %d", m.GetOffset(), want)
+			return nil, errors.Newf("log service returned offset %d instead of %d", m.GetOffset(), want)
 		}
 		if len(recs) == limit {
-			return nil, errors.Newf("log service answered more than %d records", limit)
+			return nil, errors.Newf("log service returned more than %d records", limit)
 		}
 		recs = append(recs, eventlog.Record{Offset: m.GetOffset(), Data: m.GetData()})
 	}
 }
 
-func truncated(resp *http.Response, asked eventlog.Offset) error {
+func truncatedError(resp *http.Response, requested eventlog.Offset) error {
 	var a TruncatedResponse
-	if err := decodeSmall(resp, &a); err != nil {
+	if err := decodeJSON(resp, &a); err != nil {
 		return eventlog.Unavailable(err)
 	}
-	if a.First <= asked {
-		return eventlog.Unavailable(errors.Newf("log service answered that %d is no longer retained and %d is", asked, a.First))
+	if a.First <= requested {
+		return eventlog.Unavailable(errors.Newf("log service reported that offset %d is truncated but offset %d is retained", requested, a.First))
 	}
-	return &eventlog.TruncatedError{Requested: asked, First: a.First}
+	return &eventlog.TruncatedError{Requested: requested, First: a.First}
 }
 
-// readError maps the status of a read that failed. Nothing was read, whatever
-// the reason.
+// readError returns the error for the status of a failed read. A failed read never has an effect,
+// whatever the status.
 func readError(resp *http.Response) error {
-	if isRejection(resp.StatusCode) && !tookNothing(resp.StatusCode) {
+	if isRejection(resp.StatusCode) && !isUnavailable(resp.StatusCode) {
 		return &eventlog.RejectedError{Reason: statusError(resp).Error()}
 	}
 	return eventlog.Unavailable(statusError(resp))
 }
 
-// tookNothing reports whether the service promises that it took nothing and
-// may be asked again.
-func tookNothing(status int) bool {
+// isUnavailable reports whether the status guarantees that the request had no effect and may be
+// retried.
+func isUnavailable(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
@@ -199,11 +200,11 @@
 
 func isRejection(status int) bool { return status >= 400 && status < 500 }
 
-func decodeSmall(resp *http.Response, v any) error {
-	return errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxSmallBytes)).Decode(v), "decode answer")
+func decodeJSON(resp *http.Response, v any) error {
+	return errors.Wrap(json.NewDecoder(io.LimitReader(resp.Body, maxSmallBodyBytes)).Decode(v), "decode response")
 }
 
 func statusError(resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxSmallBytes))
-	return errors.Newf("log service answered %s: %s", resp.Status, strings.TrimSpace(string(text)))
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxSmallBodyBytes))
+	return errors.Newf("log service responded with status %s: %s", resp.Status, strings.TrimSpace(string(text)))
 }
--- a/eventlog/memlog/example_test.go
+++ b/eventlog/memlog/example_test.go
@@ -10,7 +10,7 @@
 	"github.com/crocuscross/crocuscross/eventlog/memlog"
 )
 
-// An append whose answer is lost has taken effect all the same.
+// An append whose response is lost has taken effect nevertheless.
 func Example() {
 	ctx := context.Background()
 	svc := memlog.New(memlog.DefaultOptions())
--- a/eventlog/memlog/faults.go
+++ b/eventlog/memlog/faults.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// faults is how the service misbehaves at present.
+// faults holds the faults that are currently injected.
 type faults struct {
-	outage       bool
-	delay        time.Duration
-	loseAnswers  int
-	loseRequests int
-	held         bool
-	// waiting are the effects of the requests that came while held, in order.
-	waiting []func()
+	outage        bool
+	delay         time.Duration
+	loseResponses int
+	loseRequests  int
+	held          bool
+	// pending holds the effects of the requests received while the service is held, in the order of
+	// their arrival.
+	pending []func()
 }
 
-// SetOutage starts or ends an outage: all requests fail with
-// eventlog.ErrUnavailable, reads that wait for records included.
+// SetOutage starts or ends an outage. During an outage all requests fail with
+// eventlog.ErrUnavailable, including reads that are already pending for records.
 func (s *Service) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.outage = down
 	for _, st := range s.streams {
-		st.wake()
+		st.notifyReaders()
 	}
 }
 
-// SetDelay makes each request take d before its effect. An append whose caller
-// gives up earlier returns eventlog.ErrUnknown and takes effect all the same.
+// SetDelay delays the effect of each request by d. An append whose context ends during the delay
+// returns eventlog.ErrUnknown and takes effect nevertheless.
 func (s *Service) SetDelay(d time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.delay = d
 }
 
-// Hold stalls all requests until they are released. Appends take effect then,
-// in the order of their arrival, even if their callers have given up.
+// Hold stalls all requests until Release or the returned function is called. Held appends take
+// effect then, in the order of their arrival, even if their contexts have ended.
 func (s *Service) Hold() (release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,59 +42,59 @@
 	return s.Release
 }
 
-// Release ends a Hold.
+// Release ends a Hold and runs the held requests.
 func (s *Service) Release() {
 	s.mu.Lock()
-	waiting := s.faults.waiting
-	s.faults.waiting = nil
+	pending := s.faults.pending
+	s.faults.pending = nil
 	s.faults.held = false
 	s.mu.Unlock()
-	for _, effect := range waiting {
+	for _, effect := range pending {
 		effect()
 	}
 }
 
-// Held returns the number of requests that wait for the release.
+// Held returns the number of requests that are held.
 func (s *Service) Held() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.faults.waiting)
+	return len(s.faults.pending)
 }
 
-// LoseResponses makes the next n appends take effect and return
-// eventlog.ErrUnknown.
+// LoseResponses makes the next n appends take effect and return eventlog.ErrUnknown.
 func (s *Service) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.faults.loseAnswers = n
+	s.faults.loseResponses = n
 }
 
-// LoseRequests makes the next n appends return eventlog.ErrUnknown without any
-// effect. It comes before LoseAnswers where both are set.
+// LoseRequests makes the next n appends return eventlog.ErrUnknown without taking effect. If
+// LoseResponses is also set, LoseRequests applies first.
 func (s *Service) LoseRequests(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults.loseRequests = n
 }
 
-// fate is what becomes of one append.
-type fate uint8
+// appendOutcome is the injected outcome of one append.
+type appendOutcome uint8
 
 const (
-	fateAnswered fate = iota
-	fateAnswerLost
-	fateRequestLost
+	outcomeAcknowledged appendOutcome = iota
+	outcomeResponseLost
+	outcomeRequestLost
 )
 
-// nextFate uses up one of the losses ordered. The lock is held.
-func (f *faults) nextFate() fate {
+// nextAppendOutcome returns the outcome of the next append and decrements the number of losses that
+// remain. The caller holds the lock.
+func (f *faults) nextAppendOutcome() appendOutcome {
 	switch {
 	case f.loseRequests > 0:
 		f.loseRequests--
-		return fateRequestLost
-	case f.loseAnswers > 0:
-		f.loseAnswers--
-		return fateAnswerLost
+		return outcomeRequestLost
+	case f.loseResponses > 0:
+		f.loseResponses--
+		return outcomeResponseLost
 	}
-	return fateAnswered
+	return outcomeAcknowledged
 }
--- a/eventlog/memlog/memlog_test.go
+++ b/eventlog/memlog/memlog_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// A stream must answer like a plain slice with a first offset, whatever the
-// order of appends, cuts of the front and losses at the end.
+// A stream behaves like a slice with a first offset, for any sequence of appends and of truncations
+// at either end.
 func TestStreamMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := context.Background()
@@ -61,10 +61,10 @@
 	})
 }
 
-// The caller sees ErrUnknown twice and cannot tell the two apart: the first
-// append never reached the log, the answer of the second was lost after it
-// took effect. Calling either unavailable would promise that it is not there.
-func TestLossesAreUnknown(t *testing.T) {
+// The caller receives ErrUnknown for a lost request, which had no effect, and for a lost response,
+// whose append took effect. It cannot distinguish them. ErrUnavailable would assert that the record
+// is not in the log.
+func TestLostMessagesReturnUnknown(t *testing.T) {
 	svc := New(DefaultOptions())
 	st := svc.Stream("s")
 	svc.LoseRequests(1)
@@ -79,8 +79,8 @@
 	must.Eq(t, 2, off)
 }
 
-// The service stalls, the caller gives up and is told ErrUnknown. Only later
-// the service goes on and the append takes effect.
+// The caller of a held append times out with ErrUnknown. The append takes effect when the service
+// is released.
 func TestHeldAppendTakesEffectLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := New(DefaultOptions())
@@ -98,8 +98,8 @@
 	})
 }
 
-// A slow service answers after its delay; a caller that waits for less gives
-// up on an append that still takes effect.
+// A delayed append returns after the delay. If the caller times out first, the append takes effect
+// nevertheless.
 func TestDelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := New(DefaultOptions())
@@ -118,8 +118,7 @@
 	})
 }
 
-// A read that waits for records must not sleep through an outage: it fails at
-// once, and so does every request until the outage ends.
+// An outage ends reads that wait for records at once, and all requests fail until it is over.
 func TestOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		svc := New(DefaultOptions())
@@ -143,8 +142,7 @@
 	})
 }
 
-// A read waits for its time and returns nothing, or returns as soon as a
-// record comes.
+// A read returns nothing when its wait is over, or returns as soon as a record is appended.
 func TestReadWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		st := New(DefaultOptions()).Stream("s")
@@ -160,8 +158,8 @@
 	})
 }
 
-// Records go when their time is up, and appends above the rate are refused for
-// certain rather than left open.
+// Records are dropped when their retention time is over. Appends above the rate limit fail with
+// ErrUnavailable, not with ErrUnknown.
 func TestRetentionAndRate(t *testing.T) {
 	now := time.Now()
 	opts := DefaultOptions()
@@ -184,7 +182,7 @@
 	must.Eq(t, eventlog.Bounds{First: 3, End: 4}, b)
 }
 
-func TestBoundsOfRequests(t *testing.T) {
+func TestRequestLimits(t *testing.T) {
 	opts := DefaultOptions()
 	opts.MaxReadBytes = 10
 	st := New(opts).Stream("s")
--- a/eventlog/memlog/service.go
+++ b/eventlog/memlog/service.go
@@ -1,7 +1,6 @@
-// Package memlog is the platform's log service in memory, for tests, examples
-// and the stand-in server. It misbehaves on command: outage, slow or held
-// requests, answers and requests that get lost, records that expire, an end
-// that goes back.
+// Package memlog implements the platform's log service in memory, for tests, examples and the
+// stand-in server. It can inject faults: outages, delayed or held requests, lost requests and
+// responses, expired records, and the loss of the latest records.
 package memlog
 
 import (
@@ -13,41 +12,40 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Options holds the bounds of a Service.
+// Options configures a Service.
 type Options struct {
-	// MaxAppendsPerSecond bounds the appends of all streams together; above it
-	// they are refused with eventlog.ErrUnavailable. 0 means no bound. One
-	// second's worth may arrive at once.
+	// MaxAppendsPerSecond limits the rate of appends over all streams. Appends above the limit fail
+	// with eventlog.ErrUnavailable. The burst is the number of appends allowed in one second. 0
+	// means no limit.
 	MaxAppendsPerSecond float64
-	// RetainFor is how long records are kept. 0 keeps them for good.
+	// RetainFor is how long records are retained. 0 means forever.
 	RetainFor time.Duration
-	// MaxReadBytes bounds the data of one read, which returns at least one
-	// record all the same.
+	// MaxReadBytes limits the record data that one read returns. A read returns the first record
+	// even if it exceeds the limit.
 	MaxReadBytes int
-	// Now is the clock for MaxAppendsPerSecond and RetainFor.
+	// Now returns the current time. It is used for MaxAppendsPerSecond and RetainFor.
 	Now func() time.Time
 }
 
-// DefaultOptions bound nothing but the size of a read.
+// DefaultOptions returns options that limit only the size of a read.
 func DefaultOptions() Options {
 	return Options{MaxReadBytes: 4 << 20, Now: time.Now}
 }
 
-// Counters tells what a Service has been asked since it began.
+// Counters counts the requests to a Service since it was created.
 type Counters struct {
-	// Appends took effect, whether or not their answers were lost.
+	// Appends counts the appends that took effect, including those whose responses were lost.
 	Appends uint64 `json:"appends"`
-	// Reads were let in, whether or not there was a record; Bounds counts as one.
+	// Reads counts the accepted calls of Read and Bounds, including reads that returned no record.
 	Reads uint64 `json:"reads"`
-	// Refused counts requests that met an outage or the append rate.
+	// Refused counts the requests rejected because of an outage or the rate limit of appends.
 	Refused uint64 `json:"refused"`
-	// BytesIn and BytesOut count the data of records appended and read.
+	// BytesIn and BytesOut count the data bytes of appended and returned records.
 	BytesIn  uint64 `json:"bytes_in"`
 	BytesOut uint64 `json:"bytes_out"`
 }
 
-// Service is a set of streams that share their faults. It is safe for
-// concurrent use.
+// Service is a set of streams with common faults. It is safe for concurrent use.
 type Service struct {
 	opts Options
 
@@ -61,11 +59,11 @@
 // New returns a service without streams.
 func New(opts Options) *Service {
 	s := &Service{opts: opts, streams: map[string]*Stream{}}
-	s.bucket = bucket{rate: opts.MaxAppendsPerSecond, tokens: opts.MaxAppendsPerSecond, filled: opts.Now()}
+	s.bucket = bucket{rate: opts.MaxAppendsPerSecond, tokens: opts.MaxAppendsPerSecond, lastRefill: opts.Now()}
 	return s
 }
 
-// Stream returns the stream of a name, a new one at its first use.
+// Stream returns the named stream and creates it on first use.
 func (s *Service) Stream(name string) *Stream {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,14 +75,14 @@
 	return st
 }
 
-// Counters returns the counts so far.
+// Counters returns the current counts.
 func (s *Service) Counters() Counters {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.counters
 }
 
-// operation is what a request asks for.
+// operation is the type of a request.
 type operation uint8
 
 const (
@@ -92,12 +90,12 @@
 	opAppend
 )
 
-// admit lets a request in and runs its effect: at once, after the delay, or
-// when the service is released. The effect runs even if the caller has gone by
-// then, as it would at a remote service. The error means that it never runs.
+// admit accepts a request and runs its effect immediately, after the delay, or when the service is
+// released. As with a remote service, the effect runs even if the caller has given up by then. If
+// admit returns an error, the effect never runs.
 func (s *Service) admit(op operation, effect func()) error {
 	s.mu.Lock()
-	if err := s.refusal(op); err != nil {
+	if err := s.checkAccepted(op); err != nil {
 		s.counters.Refused++
 		s.mu.Unlock()
 		return err
@@ -106,7 +104,7 @@
 		s.counters.Reads++
 	}
 	if s.faults.held {
-		s.faults.waiting = append(s.faults.waiting, effect)
+		s.faults.pending = append(s.faults.pending, effect)
 		s.mu.Unlock()
 		return nil
 	}
@@ -120,29 +118,29 @@
 	return nil
 }
 
-func (s *Service) refusal(op operation) error {
+func (s *Service) checkAccepted(op operation) error {
 	if s.faults.outage {
 		return eventlog.Unavailable(errors.New("log service is down"))
 	}
 	if op == opAppend && !s.bucket.take(s.opts.Now()) {
-		return eventlog.Unavailable(errors.New("log service is over its append rate"))
+		return eventlog.Unavailable(errors.New("log service append rate exceeded"))
 	}
 	return nil
 }
 
-// bucket is a token bucket that holds at most one second's worth.
+// bucket is a token bucket whose capacity is the number of tokens added in one second.
 type bucket struct {
-	rate   float64
-	tokens float64
-	filled time.Time
+	rate       float64
+	tokens     float64
+	lastRefill time.Time
 }
 
 func (b *bucket) take(now time.Time) bool {
 	if b.rate <= 0 {
 		return true
 	}
-	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.filled).Seconds())
-	b.filled = now
+	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.lastRefill).Seconds())
+	b.lastRefill = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/eventlog/memlog/stream.go
+++ b/eventlog/memlog/stream.go
@@ -11,21 +11,21 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Stream is one stream of a Service.
+// Stream is a stream of a Service. It implements eventlog.Log.
 type Stream struct {
 	svc *Service
-	// Guarded by the service's lock.
+	// The fields below are guarded by the lock of the service.
 	first   eventlog.Offset
 	entries []entry
-	// changed is closed when records may have come or an outage began.
+	// changed is closed when records may have been added or the outage has started or ended.
 	changed chan struct{}
 }
 
 var _ eventlog.Log = (*Stream)(nil)
 
 type entry struct {
-	data []byte
-	at   time.Time
+	data     []byte
+	appended time.Time
 }
 
 func newStream(svc *Service) *Stream {
@@ -37,8 +37,8 @@
 	err    error
 }
 
-// Append adds a copy of data. Data above eventlog.MaxRecordBytes is rejected
-// with a *eventlog.RejectedError.
+// Append adds a copy of data. If data is larger than eventlog.MaxRecordBytes, it returns a
+// *eventlog.RejectedError.
 func (st *Stream) Append(ctx context.Context, data []byte) (eventlog.Offset, error) {
 	if len(data) > eventlog.MaxRecordBytes {
 		return 0, &eventlog.RejectedError{Reason: fmt.Sprintf("record of %d bytes is too large", len(data))}
@@ -59,20 +59,20 @@
 	}
 }
 
-// Read returns records whose data is shared with the stream and must not be
-// changed.
+// Read implements eventlog.Log. The data of the returned records is shared with the stream and must
+// not be modified.
 func (st *Stream) Read(ctx context.Context, from eventlog.Offset, limit int, wait time.Duration) ([]eventlog.Record, error) {
 	if limit < 1 {
 		return nil, &eventlog.RejectedError{Reason: fmt.Sprintf("limit %d is below 1", limit)}
 	}
-	if err := st.enter(ctx); err != nil {
+	if err := st.admitRead(ctx); err != nil {
 		return nil, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	expired := wait <= 0
 	for {
-		recs, changed, err := st.slice(from, limit)
+		recs, changed, err := st.readAvailable(from, limit)
 		if err != nil || len(recs) > 0 || expired {
 			return recs, err
 		}
@@ -86,9 +86,9 @@
 	}
 }
 
-// Bounds returns the current first and end offset.
+// Bounds implements eventlog.Log.
 func (st *Stream) Bounds(ctx context.Context) (eventlog.Bounds, error) {
-	if err := st.enter(ctx); err != nil {
+	if err := st.admitRead(ctx); err != nil {
 		return eventlog.Bounds{}, err
 	}
 	st.svc.mu.Lock()
@@ -97,16 +97,16 @@
 	return eventlog.Bounds{First: st.first, End: st.end()}, nil
 }
 
-// TruncateBefore drops the records before first, as the service does when their time is
-// up.
+// TruncateBefore drops the records before first, as the service does when their retention time is
+// over.
 func (st *Stream) TruncateBefore(first eventlog.Offset) {
 	st.svc.mu.Lock()
 	defer st.svc.mu.Unlock()
-	st.cut(first)
+	st.truncateBefore(first)
 }
 
-// TruncateEnd drops the records from end on, as when the service loses its
-// latest writes. Later appends get these offsets again.
+// TruncateEnd drops the records from end on, as if the service had lost its latest writes. Later
+// appends reuse these offsets.
 func (st *Stream) TruncateEnd(end eventlog.Offset) {
 	st.svc.mu.Lock()
 	defer st.svc.mu.Unlock()
@@ -118,48 +118,48 @@
 	}
 }
 
-// enter waits for the delay and for the release of a held service.
-func (st *Stream) enter(ctx context.Context) error {
+// admitRead admits a read and blocks until its delay is over and the service is not held.
+func (st *Stream) admitRead(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return eventlog.Unavailable(err)
 	}
-	through := make(chan struct{})
-	if err := st.svc.admit(opRead, func() { close(through) }); err != nil {
+	admitted := make(chan struct{})
+	if err := st.svc.admit(opRead, func() { close(admitted) }); err != nil {
 		return err
 	}
 	select {
-	case <-through:
+	case <-admitted:
 		return nil
 	case <-ctx.Done():
 		return eventlog.Unavailable(ctx.Err())
 	}
 }
 
-// commit is the effect of an append.
+// commit applies an append, subject to the injected faults.
 func (st *Stream) commit(data []byte) appendResult {
 	s := st.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	unknown := eventlog.Unknown(errors.New("log service gave no answer"))
-	fate := s.faults.nextFate()
-	if fate == fateRequestLost {
+	unknown := eventlog.Unknown(errors.New("no response from the log service"))
+	outcome := s.faults.nextAppendOutcome()
+	if outcome == outcomeRequestLost {
 		return appendResult{err: unknown}
 	}
 	offset := st.end()
-	st.entries = append(st.entries, entry{data: data, at: s.opts.Now()})
+	st.entries = append(st.entries, entry{data: data, appended: s.opts.Now()})
 	s.counters.Appends++
 	s.counters.BytesIn += uint64(len(data))
 	st.expire()
-	st.wake()
-	if fate == fateAnswerLost {
+	st.notifyReaders()
+	if outcome == outcomeResponseLost {
 		return appendResult{err: unknown}
 	}
 	return appendResult{offset: offset}
 }
 
-// slice returns what is there, and the channel that is closed when there may
-// be more.
-func (st *Stream) slice(from eventlog.Offset, limit int) ([]eventlog.Record, <-chan struct{}, error) {
+// readAvailable returns the available records from an offset on, and a channel that is closed when
+// there may be more.
+func (st *Stream) readAvailable(from eventlog.Offset, limit int) ([]eventlog.Record, <-chan struct{}, error) {
 	s := st.svc
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +187,7 @@
 
 func (st *Stream) end() eventlog.Offset { return st.first + eventlog.Offset(len(st.entries)) }
 
-func (st *Stream) cut(first eventlog.Offset) {
+func (st *Stream) truncateBefore(first eventlog.Offset) {
 	first = min(first, st.end())
 	if first <= st.first {
 		return
@@ -198,22 +198,22 @@
 	st.first = first
 }
 
-// expire drops the records whose time is up.
+// expire drops the records whose retention time is over. The caller holds the lock.
 func (st *Stream) expire() {
-	keep := st.svc.opts.RetainFor
-	if keep <= 0 {
+	retention := st.svc.opts.RetainFor
+	if retention <= 0 {
 		return
 	}
 	now := st.svc.opts.Now()
 	n := 0
-	for n < len(st.entries) && now.Sub(st.entries[n].at) >= keep {
+	for n < len(st.entries) && now.Sub(st.entries[n].appended) >= retention {
 		n++
 	}
-	st.cut(st.first + eventlog.Offset(n))
+	st.truncateBefore(st.first + eventlog.Offset(n))
 }
 
-// wake makes the reads that wait look again.
-func (st *Stream) wake() {
+// notifyReaders makes waiting reads check the stream again. The caller holds the lock.
+func (st *Stream) notifyReaders() {
 	close(st.changed)
 	st.changed = make(chan struct{})
 }
