--- a/eventlog/epoch.go
+++ b/eventlog/epoch.go
@@ -35,7 +35,7 @@
 }
 
 // RestoredError means that the log was restored from an older copy after the requested offset was
-// issued. Records of the offset's epoch may be lost, and other records may be stored at their
+// issued. Records of the offset's epoch may be lost, and other records may be stored at the same
 // indexes. The reader has to continue from the newest state that the log holds.
 type RestoredError struct {
 	Requested Offset
@@ -45,5 +45,5 @@
 
 // Error implements error.
 func (e *RestoredError) Error() string {
-	return fmt.Sprintf("record %d of epoch %d is unavailable: the log was restored and is in epoch %d", Index(e.Requested), Epoch(e.Requested), e.Epoch)
+	return fmt.Sprintf("cannot read record %d of epoch %d: the log was restored and is in epoch %d", Index(e.Requested), Epoch(e.Requested), e.Epoch)
 }
--- a/eventlog/httplog/stream.go
+++ b/eventlog/httplog/stream.go
@@ -174,7 +174,7 @@
 		return eventlog.Unavailable(err)
 	}
 	if a.First <= requested {
-		return eventlog.Unavailable(errors.Newf("log service reported that offset %d is truncated but offset %d is retained", requested, a.First))
+		return eventlog.Unavailable(errors.Newf("log service reported offset %d as truncated, but its first retained offset is %d", requested, a.First))
 	}
 	return &eventlog.TruncatedError{Requested: requested, First: a.First}
 }
--- a/eventlog/memlog/faults.go
+++ b/eventlog/memlog/faults.go
@@ -15,7 +15,7 @@
 }
 
 // SetOutage starts or ends an outage. During an outage all requests fail with
-// eventlog.ErrUnavailable, including reads that are already pending for records.
+// eventlog.ErrUnavailable, including reads that are already waiting for records.
 func (s *Service) SetOutage(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
