--- a/internal/cli/daemoncmd/daemon.go
+++ b/internal/cli/daemoncmd/daemon.go
@@ -26,6 +26,6 @@
 		}
 		hangup := make(chan os.Signal, 1)
 		signal.Notify(hangup, syscall.SIGHUP)
-		return errors.Wrap(daemon.Run(env.Context, s, daemon.Reloads{File: *path, Signal: hangup}), "daemon")
+		return errors.Wrap(daemon.Run(env.Context, s, daemon.ReloadOptions{File: *path, Signal: hangup}), "daemon")
 	}))
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -53,7 +53,7 @@
 	settings *settings.Settings
 	// current is settings with what was reloaded since the start.
 	current  atomic.Pointer[settings.Settings]
-	reloads  Reloads
+	reloads  ReloadOptions
 	level    *slog.LevelVar
 	lines    *telemetry.LineQueue
 	logger   *slog.Logger
@@ -77,7 +77,7 @@
 }
 
 // Run runs a daemon until ctx is done and its graceful shutdown has ended.
-func Run(ctx context.Context, s *settings.Settings, reloads Reloads) error {
+func Run(ctx context.Context, s *settings.Settings, reloads ReloadOptions) error {
 	d, err := New(ctx, s)
 	if err != nil {
 		return err
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -13,8 +13,8 @@
 // a signal.
 const watchInterval = time.Second
 
-// Reloads are what makes a daemon read its settings again.
-type Reloads struct {
+// ReloadOptions are what makes a daemon read its settings again.
+type ReloadOptions struct {
 	// File of the settings, empty where they do not come from one.
 	File string
 	// Signal asks for a reload; it may be nil.
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -28,7 +28,7 @@
 	}
 	write("281")
 	signal := make(chan os.Signal, 1)
-	d.reloads = Reloads{File: file, Signal: signal}
+	d.reloads = ReloadOptions{File: file, Signal: signal}
 	go func() { _ = d.followSettings(d.ctx) }()
 	signal <- syscall.SIGHUP
 	f.eventually("the signal is followed", func() bool { return d.live().Retries.Extra == 281 })
