--- a/internal/proxy/backendconn/client_test.go
+++ b/internal/proxy/backendconn/client_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Responses that break off, are not HTTP, or belong to another call are errors of a call that
-// may have run.
+// Responses that are cut short, are not HTTP, or belong to another call are errors of a call
+// that may have run.
 func TestBadResponses(t *testing.T) {
 	for name, raw := range map[string]string{
 		"cut in the body": fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: 1\r\nContent-Length: 9\r\n\r\nabc", idHeader),
@@ -236,11 +236,11 @@
 }
 
 // A server rejects an upload before it has read it, keeps the connection open and reads the
-// body a second later. The body fits into the TCP windows of the connection and looks sent. The
-// server reads a call that is sent behind it only then, when its caller may have disconnected,
-// or responds too late. With such connections kept, a call started 0.99 s after it was sent and
-// 0.73 s after its connection was closed, and 96 of 142 such rejections were followed by a call
-// that failed on the connection.
+// body a second later. The body fits into the TCP windows of the connection and looks sent. A
+// call that is sent behind it is read only after the body, when its caller may have
+// disconnected, or gets its response too late. When these connections were kept, a call started
+// 0.99 s after it was sent and 0.73 s after its connection was closed, and 96 of 142 such
+// rejections were followed by a call that failed on the connection.
 func TestRejectionOfUnreadBodyClosesConnection(t *testing.T) {
 	readOn := make(chan struct{})
 	defer close(readOn)
--- a/internal/proxy/backendconn/conn.go
+++ b/internal/proxy/backendconn/conn.go
@@ -139,18 +139,18 @@
 
 // start writes the head and a small body. A larger body, or one of unknown length, is written
 // in the background while the response is read.
-func (s *requestWriter) start(r *Request) error {
-	s.cn.writeHead(r)
+func (w *requestWriter) start(r *Request) error {
+	w.cn.writeHead(r)
 	if r.Length < 0 || r.Length > maxDirectBody {
 		go func() {
-			defer close(s.done)
-			s.err = s.cn.writeLargeBody(r)
+			defer close(w.done)
+			w.err = w.cn.writeLargeBody(r)
 		}()
 		return nil
 	}
-	defer close(s.done)
-	s.err = s.cn.writeSmallBody(r)
-	return s.err
+	defer close(w.done)
+	w.err = w.cn.writeSmallBody(r)
+	return w.err
 }
 
 // writeSmallBody writes a small body after the head and flushes both.
@@ -164,10 +164,10 @@
 }
 
 // complete reports whether the whole call has been written without an error so far.
-func (s *requestWriter) complete() bool {
+func (w *requestWriter) complete() bool {
 	select {
-	case <-s.done:
-		return s.err == nil
+	case <-w.done:
+		return w.err == nil
 	default:
 		return false
 	}
@@ -186,8 +186,8 @@
 	_, _ = cn.bw.WriteString("\r\n")
 }
 
-// usuallyHasBody reports whether requests with the method usually have a body. An empty body is
-// then stated by a Content-Length of 0.
+// usuallyHasBody reports whether requests with the method usually have a body. For these
+// methods an empty body is declared by a Content-Length of 0.
 func usuallyHasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/proxy/body/body.go
+++ b/internal/proxy/body/body.go
@@ -19,7 +19,7 @@
 
 // MaxBufferedResponse is the largest response body, in bytes, that the daemon beside the
 // backend server and the daemon that serves the caller receive completely before they forward
-// any of it. A response that breaks off while it is buffered can be requested again. Once the
+// any of it. If the transfer fails before that, the response can be requested again. Once the
 // caller has received a part, the daemon can only close the caller's connection, and the
 // requests pipelined on that connection get no response either.
 const MaxBufferedResponse = 64 << 10
@@ -108,6 +108,7 @@
 // read from the stream.
 func (r *Reader) Complete() bool { return errors.Is(r.err, io.EOF) }
 
+// readChunk receives the next chunk and sets buffered and err.
 func (r *Reader) readChunk() {
 	var c peerpb.Chunk
 	err := r.st.RecvMax(&c, maxChunkMessage)
--- a/internal/proxy/inbound/call.go
+++ b/internal/proxy/inbound/call.go
@@ -143,9 +143,9 @@
 }
 
 // findServer finds the instance of the backend server beside this daemon, if it offers the
-// service of the call and accepts calls. Once a server with an ID has been told that its
-// draining or departure is known, no more calls reach it, even if other daemons do not know yet
-// and still send calls here.
+// service of the call and accepts calls. Once this daemon has confirmed to a server with an ID
+// that it drains or has left, the server gets no more calls, even if other daemons do not know
+// yet and still send calls here.
 func (c *call) findServer() error {
 	local := c.h.opts.Local.Load()
 	if local == nil || local.Service != c.head.GetService() {
--- a/internal/proxy/inbound/crash.go
+++ b/internal/proxy/inbound/crash.go
@@ -41,9 +41,9 @@
 	delete(r.calls, c)
 }
 
-// checkExit checks whether the server has exited, after a call's exchange with it broke off.
-// All calls that break off during the check share it, and so do later ones if the server has
-// exited. first reports whether this call started the check.
+// checkExit checks whether the server has exited, after a call's exchange with it failed. All
+// calls that fail during the check share it, and so do later ones if the server has exited.
+// first reports whether this call started the check.
 func (r *runningCalls) checkExit(serverExited func() bool) (e *exitCheck, first bool) {
 	r.mu.Lock()
 	e = r.check
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// detectCrash checks whether the server has exited after the call's exchange with it broke off,
+// detectCrash checks whether the server has exited after the call's exchange with it failed,
 // and records a crash once for all calls in progress. It reports whether the server has
 // crashed. An exit that the server has announced is not a crash.
 func (c *call) detectCrash() bool {
@@ -107,8 +107,8 @@
 	return true
 }
 
-// serverLeaving reports whether the server has announced its exit, or a different instance has
-// replaced it.
+// serverLeaving reports whether the server has announced its exit, or is no longer the
+// announced instance.
 func (c *call) serverLeaving() bool {
 	local := c.h.opts.Local.Load()
 	return local == nil || local.Draining || !c.instance.matches(local)
--- a/internal/proxy/inbound/crash_test.go
+++ b/internal/proxy/inbound/crash_test.go
@@ -11,7 +11,7 @@
 
 // A server exits while it runs five calls, some of them of the same request, and all their
 // connections break at once. The exit is checked only once, and the calls in progress are all
-// that were running, not only the first one that broke off.
+// that were running, not only the first one that failed.
 func TestRunningCalls_OneExitCheckForAllCalls(t *testing.T) {
 	var r runningCalls
 	calls := make([]*call, 5)
--- a/internal/proxy/inbound/forward.go
+++ b/internal/proxy/inbound/forward.go
@@ -224,7 +224,7 @@
 	return gate.Answered
 }
 
-// linkError marks a failure to send to the caller's host as a cancellation.
+// linkError wraps a failure to send to the caller's host as errkind.Canceled.
 func linkError(err error) error {
 	return errkind.Wrap(errkind.Canceled, err, "the link to the caller's host failed")
 }
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -51,8 +51,8 @@
 	LinkMbps float64
 	// Runs tracks the calls that the backend server is running.
 	Runs *admission.Runs
-	// CalleeStats measures which services those calls call in turn. The handler counts the
-	// calls and reports the rates with each response.
+	// CalleeStats measures which services the backend server calls while it runs those calls.
+	// The handler counts the runs and reports the rates with each response.
 	CalleeStats *admission.CalleeStats
 	// HostShare returns the fraction of the known hosts, 0 to 1, that run a backend server of a
 	// service.
--- a/internal/proxy/inbound/once.go
+++ b/internal/proxy/inbound/once.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		c.h.opts.Attempts.Fail(id)
 		_ = c.exchangeError(err)
-		return gate.Failed, c.reject(errkind.Wrap(errkind.OutcomeUnknown, err, "the backend server's response broke off"))
+		return gate.Failed, c.reject(errkind.Wrap(errkind.OutcomeUnknown, err, "the backend server's response was incomplete"))
 	}
 	c.h.opts.Quarantine.RecordSuccess(c.identity)
 	if len(prefix) <= maxRecordedBody {
@@ -91,17 +91,17 @@
 // bar an attempt that has not started, so that it never runs.
 func (h *Handler) ServeAttemptQuery(ctx context.Context, st *peer.Stream) error {
 	_ = st.SetDeadline(time.Now().Add(exchangeTimeout))
-	var ask peerpb.Ask
-	if err := st.RecvMax(&ask, peer.MaxHeadBytes); err != nil {
+	var query peerpb.Ask
+	if err := st.RecvMax(&query, peer.MaxHeadBytes); err != nil {
 		return errors.Wrap(err, "read attempt query")
 	}
-	id, err := once.ParseID(ask.GetAttemptId())
+	id, err := once.ParseID(query.GetAttemptId())
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, queryWait)
 	defer cancel()
-	return st.Send(queryAnswer(h.opts.Attempts.Await(ctx, id, ask.GetBar())))
+	return st.Send(queryAnswer(h.opts.Attempts.Await(ctx, id, query.GetBar())))
 }
 
 // queryAnswer converts the result of a query to a message.
@@ -118,6 +118,7 @@
 	return a
 }
 
+// protoOutcomes maps the outcomes to their values on the wire.
 var protoOutcomes = map[once.Outcome]peerpb.Outcome{
 	once.NotRun:  peerpb.Outcome_OUTCOME_NOT_RUN,
 	once.Running: peerpb.Outcome_OUTCOME_RUNNING,
--- a/internal/proxy/inbound/receive.go
+++ b/internal/proxy/inbound/receive.go
@@ -21,10 +21,10 @@
 )
 
 // receiveBody receives the body before the call queues, if possible, and returns a function
-// that releases the memory reserved for it. The transfer then occupies no slot: 60 kB take 0.1
-// s on a link of 5 Mbit/s, as much as a third of the time that the backend server works on such
-// a call. The body is requested only if the gate would admit the call, since the body of a
-// rejected call wastes bandwidth.
+// that releases the memory reserved for it. The transfer then occupies no slot: a body of 60 kB
+// takes 0.1 s on a link of 5 Mbit/s, as much as a third of the time that the backend server
+// works on such a call. The body is requested only if the gate would admit the call, since the
+// body of a rejected call wastes bandwidth.
 func (c *call) receiveBody(up *upload) (release func(), err error) {
 	noop := func() {}
 	if !c.head.GetExpectContinue() {
--- a/internal/proxy/inbound/upload.go
+++ b/internal/proxy/inbound/upload.go
@@ -55,8 +55,8 @@
 }
 
 // awaitFirstChunk receives, in the background, the first chunk of a body that the sending
-// daemon sends on request. Before the request, the stream can only end: then the caller
-// disconnected while the call waited for its slot.
+// daemon sends on request. Until the body is requested, the stream can only end, which means
+// that the caller disconnected while the call waited for its slot.
 func (u *upload) awaitFirstChunk() {
 	u.firstChunk = make(chan struct{})
 	go func() {
@@ -100,7 +100,7 @@
 	u.onStreamLost()
 }
 
-// stop ends the watch before the stream is closed.
+// stop ends the receipt of the first chunk and the watch before the stream is closed.
 func (u *upload) stop() {
 	_ = u.st.SetReadDeadline(time.Unix(1, 0))
 	if u.firstChunk != nil {
