--- a/internal/proxy/backendconn/client.go
+++ b/internal/proxy/backendconn/client.go
@@ -182,4 +182,5 @@
 	errNotHTTP         = errors.New("response is not HTTP")
 )
 
+// malformedError wraps a parse error of a response as errNotHTTP.
 func malformedError(err error) error { return fmt.Errorf("%w: %w", errNotHTTP, err) }
--- a/internal/proxy/backendconn/client_test.go
+++ b/internal/proxy/backendconn/client_test.go
@@ -285,8 +285,8 @@
 		method, body string
 		response     func(id string) string
 	}{
-		"success with a body":    {http.MethodPost, strings.Repeat("x", 60<<10), func(id string) string { return okResponse(id, "") }},
-		"refusal without a body": {http.MethodGet, "", unavailableResponse},
+		"success with a body":      {http.MethodPost, strings.Repeat("x", 60<<10), func(id string) string { return okResponse(id, "") }},
+		"rejection without a body": {http.MethodGet, "", unavailableResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := serve(t, func(nc net.Conn, br *bufio.Reader) {
