--- a/fold/apply.go
+++ b/fold/apply.go
@@ -11,38 +11,39 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// ErrGap means that a record does not follow the state's offset.
+// ErrGap means that the offset of a record is not the one that follows the state's offset.
 var ErrGap = errors.New("record does not follow the state")
 
-// UnknownRuleError means that a record needs a newer program. The state must
-// stay before the record: guessing would make daemons differ.
+// UnknownRuleError means that a record requires a rule version that this program does not
+// implement. The state must stay before the record: interpreting it by an older rule would make
+// daemons diverge.
 type UnknownRuleError struct {
 	Offset uint64
 	Rule   uint32
 }
 
-// Error names the rule and the offset.
+// Error implements error.
 func (e *UnknownRuleError) Error() string {
-	return fmt.Sprintf("record %d follows rule %d, this program knows rules up to %d", e.Offset, e.Rule, RuleVersion)
+	return fmt.Sprintf("record %d has rule version %d, this program supports versions up to %d", e.Offset, e.Rule, RuleVersion)
 }
 
-// Apply folds one record. It returns the new state and the verdict; a rejected
-// or unreadable record moves the offset and changes no resource. The error is
-// ErrGap or an *UnknownRuleError, and the state is then unchanged.
+// Apply folds one record into a state and returns the new state and the verdict. A rejected or
+// unreadable record advances the offset and changes no resource. The error is ErrGap or an
+// *UnknownRuleError; the state is then returned unchanged.
 func Apply(s *State, offset uint64, data []byte) (*State, Verdict, error) {
 	if offset != s.Offset+1 {
-		return s, Verdict{}, errors.Wrapf(ErrGap, "record %d after state %d", offset, s.Offset)
+		return s, Verdict{}, errors.Wrapf(ErrGap, "record %d, state at offset %d", offset, s.Offset)
 	}
-	rec, fault, err := readRecord(offset, data)
+	rec, reason, err := readRecord(offset, data)
 	if err != nil {
 		return s, Verdict{}, err
 	}
-	n := s.next()
+	n := s.mutableCopy()
 	n.Offset = offset
-	n.previous, n.Chain = s.Chain.before(data), s.Chain.Extend(offset, data)
-	n.recent.forget(offset)
-	if fault != "" {
-		return n, Verdict{Offset: offset, Reasons: []string{fault}}, nil
+	n.previous, n.Chain = s.Chain.predecessor(data), s.Chain.Extend(offset, data)
+	n.recent.evictExpired(offset)
+	if reason != "" {
+		return n, Verdict{Offset: offset, Reasons: []string{reason}}, nil
 	}
 	n.rule = max(n.rule, rec.GetRuleVersion())
 	switch {
@@ -51,13 +52,13 @@
 	case rec.GetRollout() != nil && rec.GetRuleVersion() >= RolloutRule:
 		return n, n.decideRollout(rec.GetRollout()), nil
 	}
-	return n, n.decide(rec), nil
+	return n, n.decideBundle(rec), nil
 }
 
-// ApplyAll folds records in order and returns the verdict on each record that
-// it folded. Records that the state already holds are skipped, so a delivery
-// may be repeated or overlap an earlier one. At the first record that cannot
-// follow it stops with Apply's error and returns the state reached.
+// ApplyAll folds records in order and returns the verdict on each record that it folded. It skips
+// records at or below the state's offset, so a delivery may be repeated or overlap an earlier
+// one. It stops at the first record that Apply returns an error for and returns that error with
+// the state reached so far.
 func ApplyAll(s *State, records []eventlog.Record) (*State, []Verdict, error) {
 	var verdicts []Verdict
 	for _, r := range records {
@@ -74,56 +75,57 @@
 	return s, verdicts, nil
 }
 
-// unreadable is the reason against a record that is not one.
-const unreadable = "the record cannot be read"
+// reasonUnreadable is the rejection reason for data that is not a valid record. Reasons are part
+// of the verdict and must be the same in all builds.
+const reasonUnreadable = "the record cannot be read"
 
-// readRecord parses a record; fault tells why no daemon can. The error is an
+// readRecord parses a record. If no daemon can read the data, reason says why. The error is an
 // *UnknownRuleError.
-func readRecord(offset uint64, data []byte) (rec *configpb.Record, fault string, err error) {
-	rule, ok := ruleOf(data)
+func readRecord(offset uint64, data []byte) (rec *configpb.Record, reason string, err error) {
+	rule, ok := parseRuleVersion(data)
 	if !ok {
-		return nil, unreadable, nil
+		return nil, reasonUnreadable, nil
 	}
-	// Before the size: a later rule may take larger records, and whoever does not
-	// know it must stop there.
+	// The rule is checked before the size: a later rule may allow larger records, and a daemon
+	// that does not know the rule must stop there.
 	if rule > RuleVersion {
 		return nil, "", &UnknownRuleError{Offset: offset, Rule: rule}
 	}
-	if limit := maxBytes(data); len(data) > limit {
-		return nil, fmt.Sprintf("%s: it has %d bytes, at most %d are taken", unreadable, len(data), limit), nil
+	if limit := recordSizeLimit(data); len(data) > limit {
+		return nil, fmt.Sprintf("%s: it has %d bytes, at most %d are taken", reasonUnreadable, len(data), limit), nil
 	}
 	rec = &configpb.Record{}
 	if err := proto.Unmarshal(data, rec); err != nil {
-		return nil, unreadable, nil
+		return nil, reasonUnreadable, nil
 	}
 	return rec, "", nil
 }
 
-// maxBytes returns how large a record may be. What daemons append is bounded by one
-// append. A document is not appended by them: the operator's own record of it comes
-// in whatever size the operator's routes need. Held against the bound of an append,
-// 4,300 routes and more are passed over as unreadable: the offset moves on, the
-// document before stays, and callers of the new routes get 404 from every daemon.
-func maxBytes(data []byte) int {
-	if holdsField(data, documentField) {
+// recordSizeLimit returns the maximum size of a record in bytes. Records that daemons append are
+// limited by the size of one append. Documents are not: the operator writes them to the log, in
+// the size that the routes require. Under the limit of an append, a document of about 4,300
+// routes or more would be rejected as unreadable: the offset would advance, the previous document
+// would stay in force, and every daemon would answer calls to the new routes with 404.
+func recordSizeLimit(data []byte) int {
+	if hasField(data, documentField) {
 		return MaxDocumentBytes
 	}
 	return eventlog.MaxRecordBytes
 }
 
-// Numbers of fields in configpb.Record.
+// Field numbers of configpb.Record.
 const (
 	ruleField     = 1
 	documentField = 3
 	rolloutField  = 4
 )
 
-// ruleOf reads the rule version alone. All rules have that field and the wire
-// format in common, nothing else: a record of a later rule that this program
-// cannot parse must stop it, not be passed over as unreadable, or it would
-// differ from the daemons that can.
-func ruleOf(data []byte) (rule uint32, ok bool) {
-	ok = eachField(data, func(num protowire.Number, typ protowire.Type, value []byte) {
+// parseRuleVersion reads the rule version and nothing else. This field and the wire format are
+// all that the rules have in common: a record of a later rule that this program cannot parse must
+// stop the fold. If it were skipped as unreadable, the state would differ from those of the
+// daemons that can parse it.
+func parseRuleVersion(data []byte) (rule uint32, ok bool) {
+	ok = forEachField(data, func(num protowire.Number, typ protowire.Type, value []byte) {
 		if num == ruleField && typ == protowire.VarintType {
 			v, _ := protowire.ConsumeVarint(value)
 			rule = uint32(v)
@@ -132,18 +134,18 @@
 	return rule, ok
 }
 
-// holdsField reports whether a record has a field set.
-func holdsField(data []byte, field protowire.Number) bool {
+// hasField reports whether a field is set in a serialized record.
+func hasField(data []byte, field protowire.Number) bool {
 	found := false
-	ok := eachField(data, func(num protowire.Number, _ protowire.Type, _ []byte) {
+	ok := forEachField(data, func(num protowire.Number, _ protowire.Type, _ []byte) {
 		found = found || num == field
 	})
 	return ok && found
 }
 
-// eachField calls f with each field of a message and the bytes from its value on;
-// it reports false where the message cannot be parsed.
-func eachField(data []byte, f func(protowire.Number, protowire.Type, []byte)) bool {
+// forEachField calls f with each field of a serialized message and the bytes that start at its
+// value. It returns false if the message cannot be parsed.
+func forEachField(data []byte, f func(protowire.Number, protowire.Type, []byte)) bool {
 	for len(data) > 0 {
 		num, typ, n := protowire.ConsumeTag(data)
 		if n < 0 {
@@ -160,27 +162,27 @@
 	return true
 }
 
-// decide applies a record's bundle if it is acceptable and remembers the
-// verdict. s must not have been handed out yet.
-func (s *State) decide(rec *configpb.Record) Verdict {
+// decideBundle applies the bundle of a record if it is acceptable and records the verdict. s must
+// not be shared yet.
+func (s *State) decideBundle(rec *configpb.Record) Verdict {
 	b := rec.GetBundle()
 	if first, ok := s.Verdict(b.GetPublishId()); ok {
-		// A repeat after a lost answer: the first decision stands, and the
-		// publisher is told that one.
+		// The publisher appended the bundle again because it received no answer. The first
+		// verdict stands and is returned.
 		return first
 	}
-	reasons := s.check(rec)
+	reasons := s.checkRecord(rec)
 	v := Verdict{
 		PublishID: b.GetPublishId(),
 		Offset:    s.Offset,
 		Accepted:  len(reasons) == 0,
-		Reasons:   reasons.trim(),
+		Reasons:   reasons.truncate(),
 	}
 	if v.Accepted {
 		s.applyBundle(b)
 	}
 	if validPublishID(v.PublishID) {
-		s.recent.open(s.Offset).remember(v, b)
+		s.recent.writableBlock(s.Offset).recordOutcome(v, b)
 	}
 	return v
 }
@@ -202,8 +204,8 @@
 	}
 }
 
-// remember keeps a verdict and, if it is accepted, who deleted what.
-func (b *block) remember(v Verdict, bundle *configpb.Bundle) {
+// recordOutcome adds a verdict and, if the bundle was accepted, its deletions.
+func (b *block) recordOutcome(v Verdict, bundle *configpb.Bundle) {
 	b.addVerdict(v)
 	if !v.Accepted {
 		return
--- a/fold/bench_test.go
+++ b/fold/bench_test.go
@@ -12,10 +12,9 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// fleetState returns a state of n resources in the proportion of the size that
-// is designed for (few services, as many routes as contracts), with a full
-// window of verdicts.
-func fleetState(n int) *State {
+// syntheticState returns a state of n resources with the proportions of the target deployment
+// (few services, as many routes as contracts) and the maximum number of verdicts.
+func syntheticState(n int) *State {
 	s := Empty()
 	services := max(1, n/50)
 	var changes []*configpb.Change
@@ -49,8 +48,9 @@
 	return s
 }
 
-// revision returns an acceptable revision of one contract of a fleetState.
-func revision(s *State) []byte {
+// contractRevision returns the record of an acceptable change to one contract of a
+// syntheticState.
+func contractRevision(s *State) []byte {
 	contracts := s.Entries(KindContract)
 	e := contracts[len(contracts)/2]
 	return bundle("next", "operator@example.org", set(e.Resource, e.Revision))
@@ -60,8 +60,8 @@
 
 func BenchmarkApply(b *testing.B) {
 	for _, n := range sizes {
-		s := fleetState(n)
-		data := revision(s)
+		s := syntheticState(n)
+		data := contractRevision(s)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -71,12 +71,11 @@
 	}
 }
 
-// BenchmarkApplyAll catches up on records that revise one contract after
-// another.
+// BenchmarkApplyAll folds records that change one contract after another.
 func BenchmarkApplyAll(b *testing.B) {
 	const records = 1000
 	for _, n := range sizes {
-		s := fleetState(n)
+		s := syntheticState(n)
 		contracts := s.Entries(KindContract)
 		var tail []eventlog.Record
 		last := s
@@ -99,7 +98,7 @@
 
 func BenchmarkDecode(b *testing.B) {
 	for _, n := range sizes {
-		m := fleetState(n).Encode()
+		m := syntheticState(n).Encode()
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -111,7 +110,7 @@
 
 func BenchmarkEncode(b *testing.B) {
 	for _, n := range sizes {
-		s := fleetState(n)
+		s := syntheticState(n)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -123,7 +122,7 @@
 	}
 }
 
-// heapOf returns the live heap that one decoded state holds, in bytes.
+// heapOf returns the heap size of one decoded state in bytes.
 func heapOf(s *State) int64 {
 	data := mustMarshal(s.Encode())
 	before := liveHeap()
@@ -149,7 +148,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// allocated returns the bytes that f allocates.
+// allocated returns the number of bytes that f allocates.
 func allocated(f func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
@@ -158,9 +157,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Bounds on one fold step and on the state. They are counts, so that they give
-// the same verdict on every machine; the figures measured are in
-// docs/measure/configuration.md.
+// Limits on the cost of one fold step and on the size of the state. They are counts, so they hold on
+// every machine.
 const (
 	maxFoldAllocs       = 100
 	maxFoldBytes        = 64 << 10
@@ -169,10 +167,11 @@
 	maxBytesPerVerdict  = 60
 )
 
-func TestCostOfAFoldStep(t *testing.T) {
+// TestApplyCost limits the cost of one fold step and the size of the state.
+func TestApplyCost(t *testing.T) {
 	const n = 2000
-	s := fleetState(n)
-	data := revision(s)
+	s := syntheticState(n)
+	data := contractRevision(s)
 	step := func() { _, _, _ = Apply(s, s.Offset+1, data) }
 	must.LessEq(t, maxFoldAllocs, testing.AllocsPerRun(50, step))
 	must.LessEq(t, maxFoldBytes, allocated(step))
--- a/fold/check.go
+++ b/fold/check.go
@@ -8,7 +8,7 @@
 	"github.com/crocuscross/crocuscross/configpb"
 )
 
-// Bounds on what a bundle may hold.
+// Limits on the contents of a bundle.
 const (
 	MaxNameBytes     = 128
 	MaxAuthorBytes   = 128
@@ -21,18 +21,18 @@
 	maxPublishID     = 64
 )
 
-// Bounds on the state as a whole. A state has to fit one message between
-// daemons, which pull it whole, and the memory of a daemon.
+// Limits on the whole state. Daemons pull a state from a peer in one message, so it has to fit one
+// message and the memory of a daemon.
 const (
-	// MaxResources is how many resources may be in force at once.
+	// MaxResources is the maximum number of resources in force.
 	MaxResources = 16384
-	// MaxResourceBytes bounds the serialized entries of all of them.
+	// MaxResourceBytes limits the total size of their serialized entries; see entryBytes.
 	MaxResourceBytes = 8 << 20
-	// maxReasonBytes bounds what is kept of the reasons of one verdict.
+	// maxReasonBytes limits the total length of the reasons that are stored with a verdict.
 	maxReasonBytes = 1024
 )
 
-// KeyOf returns the key of a resource; ok is false where it has no kind.
+// KeyOf returns the key of a resource; ok is false if the resource has no kind.
 func KeyOf(r *configpb.Resource) (k Key, ok bool) {
 	switch r.GetKind().(type) {
 	case *configpb.Resource_Service:
@@ -45,8 +45,8 @@
 	return Key{}, false
 }
 
-// CheckBundle checks all that can be told without a state. It returns the
-// reasons for which every state would reject the bundle.
+// CheckBundle runs the checks that do not depend on a state. It returns the reasons for which a
+// bundle is rejected in every state.
 func CheckBundle(b *configpb.Bundle) []string { return checkBundle(b) }
 
 func checkBundle(b *configpb.Bundle) reasons {
@@ -88,23 +88,23 @@
 	return len(text) <= maxBytes && !strings.ContainsFunc(text, isControl)
 }
 
-// isControl has its ranges written out, and texts are quoted as they are: the
-// tables of package unicode change with the toolchain, and daemons of different
-// builds must reach the same verdict.
+// isControl lists the ranges itself, and names are quoted unchanged in reasons: the tables of
+// package unicode change with the Go version, and daemons of different builds must reach the same
+// verdict.
 func isControl(c rune) bool { return c < ' ' || c >= 0x7f && c < 0xa0 }
 
 func isBlankOrControl(c rune) bool { return c == ' ' || isControl(c) }
 
-// reasons collects why a bundle is rejected.
+// reasons collects the reasons for which a record is rejected.
 type reasons []string
 
 func (r *reasons) addf(format string, args ...any) {
 	*r = append(*r, fmt.Sprintf(format, args...))
 }
 
-// trim returns the reasons that are remembered with a verdict, and how many
-// were left out.
-func (r reasons) trim() []string {
+// truncate returns the first reasons, up to maxReasonBytes, followed by the number of omitted
+// ones if there are any.
+func (r reasons) truncate() []string {
 	total := 0
 	for i, reason := range r {
 		total += len(reason)
@@ -115,7 +115,8 @@
 	return r
 }
 
-// checkName reports whether a name is good enough to be quoted.
+// checkName reports whether a name is valid, and so safe to quote in a reason. If it is not, it
+// adds the reason.
 func (r *reasons) checkName(k Key) bool {
 	if k.Name == "" || len(k.Name) > MaxNameBytes {
 		r.addf("a %s's name must have 1 to %d bytes", k.Kind, MaxNameBytes)
@@ -146,7 +147,7 @@
 
 func (r *reasons) checkContract(k Key, c *configpb.Contract) {
 	rate := c.GetRatePerSecond()
-	// The comparison is written so that NaN fails it.
+	// This form of the condition also rejects NaN.
 	if !(rate > 0 && rate <= MaxRatePerSecond) {
 		r.addf("%s: rate_per_second must be above 0 and at most %g", k, MaxRatePerSecond)
 	}
--- a/fold/checkstate.go
+++ b/fold/checkstate.go
@@ -9,8 +9,8 @@
 	"github.com/crocuscross/crocuscross/configpb"
 )
 
-// check returns the reasons for which the state rejects a record.
-func (s *State) check(rec *configpb.Record) reasons {
+// checkRecord returns the reasons for which the state rejects the bundle of a record.
+func (s *State) checkRecord(rec *configpb.Record) reasons {
 	var r reasons
 	if rec.GetRuleVersion() == 0 {
 		r.addf("the record names no rule version")
@@ -34,56 +34,56 @@
 	return r
 }
 
-// checkRevision rejects a change that does not replace what is in force: of
-// two operators who race, the first in the log wins and the other is told by
-// whom.
+// checkRevision rejects a change whose base revision is not the one in force. If two operators
+// change a resource concurrently, the first record in the log is accepted, and the reason for
+// rejecting the other names the author of the first.
 func (r *reasons) checkRevision(s *State, c *configpb.Change) {
 	k, _ := KeyOf(c.GetResource())
 	e := s.Get(k)
 	switch {
 	case e == nil && c.GetReplaces() != 0:
-		r.addMissing(s, k, c.GetReplaces())
+		r.addMissingResource(s, k, c.GetReplaces())
 	case e == nil && c.GetDelete():
 		r.addf("%s does not exist and cannot be deleted", k)
 	case e != nil && e.Revision != c.GetReplaces():
-		r.addf("%s is at revision %d by %s, the change replaces revision %d", k, e.Revision, named(e.Author), c.GetReplaces())
+		r.addf("%s is at revision %d by %s, the change replaces revision %d", k, e.Revision, authorOrPlaceholder(e.Author), c.GetReplaces())
 	}
 }
 
-func (r *reasons) addMissing(s *State, k Key, replaces uint64) {
+func (r *reasons) addMissingResource(s *State, k Key, replaces uint64) {
 	if d, ok := s.recent.deletion(k); ok {
-		r.addf("%s was deleted at revision %d by %s, the change replaces revision %d", k, d.Offset, named(d.Author), replaces)
+		r.addf("%s was deleted at revision %d by %s, the change replaces revision %d", k, d.Offset, authorOrPlaceholder(d.Author), replaces)
 		return
 	}
 	r.addf("%s does not exist, the change replaces revision %d", k, replaces)
 }
 
-func named(author string) string {
+func authorOrPlaceholder(author string) string {
 	if author == "" {
 		return "an unnamed author"
 	}
 	return author
 }
 
-// checkReferences rejects a bundle that would leave a route without its
-// service or two routes with one prefix. The state fulfils both, so only what
-// the bundle touches is looked at.
+// checkReferences rejects a bundle after which a route would refer to a missing service or two
+// routes would have the same prefix. The state has neither, so only the resources that the bundle
+// changes are checked.
 func (r *reasons) checkReferences(s *State, b *configpb.Bundle) {
-	after := changesOf(b)
+	after := resourcesAfter(b)
 	byPrefix := make(map[string]string)
 	for _, k := range slices.SortedFunc(maps.Keys(after), compareKeys) {
 		switch {
 		case k.Kind == KindService && after[k] == nil:
-			r.checkUnused(s, after, k)
+			r.checkServiceUnused(s, after, k)
 		case k.Kind == KindRoute && after[k] != nil:
 			r.checkRoute(s, after, byPrefix, after[k].GetRoute())
 		}
 	}
 }
 
-// changesOf returns what a bundle leaves of each resource that it changes, nil
-// for a deletion.
-func changesOf(b *configpb.Bundle) map[Key]*configpb.Resource {
+// resourcesAfter returns each resource that a bundle changes as it is afterwards, nil if the
+// bundle deletes it.
+func resourcesAfter(b *configpb.Bundle) map[Key]*configpb.Resource {
 	after := make(map[Key]*configpb.Resource, len(b.GetChanges()))
 	for _, c := range b.GetChanges() {
 		k, _ := KeyOf(c.GetResource())
@@ -95,10 +95,10 @@
 	return after
 }
 
-// checkUnused rejects the deletion of a service that routes outside the bundle
-// still need.
-func (r *reasons) checkUnused(s *State, after map[Key]*configpb.Resource, service Key) {
-	if s.routes.users(service.Name) == 0 {
+// checkServiceUnused rejects the deletion of a service that is still used by routes which the
+// bundle does not change.
+func (r *reasons) checkServiceUnused(s *State, after map[Key]*configpb.Resource, service Key) {
+	if s.routes.routeCount(service.Name) == 0 {
 		return
 	}
 	for _, e := range s.Entries(KindRoute) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// checkRoute rejects a route without its service or with another's prefix.
-// byPrefix collects the prefixes of the bundle's own routes.
+// checkRoute rejects a route whose service would not exist or whose prefix belongs to another
+// route. byPrefix collects the names of the bundle's own routes by prefix.
 func (r *reasons) checkRoute(s *State, after map[Key]*configpb.Resource, byPrefix map[string]string, route *configpb.Route) {
 	service := Key{KindService, route.GetService()}
 	res, changed := after[service]
@@ -120,7 +120,7 @@
 	prefix := route.GetPathPrefix()
 	other, taken := byPrefix[prefix]
 	if !taken {
-		other, taken = s.routes.holder(prefix)
+		other, taken = s.routes.routeAt(prefix)
 		_, changed = after[Key{KindRoute, other}]
 		taken = taken && !changed
 	}
@@ -130,7 +130,7 @@
 	byPrefix[prefix] = route.GetName()
 }
 
-// checkSize rejects a bundle that would take the state beyond its bounds.
+// checkSize rejects a bundle with which the state would exceed MaxResources or MaxResourceBytes.
 func (r *reasons) checkSize(s *State, b *configpb.Bundle) {
 	count, bytes := s.Len(), s.bytes
 	for _, c := range b.GetChanges() {
@@ -152,16 +152,17 @@
 	}
 }
 
-// entryOverheadBytes bounds what an entry takes beside its resource and author.
+// entryOverheadBytes is an upper bound on the serialized size of an entry without its resource
+// and author.
 const entryOverheadBytes = 40
 
-// entryBytes bounds the serialized size of an entry. It is part of the rule:
-// all daemons must count alike.
+// entryBytes returns an upper bound on the serialized size of an entry. It is part of the rule:
+// all daemons must compute the same value.
 func entryBytes(e *Entry) int {
 	return proto.Size(e.Resource) + len(e.Author) + entryOverheadBytes
 }
 
-// routeIndex finds routes by prefix and counts them by service.
+// routeIndex maps prefixes to route names and counts the routes of each service.
 type routeIndex struct {
 	byPrefix  cowMap[string, string]
 	byService cowMap[string, int]
@@ -169,16 +170,16 @@
 
 func (x *routeIndex) add(r *configpb.Route) {
 	x.byPrefix.set(r.GetPathPrefix(), r.GetName())
-	x.byService.set(r.GetService(), x.users(r.GetService())+1)
+	x.byService.set(r.GetService(), x.routeCount(r.GetService())+1)
 }
 
-// remove takes a route out. Within one bundle its prefix may already have gone
-// to another route, which then stays.
+// remove removes a route. A change earlier in the same bundle may have given its prefix to
+// another route; that route keeps the prefix.
 func (x *routeIndex) remove(r *configpb.Route) {
-	if name, _ := x.holder(r.GetPathPrefix()); name == r.GetName() {
+	if name, _ := x.routeAt(r.GetPathPrefix()); name == r.GetName() {
 		x.byPrefix.delete(r.GetPathPrefix())
 	}
-	n := x.users(r.GetService()) - 1
+	n := x.routeCount(r.GetService()) - 1
 	if n > 0 {
 		x.byService.set(r.GetService(), n)
 		return
@@ -186,9 +187,9 @@
 	x.byService.delete(r.GetService())
 }
 
-func (x *routeIndex) holder(prefix string) (name string, ok bool) { return x.byPrefix.get(prefix) }
+func (x *routeIndex) routeAt(prefix string) (name string, ok bool) { return x.byPrefix.get(prefix) }
 
-func (x *routeIndex) users(service string) int {
+func (x *routeIndex) routeCount(service string) int {
 	n, _ := x.byService.get(service)
 	return n
 }
--- a/fold/codec.go
+++ b/fold/codec.go
@@ -10,18 +10,16 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// ErrBadState means that a serialized state contradicts itself or could not
-// have come from the fold.
+// ErrBadState means that a serialized state is inconsistent or cannot be the result of a fold.
 var ErrBadState = errors.New("serialized state is not valid")
 
-// EncodeRecord returns the record of a bundle.
+// EncodeRecord returns the serialized record of a bundle.
 func EncodeRecord(b *configpb.Bundle) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&configpb.Record{RuleVersion: BundleRule, Bundle: b})
 }
 
-// Encode returns the state as a message in canonical order: equal states give
-// equal messages. The message shares the state's resources and must not be
-// changed.
+// Encode returns the state as a message in canonical order: equal states give equal messages. The
+// message shares the state's resources and must not be modified.
 func (s *State) Encode() *configpb.State {
 	m := &configpb.State{
 		Offset:        s.Offset,
@@ -60,10 +58,10 @@
 	}
 }
 
-// Decode returns the state of a message, which must not be changed afterwards.
-// It takes only what the fold could have produced, so that a damaged or made up
-// state never comes into force. The error is ErrBadState, or an
-// *UnknownRuleError where a record of the state needs a newer program.
+// Decode returns the state that a message contains. The message must not be modified afterwards.
+// Decode accepts only states that a fold can produce, so that a damaged or forged state is never
+// put in force. The error is ErrBadState, or an *UnknownRuleError if the state includes records
+// of a rule that this program does not implement.
 func Decode(m *configpb.State) (*State, error) {
 	if m.GetRuleVersion() > RuleVersion {
 		return nil, &UnknownRuleError{Offset: m.GetOffset(), Rule: m.GetRuleVersion()}
@@ -94,14 +92,14 @@
 
 func (s *State) decodeChains(m *configpb.State) error {
 	if len(m.GetChain()) != len(s.Chain) || len(m.GetPreviousChain()) != len(s.previous) {
-		return errors.Wrap(ErrBadState, "chain digest length")
+		return errors.Wrap(ErrBadState, "chain digest has the wrong length")
 	}
 	s.Chain, s.previous = Chain(m.GetChain()), Chain(m.GetPreviousChain())
-	// After a document or a rollout the chain begins anew, so that it may have nothing before.
+	// A document or a rollout restarts the chain, so the chain before it is empty.
 	index := eventlog.Index(s.Offset)
-	begun := index <= 1 || (s.document != nil || len(s.rollouts) > 0) && s.previous == Chain{}
-	if (index == 0) != (s.Chain == Chain{}) || begun != (s.previous == Chain{}) {
-		return errors.Wrap(ErrBadState, "chain digest does not suit the offset")
+	chainStarts := index <= 1 || (s.document != nil || len(s.rollouts) > 0) && s.previous == Chain{}
+	if (index == 0) != (s.Chain == Chain{}) || chainStarts != (s.previous == Chain{}) {
+		return errors.Wrap(ErrBadState, "chain digest does not match the offset")
 	}
 	return nil
 }
@@ -111,7 +109,7 @@
 		return nil
 	}
 	if n := proto.Size(d); n > MaxDocumentBytes {
-		return errors.Wrapf(ErrBadState, "a document of %d bytes", n)
+		return errors.Wrapf(ErrBadState, "document has %d bytes, at most %d are allowed", n, MaxDocumentBytes)
 	}
 	if r := CheckDocument(d); len(r) > 0 {
 		return errors.Wrapf(ErrBadState, "%s", r[0])
@@ -122,7 +120,7 @@
 
 func (s *State) decodeEntries(list []*configpb.Entry) error {
 	if len(list) > MaxResources {
-		return errors.Wrapf(ErrBadState, "%d resources", len(list))
+		return errors.Wrapf(ErrBadState, "state has %d resources, at most %d are allowed", len(list), MaxResources)
 	}
 	for _, m := range list {
 		e, err := s.decodeEntry(m)
@@ -132,11 +130,11 @@
 		s.put(e)
 	}
 	if s.bytes > MaxResourceBytes {
-		return errors.Wrapf(ErrBadState, "%d bytes of resources", s.bytes)
+		return errors.Wrapf(ErrBadState, "resources take %d bytes, at most %d are allowed", s.bytes, MaxResourceBytes)
 	}
 	for _, e := range s.Entries(KindRoute) {
 		if s.Get(Key{KindService, e.Resource.GetRoute().GetService()}) == nil {
-			return errors.Wrapf(ErrBadState, "%s has no service", e.Key)
+			return errors.Wrapf(ErrBadState, "%s refers to a service that does not exist", e.Key)
 		}
 	}
 	return nil
@@ -155,10 +153,10 @@
 		return nil, errors.Wrapf(ErrBadState, "%s", r[0])
 	}
 	if s.Get(k) != nil || m.GetRevision() == 0 || m.GetRevision() > s.Offset || !printable(m.GetAuthor(), MaxAuthorBytes) {
-		return nil, errors.Wrapf(ErrBadState, "entry %s", k)
+		return nil, errors.Wrapf(ErrBadState, "entry %s is repeated or invalid", k)
 	}
 	if route := m.GetResource().GetRoute(); route != nil {
-		if other, taken := s.routes.holder(route.GetPathPrefix()); taken {
+		if other, taken := s.routes.routeAt(route.GetPathPrefix()); taken {
 			return nil, errors.Wrapf(ErrBadState, "%s has the path_prefix of route %s", k, other)
 		}
 	}
@@ -182,12 +180,12 @@
 		}
 		_, repeated := s.Verdict(v.PublishID)
 		ascending := v.Offset > last && v.Offset <= s.Offset
-		if repeated || !ascending || !remembered(v.Offset, s.Offset) ||
+		if repeated || !ascending || !retained(v.Offset, s.Offset) ||
 			!validPublishID(v.PublishID) || v.Accepted != (len(v.Reasons) == 0) {
-			return errors.Wrapf(ErrBadState, "verdict at %d", v.Offset)
+			return errors.Wrapf(ErrBadState, "verdict at offset %d is not valid", v.Offset)
 		}
 		last = v.Offset
-		s.recent.fill(v.Offset).addVerdict(v)
+		s.recent.unsharedBlock(v.Offset).addVerdict(v)
 	}
 	return nil
 }
@@ -202,9 +200,9 @@
 		}
 		var r reasons
 		b := s.recent.find(d.Offset)
-		if b == nil || !b.room() || d.Offset < last || d.Offset > s.Offset ||
+		if b == nil || !b.hasRoomForDeletion() || d.Offset < last || d.Offset > s.Offset ||
 			!slices.Contains(kinds[:], d.Key.Kind) || !r.checkName(d.Key) || !printable(d.Author, MaxAuthorBytes) {
-			return errors.Wrapf(ErrBadState, "deletion at %d", d.Offset)
+			return errors.Wrapf(ErrBadState, "deletion at offset %d is not valid", d.Offset)
 		}
 		last = d.Offset
 		b.deletions = append(b.deletions, d)
--- a/fold/cowmap.go
+++ b/fold/cowmap.go
@@ -6,25 +6,25 @@
 	"maps"
 )
 
-// cowShards is a compromise: a change copies one shard, a new state copies the
-// array of shards. There is one bit for each in cowMap.owned.
+// cowShards is the number of shards of a cowMap. More shards make the copy of one shard on a
+// change cheaper and the copy of the shard array for a new state more expensive. cowMap.owned has
+// one bit for each shard.
 const cowShards = 64
 
-// shardSeed differs between processes. Only the place of a key depends on it,
-// never what a map holds.
+// shardSeed differs between processes. It determines in which shard a key is stored, never the
+// contents of a map.
 var shardSeed = maphash.MakeSeed()
 
-// cowMap is a map whose copies share their shards. The first change to a shard
-// replaces it, so a copy made by fork keeps its content. The zero value is
-// empty.
+// cowMap is a copy-on-write map. Copies made by fork share their shards; the first change to a
+// shard copies it, so the other copies keep their contents. The zero value is an empty map.
 type cowMap[K comparable, V any] struct {
 	shards [cowShards]map[K]V
-	// owned has a bit set for each shard that no other copy has.
+	// owned has a bit set for each shard that is not shared with another copy.
 	owned uint64
 	n     int
 }
 
-// fork returns a copy that may be changed; m itself must not be any more.
+// fork returns a copy that may be modified. m itself must not be modified any more.
 func (m *cowMap[K, V]) fork() cowMap[K, V] {
 	c := *m
 	c.owned = 0
@@ -41,7 +41,7 @@
 }
 
 func (m *cowMap[K, V]) set(k K, v V) {
-	shard := m.own(k)
+	shard := m.writableShard(k)
 	if _, ok := shard[k]; !ok {
 		m.n++
 	}
@@ -52,12 +52,13 @@
 	if _, ok := m.get(k); !ok {
 		return
 	}
-	delete(m.own(k), k)
+	delete(m.writableShard(k), k)
 	m.n--
 }
 
-// own returns the key's shard for writing, after copying it if it is shared.
-func (m *cowMap[K, V]) own(k K) map[K]V {
+// writableShard returns the shard of a key for writing. It copies the shard first if it is
+// shared.
+func (m *cowMap[K, V]) writableShard(k K) map[K]V {
 	i := shardOf(k)
 	if m.owned&(1<<i) != 0 {
 		return m.shards[i]
--- a/fold/delta.go
+++ b/fold/delta.go
@@ -8,56 +8,53 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Delta is a run of records that follow one another, as daemons pass it on.
+// Delta is a sequence of consecutive records, as daemons send them to each other.
 type Delta struct {
-	// Base is the offset before the first record, and BaseChain the sender's
-	// chain there.
+	// Base is the offset before the first record. BaseChain is the sender's chain at Base.
 	Base      uint64
 	BaseChain Chain
 	Records   []eventlog.Record
 }
 
-// ForkError means that two daemons have folded different records under the
-// same offsets. That happens when the log lost its end and gave the offsets
-// out again.
+// ForkError means that two daemons have folded different records at the same offsets. This
+// happens if the log lost its latest records and assigned their offsets again.
 type ForkError struct {
 	Offset       uint64
 	Ours, Theirs Chain
 }
 
-// Error tells where the two differ and the start of both digests.
+// Error returns the offset up to which the records differ and the first bytes of both chains.
 func (e *ForkError) Error() string {
-	return fmt.Sprintf("records up to %d differ: chain %x here, %x there", e.Offset, e.Ours[:4], e.Theirs[:4])
+	return fmt.Sprintf("records up to offset %d differ: own chain %x, peer chain %x", e.Offset, e.Ours[:4], e.Theirs[:4])
 }
 
-// ApplyDelta folds a delta as ApplyAll does, once the sender is known to have
-// folded the same records before it. Without that check a log that gave out
-// offsets twice would leave daemons with a mixture of both histories, each at
-// the same offset, and nobody would notice. The chain covers every record up
-// to the state's offset, so comparing it there is enough.
+// ApplyDelta folds a delta like ApplyAll after checking that the sender has folded the same
+// records before it. The chain covers every record up to the state's offset, so it is enough to
+// compare the chains there. Without the check, if a log assigned offsets twice, daemons would
+// silently end up with a mixture of both histories at the same offset.
 //
-// The error is a *ForkError, which must be reported and leaves the state as it
-// is, ErrGap where the delta starts beyond the state or has holes, or an
-// *UnknownRuleError. A delta that ends before the state is skipped.
+// The error is a *ForkError, which the caller must report, ErrGap if the delta starts after the
+// state's offset or has holes, or an *UnknownRuleError. After a *ForkError the state is
+// unchanged. A delta that ends before the state's offset is skipped.
 func ApplyDelta(s *State, d Delta) (*State, []Verdict, error) {
 	if d.Base > s.Offset {
-		return s, nil, errors.Wrapf(ErrGap, "delta from %d after state %d", d.Base, s.Offset)
+		return s, nil, errors.Wrapf(ErrGap, "delta starts after offset %d, state at offset %d", d.Base, s.Offset)
 	}
-	at, chain := d.Base, d.BaseChain
+	offset, chain := d.Base, d.BaseChain
 	rest := d.Records
-	for len(rest) > 0 && at < s.Offset {
-		if rest[0].Offset != at+1 {
-			return s, nil, errors.Wrapf(ErrGap, "delta has record %d after %d", rest[0].Offset, at)
+	for len(rest) > 0 && offset < s.Offset {
+		if rest[0].Offset != offset+1 {
+			return s, nil, errors.Wrapf(ErrGap, "delta has record %d after record %d", rest[0].Offset, offset)
 		}
-		at++
-		chain = chain.Extend(at, rest[0].Data)
+		offset++
+		chain = chain.Extend(offset, rest[0].Data)
 		rest = rest[1:]
 	}
-	if at < s.Offset {
+	if offset < s.Offset {
 		return s, nil, nil
 	}
 	if chain != s.Chain {
-		return s, nil, &ForkError{Offset: at, Ours: s.Chain, Theirs: chain}
+		return s, nil, &ForkError{Offset: offset, Ours: s.Chain, Theirs: chain}
 	}
 	return ApplyAll(s, rest)
 }
--- a/fold/document.go
+++ b/fold/document.go
@@ -10,45 +10,45 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Bounds on a document, beside those on names and prefixes.
+// Limits on a document, in addition to those on names and prefixes.
 const (
 	MaxDocumentRoutes   = MaxResources
 	MaxDocumentServices = 1024
 	MaxSplitParts       = 64
 	MaxPriority         = 1 << 16
-	// MaxDocumentBytes bounds a document's record: MaxDocumentRoutes routes of 256
-	// bytes. A state has to fit one message between daemons (16 MB) beside
+	// MaxDocumentBytes limits the size of a document's record: MaxDocumentRoutes routes of 256
+	// bytes each. A state has to fit one message between daemons (16 MB) together with
 	// MaxResourceBytes.
 	MaxDocumentBytes = 4 << 20
 )
 
-// ErrBadDocument means that a document contradicts itself.
+// ErrBadDocument means that a document fails the checks of the fold.
 var ErrBadDocument = errors.New("document is not valid")
 
-// Document returns the latest document, nil if there has been none. It must not
-// be changed.
+// Document returns the latest accepted document, nil if there is none. The caller must not modify
+// it.
 func (s *State) Document() *configpb.Document { return s.document }
 
-// EncodeDocument returns the record of a document.
+// EncodeDocument returns the serialized record of a document.
 func EncodeDocument(d *configpb.Document) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&configpb.Record{RuleVersion: DocumentRule, Document: d})
 }
 
-// WithLastDocument returns the state with the document of the record that s folded
-// last, s itself where it has that already or where the record is none or cannot be
-// accepted. A program with narrower bounds passes over documents that this one takes,
-// and hands out a state that names their offset and chain and holds the document
-// before; without a second look a daemon that starts from it serves that one until
-// the operator's next version.
+// WithLastDocument returns the state with the document in data if data is the record that s
+// folded last and its document can be accepted, and otherwise s. It repairs a state from a daemon
+// whose program has lower size limits: that daemon skips a document that this program accepts, so
+// its state has the offset and chain of that record but still contains the previous document. A
+// daemon that starts from such a state would otherwise serve the previous document until the
+// operator's next version.
 func (s *State) WithLastDocument(data []byte) *State {
 	if !s.LastRecordIs(data) {
 		return s
 	}
-	rec, fault, err := readRecord(s.Offset, data)
-	if err != nil || fault != "" || rec.GetDocument() == nil || rec.GetRuleVersion() < DocumentRule {
+	rec, reason, err := readRecord(s.Offset, data)
+	if err != nil || reason != "" || rec.GetDocument() == nil || rec.GetRuleVersion() < DocumentRule {
 		return s
 	}
-	n := s.next()
+	n := s.mutableCopy()
 	if v := n.decideDocument(rec); !v.Accepted {
 		return s
 	}
@@ -56,21 +56,21 @@
 	return n
 }
 
-// FromDocument returns the state of a daemon that begins with the record of a
-// document; see FromLatest.
+// FromDocument returns the state of a daemon that starts with the record of a document; see
+// FromLatestRecords.
 func FromDocument(offset uint64, data []byte) (*State, error) {
 	return FromLatestRecords([]eventlog.Record{{Offset: offset, Data: data}})
 }
 
-// FromLatestRecords returns the state of a daemon that begins with the latest document and the
-// latest rollout of each service, in the order of their offsets, for a log that keeps
-// these alone. The state equals that of a daemon that folded all records up to the last
-// of them. The error is ErrBadDocument where the document would have been rejected.
+// FromLatestRecords returns the state of a daemon that starts with the latest document and the
+// latest rollout of each service, in the order of their offsets. It serves logs that keep only
+// these records. The state equals that of a daemon that folded all records up to the last of
+// them. The error is ErrBadDocument if the document is rejected, or an error of Apply.
 func FromLatestRecords(records []eventlog.Record) (*State, error) {
 	s := Empty()
 	var reasons []string
 	for _, r := range records {
-		s = s.next()
+		s = s.mutableCopy()
 		s.Offset = r.Offset - 1
 		next, v, err := Apply(s, r.Offset, r.Data)
 		if err != nil {
@@ -84,7 +84,8 @@
 	return s, nil
 }
 
-// CheckDocument returns what is wrong with a document, whatever the state.
+// CheckDocument runs the checks that do not depend on a state. It returns the reasons for which a
+// document is rejected in every state.
 func CheckDocument(d *configpb.Document) []string {
 	var r reasons
 	services := r.checkDocumentServices(d.GetServices())
@@ -92,7 +93,7 @@
 		r.addf("at most %d routes, this document has %d", MaxDocumentRoutes, n)
 		return r
 	}
-	places := make(map[string]string, len(d.GetRoutes()))
+	routeByPlace := make(map[string]string, len(d.GetRoutes()))
 	for _, route := range d.GetRoutes() {
 		k := Key{KindRoute, route.GetName()}
 		if !r.checkName(k) {
@@ -101,14 +102,15 @@
 		r.checkPrefix(k, route.GetPathPrefix())
 		r.checkTargets(k, route, services)
 		place := route.GetVirtualHost() + route.GetPathPrefix()
-		if other, taken := places[place]; taken {
+		if other, taken := routeByPlace[place]; taken {
 			r.addf("%s has the virtual host and path_prefix of route %s", k, other)
 		}
-		places[place] = route.GetName()
+		routeByPlace[place] = route.GetName()
 	}
 	return r
 }
 
+// checkDocumentServices checks the services of a document and returns the set of valid names.
 func (r *reasons) checkDocumentServices(list []*configpb.DocumentService) map[string]bool {
 	if len(list) > MaxDocumentServices {
 		r.addf("at most %d services, this document has %d", MaxDocumentServices, len(list))
@@ -122,17 +124,18 @@
 	return known
 }
 
-// checkTargets checks where a route leads and how its calls are treated.
+// checkTargets checks the services that a route sends calls to, the kind of its calls, its
+// timeout and its priority.
 func (r *reasons) checkTargets(k Key, route *configpb.DocumentRoute, services map[string]bool) {
 	if len(route.GetSplit()) == 0 && !services[route.GetService()] {
 		r.addf("%s leads to the unknown service %q", k, route.GetService())
 	}
 	total := uint64(0)
-	for _, part := range route.GetSplit() {
-		if !services[part.GetService()] {
-			r.addf("%s leads to the unknown service %q", k, part.GetService())
+	for _, target := range route.GetSplit() {
+		if !services[target.GetService()] {
+			r.addf("%s leads to the unknown service %q", k, target.GetService())
 		}
-		total += uint64(part.GetWeight())
+		total += uint64(target.GetWeight())
 	}
 	if len(route.GetSplit()) > MaxSplitParts || len(route.GetSplit()) > 0 && total == 0 {
 		r.addf("%s: a split must have at most %d parts and some weight", k, MaxSplitParts)
@@ -145,13 +148,14 @@
 	}
 }
 
-// decideDocument puts a document in the place of all before it if it is
-// acceptable. s must not have been handed out yet.
+// decideDocument replaces the document of the state if the new one is acceptable. s must not be
+// shared yet.
 func (s *State) decideDocument(rec *configpb.Record) Verdict {
 	d := rec.GetDocument()
 	v := Verdict{Offset: s.Offset}
 	if s.document != nil && proto.Equal(d, s.document) {
-		// Written again, say after the log was restored from an older copy.
+		// The operator wrote the document again, for example after the log was restored from an
+		// older copy.
 		v.Accepted = true
 		return v
 	}
@@ -160,7 +164,7 @@
 		r.addf("document version %d does not follow version %d", d.GetVersion(), s.document.GetVersion())
 	}
 	if len(r) > 0 {
-		v.Reasons = r.trim()
+		v.Reasons = r.truncate()
 		return v
 	}
 	s.document = d
--- a/fold/document_test.go
+++ b/fold/document_test.go
@@ -31,7 +31,7 @@
 	return data
 }
 
-func TestDocumentTakesThePlaceOfAllBefore(t *testing.T) {
+func TestDocumentReplacesEarlierRecords(t *testing.T) {
 	first, second := documentRecord(t, document(3, "/a/")), documentRecord(t, document(7, "/b/"))
 	s, v, err := Apply(Empty(), 1, first)
 	must.NoError(t, err)
@@ -41,8 +41,8 @@
 	must.True(t, v.Accepted)
 	must.Eq(t, "/b/", s.Document().GetRoutes()[0].GetPathPrefix())
 
-	// A daemon that starts where the log has dropped the first record is at the
-	// same state and chain.
+	// A daemon that starts after the log has dropped the first record reaches the same state and
+	// chain.
 	late, err := FromDocument(2, second)
 	must.NoError(t, err)
 	must.Eq(t, s.Chain, late.Chain)
@@ -81,16 +81,16 @@
 	}
 }
 
-func TestFromDocumentRefusesWhatTheFoldRejects(t *testing.T) {
+func TestFromDocumentRejectsInvalidDocument(t *testing.T) {
 	d := document(6, "/b/")
 	d.Routes[0].Service = "nobody"
 	_, err := FromDocument(4, documentRecord(t, d))
 	must.ErrorIs(t, err, ErrBadDocument)
 }
 
-// The operator's document is written as one record by the operator, not appended by a
-// daemon, so that what one append may carry does not bound it. A fold that passed it
-// over moved the offset, kept the document before and said nothing.
+// The operator writes a document as one record. The size limit of a daemon's append must not
+// apply to it: the fold would skip the document, advance the offset and keep the previous
+// document in force without any error.
 func TestDocumentLargerThanOneAppend(t *testing.T) {
 	d := document(5, "/a/")
 	for i := range 10_000 {
@@ -112,46 +112,46 @@
 	must.Eq(t, s.Chain, decoded.Chain)
 }
 
-// During a rollout a daemon starts from the state of one whose program passed over a
-// large document. Offset and chain are those of the log, the document is the one
-// before, and without a second look at the last record the newcomer would serve it.
-func TestStateOfANarrowerProgramIsMended(t *testing.T) {
+// A daemon starts from the state of a daemon whose program skipped a large document. That state
+// has the offset and chain of the log but contains the previous document; the new daemon must
+// check the last record again, or it would serve the previous document.
+func TestWithLastDocumentRepairsStateWithOldDocument(t *testing.T) {
 	before, _, err := Apply(Empty(), 1, documentRecord(t, document(5, "/a/")))
 	must.NoError(t, err)
 	last := documentRecord(t, document(6, "/b/"))
-	whole, _, err := Apply(before, 2, last)
+	current, _, err := Apply(before, 2, last)
 	must.NoError(t, err)
-	m := whole.Encode()
+	m := current.Encode()
 	m.Document = before.Document()
-	narrow, err := Decode(m)
+	outdated, err := Decode(m)
 	must.NoError(t, err)
-	must.Eq(t, uint64(5), narrow.Document().GetVersion())
+	must.Eq(t, uint64(5), outdated.Document().GetVersion())
 
-	mended := narrow.WithLastDocument(last)
-	must.Eq(t, uint64(6), mended.Document().GetVersion())
-	must.Eq(t, whole.Chain, mended.Chain)
-	must.Eq(t, uint64(5), narrow.Document().GetVersion(), must.Sprint("states are immutable"))
+	repaired := outdated.WithLastDocument(last)
+	must.Eq(t, uint64(6), repaired.Document().GetVersion())
+	must.Eq(t, current.Chain, repaired.Chain)
+	must.Eq(t, uint64(5), outdated.Document().GetVersion(), must.Sprint("states are immutable"))
 	for what, same := range map[string]*State{
-		"has it already":    whole.WithLastDocument(last),
-		"another record":    narrow.WithLastDocument(documentRecord(t, document(7, "/c/"))),
-		"no record":         narrow.WithLastDocument([]byte("x")),
+		"has it already":    current.WithLastDocument(last),
+		"another record":    outdated.WithLastDocument(documentRecord(t, document(7, "/c/"))),
+		"no record":         outdated.WithLastDocument([]byte("x")),
 		"nothing was there": Empty().WithLastDocument(last),
 	} {
 		must.Less(t, 7, same.Document().GetVersion(), must.Sprint(what))
 	}
 }
 
-// A later rule may take what this program holds too large: it must stop there, not
-// pass the record over.
-func TestLaterRuleIsKnownBeforeItsSize(t *testing.T) {
+// A later rule may allow records that are too large under the current one. The fold must stop
+// before such a record, not skip it.
+func TestUnknownRuleIsCheckedBeforeSize(t *testing.T) {
 	data := mustMarshal(&configpb.Record{RuleVersion: RuleVersion + 1, Bundle: &configpb.Bundle{Author: strings.Repeat("a", MaxDocumentBytes+1)}})
 	_, _, err := Apply(Empty(), 1, data)
 	var unknown *UnknownRuleError
 	must.True(t, errors.As(err, &unknown))
 }
 
-// A document above its own bound changes nothing, as a record or within a state.
-func TestDocumentBoundInBytes(t *testing.T) {
+// A document larger than MaxDocumentBytes is rejected both as a record and as part of a state.
+func TestDocumentSizeLimit(t *testing.T) {
 	d := document(5, "/a/")
 	for i := range 5000 {
 		d.Routes = append(d.Routes, &configpb.DocumentRoute{
--- a/fold/example_test.go
+++ b/fold/example_test.go
@@ -25,8 +25,8 @@
 	return data
 }
 
-// Two operators revise the same contract. Every daemon folds the same records
-// and reaches the same verdicts.
+// Two operators change the same contract. Every daemon that folds these records reaches the same
+// verdicts.
 func ExampleApplyAll() {
 	records := []eventlog.Record{
 		{Offset: 1, Data: contractBundle("p-1", "ann", 100, 0)},
--- a/fold/fold_test.go
+++ b/fold/fold_test.go
@@ -16,10 +16,10 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Two operators read revision 1 and both publish on top of it. The one whose
-// record comes first in the log wins; the other is told the revision and the
-// author that it lost to, also where the winner deleted the resource.
-func TestLoserOfARaceIsToldTheWinner(t *testing.T) {
+// Two operators change revision 1 of a resource concurrently. The first record in the log is
+// accepted. The reason for rejecting the other must name the revision and the author of the
+// first, even if the first deleted the resource.
+func TestConflictReasonNamesFirstAuthor(t *testing.T) {
 	for name, tc := range map[string]struct {
 		winner []byte
 		reason string
@@ -44,11 +44,10 @@
 	}
 }
 
-// The answer to an append is lost and the publisher appends again under the
-// same id, in the worst case after another operator has published. A second
-// decision would revert that operator, or turn a rejection into an acceptance
-// after the publisher was told of the rejection.
-func TestRepeatGetsTheFirstVerdict(t *testing.T) {
+// The response to an append is lost and the publisher appends the bundle again under the same id,
+// possibly after another operator has published. A second decision would revert the other
+// operator's change, or accept a bundle whose rejection the publisher already knows of.
+func TestRepeatedPublishGetsFirstVerdict(t *testing.T) {
 	first := bundle("1", "ann", set(contract("c", 1), 0))
 	rejected := bundle("2", "ann", set(route("r", "/", "s"), 0))
 	s, v := foldAll(t, first, rejected,
@@ -62,12 +61,12 @@
 	must.Nil(t, s.Get(Key{KindRoute, "r"}))
 }
 
-// A record is damaged on its way into the log, so that its publish id can be
-// read but not the rest. It moves the offset only; the publisher's repeat under
-// the same id must be decided on, not be answered with the damaged record.
-func TestUnreadableRecordRemembersNoPublishID(t *testing.T) {
+// A record is damaged on its way into the log such that only its publish id can be read. It must
+// only advance the offset: the publisher's retry under the same id needs a decision of its own,
+// not the verdict on the damaged record.
+func TestUnreadableRecordStoresNoPublishID(t *testing.T) {
 	whole := bundle("1", "ann", set(contract("c", 1), 0))
-	// The id is in full; a field after it is cut short.
+	// The id is complete; a field after it is truncated.
 	damaged := append(bytes.Clone(whole), 0x12, 0x7f)
 	s, v := foldAll(t, damaged, whole)
 	must.False(t, v[0].Accepted)
@@ -76,10 +75,10 @@
 	must.Eq(t, uint64(2), s.Get(Key{KindContract, "c"}).Revision)
 }
 
-// A newer program publishes under rule 2, in a form that this program cannot
-// parse. A daemon that passed over the record as unreadable would from then on
-// differ from the daemons that can; it must stay before it, with what it has.
-func TestUnknownRuleStops(t *testing.T) {
+// A newer program publishes a record under a later rule, in a form that this program cannot
+// parse. A daemon that skipped the record as unreadable would diverge from the daemons that can
+// parse it; it must stop at the offset before.
+func TestUnknownRuleStopsFold(t *testing.T) {
 	var newer []byte
 	newer = protowire.AppendTag(newer, 1, protowire.VarintType)
 	newer = protowire.AppendVarint(newer, RuleVersion+1)
@@ -100,10 +99,9 @@
 	must.True(t, errors.As(err, &unknown))
 }
 
-// A daemon that started from a serialized state must forget verdicts at the
-// same record as one that never restarted, or one would apply a late repeat
-// that the other passes over.
-func TestVerdictsAreForgottenAlike(t *testing.T) {
+// A daemon that started from a serialized state must drop verdicts at the same offset as one that
+// never restarted. Otherwise one of them would apply a late repeat that the other skips.
+func TestVerdictsExpireAtSameOffsetAfterRestart(t *testing.T) {
 	s, _ := foldAll(t, bundle("old", "ann", set(contract("c", 1), 0)), bundle("gone", "ann", del(contract("c", 0), 1)))
 	restarted := s
 	forgotten := uint64(0)
@@ -130,10 +128,10 @@
 	must.True(t, v.Accepted)
 }
 
-// The log lost its end and gave offset 2 out again. A peer that read the second
-// history sends what follows; folding that onto the first would leave a mixture
-// that no other daemon has. The receiver keeps what it has and reports both.
-func TestDeltaOfAnotherHistoryIsRefused(t *testing.T) {
+// The log lost its latest record and assigned offset 2 again. A peer that has read the second
+// history sends the records after it. Folding them onto the first history would give a state that
+// no other daemon has; the receiver must keep its state and report the fork.
+func TestDeltaOfForkedHistoryIsRejected(t *testing.T) {
 	one, lost, other := bundle("1", "ann", set(contract("c", 1), 0)), bundle("2", "ann", set(contract("d", 1), 0)), bundle("2b", "bo", set(contract("e", 1), 0))
 	next := bundle("3", "bo", set(contract("f", 1), 0))
 	ours, _ := foldAll(t, one, lost)
@@ -156,14 +154,14 @@
 	must.ErrorIs(t, err, ErrGap)
 	s, _, err := ApplyDelta(ours, Delta{Base: 0, Records: log(one)})
 	must.NoError(t, err)
-	must.True(t, s == ours, must.Sprint("a delta wholly in the past must be skipped"))
+	must.True(t, s == ours, must.Sprint("a delta that ends before the state must be skipped"))
 	_, _, err = ApplyDelta(ours, Delta{Base: 0, Records: log(one, lost, next)[1:]})
 	must.ErrorIs(t, err, ErrGap)
 }
 
-// One bundle swaps the prefixes of two routes. The prefix that a route gave up
-// must stay with the route that has it now, or a third route could claim it.
-func TestRoutesSwapPrefixes(t *testing.T) {
+// One bundle swaps the prefixes of two routes. Each prefix must be registered for its new route,
+// or a third route could take it.
+func TestBundleSwapsRoutePrefixes(t *testing.T) {
 	s, v := foldAll(t,
 		bundle("1", "ann", set(service("s"), 0), set(route("p", "/p", "s"), 0), set(route("q", "/q", "s"), 0)),
 		bundle("2", "ann", set(route("p", "/q", "s"), 1), set(route("q", "/p", "s"), 1)),
@@ -178,7 +176,7 @@
 func TestBadBundleIsRejectedWithReasons(t *testing.T) {
 	long := strings.Repeat("x", MaxPrefixBytes+1)
 	base := bundle("1", "ann", set(service("s"), 0), set(route("r", "/r", "s"), 0))
-	// Each is fine, together they are too large for one record.
+	// Each contract is valid; together they are too large for one record.
 	big, bigger := bigContract("c", MaxRules/2), bigContract("d", MaxRules/2)
 	for reason, data := range map[string][]byte{
 		"publish_id must have":                     bundle("", "ann", set(service("t"), 0)),
@@ -207,10 +205,10 @@
 	}
 }
 
-// An operator's tool repeats a faulty change a thousand times with long names.
-// What is remembered of the rejection stays small, or a few hundred of them
-// would not fit into the state that daemons pull from each other.
-func TestReasonsRememberedAreBounded(t *testing.T) {
+// A client repeats a faulty bundle with 1,024 changes and long names many times. The stored
+// reasons must stay small, or a few hundred rejections would make the state too large for the
+// message in which daemons pull it.
+func TestStoredReasonsAreBounded(t *testing.T) {
 	var changes []*configpb.Change
 	for i := range MaxChanges {
 		changes = append(changes, del(service(fmt.Sprintf("%0100d", i)), 0))
@@ -224,6 +222,7 @@
 	must.StrContains(t, v[0].Reasons[len(v[0].Reasons)-1], "more reasons")
 }
 
+// The fold rejects bundles that would take the state beyond MaxResources or MaxResourceBytes.
 func TestStateIsBounded(t *testing.T) {
 	s := Empty()
 	for n := 0; s.Offset < MaxResources/MaxChanges; {
--- a/fold/fuzz_test.go
+++ b/fold/fuzz_test.go
@@ -9,8 +9,8 @@
 	"github.com/crocuscross/crocuscross/configpb"
 )
 
-// harms are ways in which a serialized state can contradict itself.
-var harms = map[string]func(m *configpb.State){
+// corruptions are changes that make a serialized state inconsistent.
+var corruptions = map[string]func(m *configpb.State){
 	"short chain": func(m *configpb.State) { m.Chain = m.Chain[1:] },
 	"chain without offset": func(m *configpb.State) {
 		m.Offset, m.Entries, m.Verdicts, m.Deletions, m.PreviousChain = 0, nil, nil, nil, make([]byte, 32)
@@ -33,7 +33,7 @@
 
 func entry(r *configpb.Resource) *configpb.Entry { return &configpb.Entry{Resource: r, Revision: 1} }
 
-// seedStates returns serialized states of a short log.
+// seedStates returns the serialized states at all offsets of a short log.
 func seedStates() [][]byte {
 	s := Empty()
 	seeds := [][]byte{mustMarshal(s.Encode())}
@@ -48,38 +48,38 @@
 	return seeds
 }
 
-// harmed returns the last of seedStates with one harm done to it.
-func harmed(harm func(m *configpb.State)) *configpb.State {
+// corruptedState returns the last of seedStates with one corruption applied.
+func corruptedState(corrupt func(m *configpb.State)) *configpb.State {
 	seeds := seedStates()
 	m := &configpb.State{}
 	if err := proto.Unmarshal(seeds[len(seeds)-1], m); err != nil {
 		panic(err)
 	}
-	harm(m)
+	corrupt(m)
 	return m
 }
 
-// A checkpoint is damaged or made up, but its digest is right. Taking it would
-// put a state into force that no other daemon can have.
-func TestDecodeRefusesWhatTheFoldCannotProduce(t *testing.T) {
-	_, err := Decode(harmed(func(*configpb.State) {}))
+// A checkpoint with a correct digest contains a damaged or forged state. If Decode accepted it,
+// the daemon would put a state in force that no other daemon can have.
+func TestDecodeRejectsInvalidState(t *testing.T) {
+	_, err := Decode(corruptedState(func(*configpb.State) {}))
 	must.NoError(t, err)
-	for name, harm := range harms {
+	for name, corrupt := range corruptions {
 		t.Run(name, func(t *testing.T) {
-			_, err := Decode(harmed(harm))
+			_, err := Decode(corruptedState(corrupt))
 			must.ErrorIs(t, err, ErrBadState)
 		})
 	}
 }
 
-// FuzzDecode feeds made-up states to Decode. One that is accepted must be a
-// state: it encodes to what it was decoded from and can be folded onto.
+// FuzzDecode decodes arbitrary states. A state that is accepted must encode to the message it was
+// decoded from, and it must be possible to fold records into it.
 func FuzzDecode(f *testing.F) {
 	for _, data := range seedStates() {
 		f.Add(data)
 	}
-	for _, harm := range harms {
-		f.Add(mustMarshal(harmed(harm)))
+	for _, corrupt := range corruptions {
+		f.Add(mustMarshal(corruptedState(corrupt)))
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var m configpb.State
@@ -104,8 +104,8 @@
 	})
 }
 
-// FuzzApply feeds made-up records to the fold, which must neither panic nor
-// reach different states from the same bytes.
+// FuzzApply folds arbitrary records. The fold must neither panic nor reach different states from
+// the same bytes.
 func FuzzApply(f *testing.F) {
 	f.Add(bundle("1", "ann", set(service("s"), 0), set(route("r", "/", "s"), 0)))
 	f.Add(bundle("1", "ann", del(service("s"), 1), set(contract("c", 1), 0)))
--- a/fold/helper_test.go
+++ b/fold/helper_test.go
@@ -42,7 +42,7 @@
 	return data
 }
 
-// log returns the records of a stream that begins at offset 1.
+// log returns the records of a stream whose first offset is 1.
 func log(data ...[]byte) []eventlog.Record {
 	records := make([]eventlog.Record, len(data))
 	for i, d := range data {
@@ -66,8 +66,8 @@
 	return string(b)
 }
 
-// drawLog draws records that collide often: few names, few publish ids,
-// revisions that are current, stale or made up, and some garbage.
+// drawLog draws records that conflict often: few names and publish ids, revisions that are
+// current, stale or invalid, and some data that is not a record.
 func drawLog(t *rapid.T) []eventlog.Record {
 	var records []eventlog.Record
 	s := Empty()
--- a/fold/property_test.go
+++ b/fold/property_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// history folds a log one record after another and returns the state at each
-// offset with its serialized form at that time.
+// history folds a log record by record and returns the state at each offset, together with its
+// serialized form at that time.
 func history(t *rapid.T, records []eventlog.Record) (states []*State, bytes []string) {
 	states, bytes = []*State{Empty()}, []string{encoded(Empty())}
 	for _, r := range records {
@@ -25,12 +25,11 @@
 	return states, bytes
 }
 
-// A daemon gets the same records in batches that come twice, overlap, come out
-// of order and with holes, from the log or from peers, and restarts from a
-// serialized state in between. At each offset it must hold what a daemon that
-// read the log in order holds, byte for byte, or two daemons would answer
-// callers differently at the same version.
-func TestAnyDeliveryGivesTheSameState(t *testing.T) {
+// A daemon receives records in batches that are repeated, overlap, have holes or are out of
+// order, from the log or from peers, and restarts from a serialized state in between. At each
+// offset its state must be byte for byte that of a daemon that read the log in order, or two
+// daemons would answer callers differently at the same version.
+func TestAnyDeliveryOrderGivesSameState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawLog(t)
 		states, want := history(t, records)
@@ -62,15 +61,14 @@
 			must.False(t, s.LastRecordIs([]byte("another")))
 		}
 		for i, old := range states {
-			must.Eq(t, want[i], encoded(old), must.Sprint("an older state was written to"))
+			must.Eq(t, want[i], encoded(old), must.Sprint("an older state was modified"))
 		}
 	})
 }
 
-// Two operators race on top of the same state. Each branch must stay as it was
-// when the other is folded, or a daemon that tries a record on the state in
-// force would change what is in force.
-func TestBranchesShareNothingThatIsWritten(t *testing.T) {
+// Two records are folded into the same state. Neither result may change when the other record is
+// folded, or a daemon that tries a record on the state in force would modify that state.
+func TestBranchesAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states, _ := history(t, drawLog(t))
 		base := states[len(states)-1]
@@ -83,8 +81,9 @@
 	})
 }
 
-// The same over many blocks of verdicts, whose list grows and is cut in place.
-func TestBranchesShareNoBlocks(t *testing.T) {
+// The same as TestBranchesAreIndependent over many blocks of verdicts, whose slice grows and is
+// truncated in place.
+func TestBranchesWithManyBlocksAreIndependent(t *testing.T) {
 	s := Empty()
 	for s.Offset < (maxBlocks+4)*blockRecords {
 		next, _, err := Apply(s, s.Offset+1, bundle(fmt.Sprint(s.Offset), "ann"))
@@ -99,11 +98,10 @@
 	}
 }
 
-// A record is accepted whole or changes no resource; no revision in force ever
-// falls; no accepted bundle leaves a route without its service or two routes
-// with one prefix; and a publish id gets one verdict, whatever comes with it
-// later.
-func TestRecordTakesEffectWholeOrNot(t *testing.T) {
+// A record is accepted as a whole or changes no resource; revisions in force never decrease; no
+// accepted bundle leaves a route without its service or two routes with one prefix; and a publish
+// id keeps its first verdict whatever is published under it later.
+func TestRecordIsAtomic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		records := drawLog(t)
 		s := Empty()
@@ -121,7 +119,7 @@
 			case repeat:
 				must.Eq(t, earlier, v)
 			default:
-				must.Eq(t, wouldAccept(s, rec.GetBundle()), v.Accepted, must.Sprint(v.Reasons))
+				must.Eq(t, referenceAccepts(s, rec.GetBundle()), v.Accepted, must.Sprint(v.Reasons))
 				first[id] = v
 			}
 			checkChanges(t, s, next, &rec, readable && !repeat && v.Accepted)
@@ -130,8 +128,9 @@
 	})
 }
 
-// wouldAccept decides on a bundle the slow way, on a copy of all resources.
-func wouldAccept(s *State, b *configpb.Bundle) bool {
+// referenceAccepts decides on a bundle with a simple reference implementation on a copy of all
+// resources.
+func referenceAccepts(s *State, b *configpb.Bundle) bool {
 	if len(CheckBundle(b)) > 0 {
 		return false
 	}
@@ -166,6 +165,7 @@
 	return true
 }
 
+// checkChanges checks that next differs from s in exactly the changes of an accepted record.
 func checkChanges(t *rapid.T, s, next *State, rec *configpb.Record, accepted bool) {
 	changed := map[Key]*configpb.Change{}
 	if accepted {
--- a/fold/recent.go
+++ b/fold/recent.go
@@ -6,49 +6,48 @@
 )
 
 const (
-	// MaxVerdicts bounds how many publishes are remembered for telling repeats:
-	// a verdict is forgotten at the latest when MaxVerdicts records have
-	// followed it. At 1,300 changes a day that is three days, far longer than a
-	// publisher repeats.
+	// MaxVerdicts is the number of records for which verdicts are stored, in order to recognize
+	// repeated publishes: a verdict is dropped at the latest when MaxVerdicts records have
+	// followed it. At 1,300 changes a day this is three days, far longer than a publisher
+	// retries.
 	MaxVerdicts = 4096
 
-	// blockRecords is how many records' verdicts are forgotten at once.
+	// blockRecords is the number of records whose verdicts and deletions are dropped together.
 	blockRecords = 128
 	maxBlocks    = MaxVerdicts / blockRecords
-	// maxBlockDeletions bounds the deletions remembered of one block. Further
-	// ones are forgotten; the loser of a race is then not told who deleted.
+	// maxBlockDeletions limits the deletions stored for one block. Further ones are not stored; a
+	// rejection that follows from such a deletion does not name its author.
 	maxBlockDeletions = 32
 )
 
-// Verdict is what became of one publish.
+// Verdict is the decision of the fold on one record.
 type Verdict struct {
 	PublishID string
-	// Offset of the record that was decided on.
+	// Offset is the offset of the record.
 	Offset   uint64
 	Accepted bool
-	// Reasons tells why a publish was rejected.
+	// Reasons says why the record was rejected. It is empty if the record was accepted.
 	Reasons []string
 }
 
-// Deletion tells who deleted a resource.
+// Deletion records by whom and at which offset a resource was deleted.
 type Deletion struct {
 	Key Key
-	// Offset of the record that deleted the resource.
+	// Offset is the offset of the record that deleted the resource.
 	Offset uint64
 	Author string
 }
 
-// recent remembers the verdicts and deletions of the latest records, in blocks
-// by offset. When to forget follows from offsets alone: a window counted in
-// verdicts would have to survive serialization to be the same on a daemon that
-// started from a checkpoint.
-type recent struct {
-	// blocks in ascending order. Neither the slice's elements nor the blocks
-	// are written to once they are here, because older states share them.
+// recentHistory stores the verdicts and deletions of the latest records, in blocks by offset.
+// Which blocks are dropped depends on offsets alone: a window counted in verdicts would have to
+// be serialized with the state to be the same on a daemon that started from a checkpoint.
+type recentHistory struct {
+	// blocks is in ascending order. Older states share the slice and the blocks, so neither the
+	// slice's elements nor the blocks are modified once they are in use.
 	blocks []*block
 }
 
-// block holds what is remembered of blockRecords consecutive offsets.
+// block contains the verdicts and deletions of blockRecords consecutive offsets.
 type block struct {
 	number    uint64
 	verdicts  []Verdict
@@ -67,33 +66,33 @@
 	}
 }
 
-// remembered reports whether what happened at an offset is still remembered
-// by a state.
-func remembered(offset, stateOffset uint64) bool {
+// retained reports whether a state at stateOffset still stores the verdict and deletions of an
+// offset.
+func retained(offset, stateOffset uint64) bool {
 	return blockOf(offset)+maxBlocks > blockOf(stateOffset)
 }
 
-// forget drops the blocks that a state at an offset no longer remembers.
-func (r *recent) forget(offset uint64) {
-	for len(r.blocks) > 0 && !remembered(r.blocks[0].number*blockRecords, offset) {
+// evictExpired drops the blocks that a state at an offset no longer stores.
+func (r *recentHistory) evictExpired(offset uint64) {
+	for len(r.blocks) > 0 && !retained(r.blocks[0].number*blockRecords, offset) {
 		r.blocks = r.blocks[1:]
 	}
 }
 
-// open returns the block of the latest offset, for writing. It takes the place
-// of the shared one.
-func (r *recent) open(offset uint64) *block {
+// writableBlock returns the block of an offset, which is the latest, for writing. It replaces an
+// existing block by a copy because older states share it.
+func (r *recentHistory) writableBlock(offset uint64) *block {
 	n := len(r.blocks)
 	if n == 0 || r.blocks[n-1].number != blockOf(offset) {
-		return r.fill(offset)
+		return r.unsharedBlock(offset)
 	}
 	b := r.blocks[n-1].clone()
 	r.blocks = append(slices.Clip(r.blocks[:n-1]), b)
 	return b
 }
 
-// fill is open for a state that nobody else has seen yet: nothing is copied.
-func (r *recent) fill(offset uint64) *block {
+// unsharedBlock is like writableBlock for a state that is not shared yet: it copies no block.
+func (r *recentHistory) unsharedBlock(offset uint64) *block {
 	n := len(r.blocks)
 	if n > 0 && r.blocks[n-1].number == blockOf(offset) {
 		return r.blocks[n-1]
@@ -104,7 +103,7 @@
 }
 
 // find returns the block of an offset, nil if there is none.
-func (r *recent) find(offset uint64) *block {
+func (r *recentHistory) find(offset uint64) *block {
 	for _, b := range r.blocks {
 		if b.number == blockOf(offset) {
 			return b
@@ -118,15 +117,15 @@
 	b.verdicts = append(b.verdicts, v)
 }
 
-func (b *block) room() bool { return len(b.deletions) < maxBlockDeletions }
+func (b *block) hasRoomForDeletion() bool { return len(b.deletions) < maxBlockDeletions }
 
 func (b *block) addDeletion(d Deletion) {
-	if b.room() {
+	if b.hasRoomForDeletion() {
 		b.deletions = append(b.deletions, d)
 	}
 }
 
-func (r *recent) verdict(publishID string) (Verdict, bool) {
+func (r *recentHistory) verdict(publishID string) (Verdict, bool) {
 	for _, b := range slices.Backward(r.blocks) {
 		if i, ok := b.byPublish[publishID]; ok {
 			return b.verdicts[i], true
@@ -136,7 +135,7 @@
 }
 
 // deletion returns the latest deletion of a resource.
-func (r *recent) deletion(k Key) (Deletion, bool) {
+func (r *recentHistory) deletion(k Key) (Deletion, bool) {
 	for _, b := range slices.Backward(r.blocks) {
 		for _, d := range slices.Backward(b.deletions) {
 			if d.Key == k {
--- a/fold/restore.go
+++ b/fold/restore.go
@@ -7,73 +7,81 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// AfterRestore returns the state that a daemon puts in force at s if it has prev in force and the
-// log was restored from an older copy in between; s itself if both are of one epoch. The
-// copy may lack what is in force, and hold what has been replaced or withdrawn since. Taken
-// as it is, callers of routes added lately would get 404, and contracts would revert, until
-// the operator has written again what was lost.
+// AfterRestore returns the state that a daemon puts in force when it has prev in force and has
+// read s from a log that was restored from an older copy. If both states are of the same epoch,
+// it returns s. The copy may lack records whose effects are in force, and may contain what has
+// been replaced or withdrawn since. If s were put in force unchanged, calls to recently added
+// routes would get 404 and contracts would revert until the operator had written the lost records
+// again.
 //
-// Of two documents the one with the higher version stays, as versions only rise. Rollouts
-// have no number of their own; see orderAfter. The chain is that of the log, so that what
-// follows folds alike at all daemons, whatever they have carried over.
+// The document with the higher version is kept, as versions only rise. Rollouts have no version;
+// see mergeOrder. The chain is that of the log, so that all daemons fold the following records
+// alike, whatever they carried over.
 func (s *State) AfterRestore(prev *State) *State {
 	if prev == nil || eventlog.Epoch(s.Offset) <= eventlog.Epoch(prev.Offset) {
 		return s
 	}
-	return s.carry(prev)
+	return s.carryOver(prev)
 }
 
-// WithNewerPeerState returns the state with what another daemon has in force beyond it, s itself if
-// that is no newer. A daemon that has started from a log restored from an older copy learns so
-// what the copy lacks.
+// WithNewerPeerState returns the state with the document and rollouts of another daemon's state
+// carried over if the document there has a higher version, and otherwise s. A daemon that started
+// from a log restored from an older copy uses it to get what the copy lacks.
 func (s *State) WithNewerPeerState(theirs *State) *State {
 	if theirs.document.GetVersion() <= s.document.GetVersion() {
 		return s
 	}
-	return s.carry(theirs)
+	return s.carryOver(theirs)
 }
 
-func (s *State) carry(prev *State) *State {
-	n := s.next()
+// carryOver returns the state with the document and the rollouts of prev where they take
+// precedence.
+func (s *State) carryOver(prev *State) *State {
+	n := s.mutableCopy()
 	if d := prev.document; d != nil && d.GetVersion() >= n.document.GetVersion() {
 		n.document = d
 	}
 	for _, known := range prev.Rollouts() {
-		n.setRollout(orderAfter(n.Rollout(known.GetRollout().GetService()), known, prev.Offset))
+		n.setRollout(mergeOrder(n.Rollout(known.GetRollout().GetService()), known, prev.Offset))
 	}
 	n.rule = max(n.rule, prev.rule)
 	return n
 }
 
-// orderAfter returns which order for a service stands after a restore: the one in the log,
-// nil if there is none, or the one known before.
+// mergeOrder returns the rollout order of a service that stays in force after a restore: the one
+// in the log, nil if there is none, or the one known before. lastRead is the offset up to which
+// the daemon has read the log before the restore.
 //
-// The same order keeps its offset, or a finished rollout would begin anew. Another one is
-// newer if it stands behind the known one, where the daemon has read that there was none.
-// Elsewhere it may be an earlier one that the copy still holds, while it lacks the known one,
-// which the operator writes again.
-func orderAfter(inLog, known *configpb.RolloutOrder, read eventlog.Offset) *configpb.RolloutOrder {
-	stated := statedAt(known)
+// The same order keeps its offset: with a new one, a finished rollout would start again. A
+// different order is newer if its index is higher than that of the known order and the known
+// order was stated in the epoch of lastRead, so that the daemon has read that no other order
+// followed it before the restore. In all other cases the order in the log may be an earlier one
+// that the copy still contains, while it lacks the known order, which the operator writes again.
+func mergeOrder(inLog, known *configpb.RolloutOrder, lastRead eventlog.Offset) *configpb.RolloutOrder {
+	stated := lastStatedAt(known)
 	switch {
 	case inLog == nil:
 		return known
 	case proto.Equal(inLog.GetRollout(), known.GetRollout()):
-		return restated(known, inLog.GetOffset())
-	case eventlog.Epoch(stated) == eventlog.Epoch(read) && eventlog.Index(inLog.GetOffset()) > eventlog.Index(stated):
+		return withRestatedAt(known, inLog.GetOffset())
+	case eventlog.Epoch(stated) == eventlog.Epoch(lastRead) && eventlog.Index(inLog.GetOffset()) > eventlog.Index(stated):
 		return inLog
 	}
 	return known
 }
 
-// statedAt returns the offset of the latest record that states an order.
-func statedAt(o *configpb.RolloutOrder) eventlog.Offset { return max(o.GetOffset(), o.GetRestated()) }
+// lastStatedAt returns the offset of the latest record that states an order.
+func lastStatedAt(o *configpb.RolloutOrder) eventlog.Offset {
+	return max(o.GetOffset(), o.GetRestated())
+}
 
-func restated(o *configpb.RolloutOrder, at eventlog.Offset) *configpb.RolloutOrder {
+func withRestatedAt(o *configpb.RolloutOrder, at eventlog.Offset) *configpb.RolloutOrder {
 	return &configpb.RolloutOrder{Rollout: o.GetRollout(), Offset: o.GetOffset(), Restated: at}
 }
 
-// restates reports whether a record at an offset states an order again that the log may
-// have lost by a restore. Once it has, the same order is a new one.
-func restates(o *configpb.RolloutOrder, r *configpb.Rollout, at eventlog.Offset) bool {
-	return o != nil && eventlog.Epoch(statedAt(o)) < eventlog.Epoch(at) && proto.Equal(o.GetRollout(), r)
+// isRestatement reports whether the record of rollout r at an offset states order o again in a
+// later epoch, because a restore may have removed it from the log. Once an order is restated, the
+// same order in another record of that epoch is a new one.
+func isRestatement(o *configpb.RolloutOrder, r *configpb.Rollout, at eventlog.Offset) bool {
+	return o != nil && eventlog.Epoch(lastStatedAt(o)) < eventlog.Epoch(at) && proto.Equal(o.GetRollout(), r)
 }
--- a/fold/restore_test.go
+++ b/fold/restore_test.go
@@ -8,8 +8,9 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// folded returns the state after records, each at the index of its place, in an epoch.
-func folded(t *testing.T, epoch uint32, records ...[]byte) *State {
+// foldInEpoch returns the state after records with consecutive indexes, starting at 1, in an
+// epoch.
+func foldInEpoch(t *testing.T, epoch uint32, records ...[]byte) *State {
 	t.Helper()
 	s := EmptyAt(eventlog.MakeOffset(epoch, 0))
 	for _, data := range records {
@@ -20,9 +21,9 @@
 	return s
 }
 
-// Guards against going back to what an older copy of the log holds.
-func TestState_AfterARestoreKeepsTheNewerDocument(t *testing.T) {
-	before := folded(t, 1, plainDocument(t, 3), plainDocument(t, 7), plainDocument(t, 9))
+// Guards against reverting to the document of an older copy of the log.
+func TestAfterRestore_KeepsNewerDocument(t *testing.T) {
+	before := foldInEpoch(t, 1, plainDocument(t, 3), plainDocument(t, 7), plainDocument(t, 9))
 	for name, c := range map[string]struct {
 		log  [][]byte
 		want uint64
@@ -33,7 +34,7 @@
 		"newer":               {[][]byte{plainDocument(t, 3), plainDocument(t, 9), plainDocument(t, 12)}, 12},
 	} {
 		t.Run(name, func(t *testing.T) {
-			log := folded(t, 2, c.log...)
+			log := foldInEpoch(t, 2, c.log...)
 			s := log.AfterRestore(before)
 			must.Eq(t, c.want, s.Document().GetVersion())
 			must.Eq(t, log.Offset, s.Offset)
@@ -42,33 +43,34 @@
 			must.NoError(t, err)
 			must.Eq(t, c.want, decoded.Document().GetVersion())
 
-			// What follows folds alike, with and without what was carried over.
+			// Later records fold alike with and without the carried-over document.
 			for _, st := range []*State{s, log} {
 				next, v, err := Apply(st, st.Offset+1, plainDocument(t, 20))
 				must.NoError(t, err)
 				must.True(t, v.Accepted)
 				must.Eq(t, 20, next.Document().GetVersion())
-				must.Eq(t, folded(t, 2, append(c.log[:len(c.log):len(c.log)], plainDocument(t, 20))...).Chain, next.Chain)
+				must.Eq(t, foldInEpoch(t, 2, append(c.log[:len(c.log):len(c.log)], plainDocument(t, 20))...).Chain, next.Chain)
 			}
 		})
 	}
 	must.True(t, before.AfterRestore(before) == before)
-	must.True(t, folded(t, 1, plainDocument(t, 3)).AfterRestore(before).Document().GetVersion() == 3, must.Sprint("one epoch"))
+	must.True(t, foldInEpoch(t, 1, plainDocument(t, 3)).AfterRestore(before).Document().GetVersion() == 3, must.Sprint("one epoch"))
 }
 
-// A document that is written again is no rejected record.
-func TestDocument_WrittenAgain(t *testing.T) {
-	s := folded(t, 1, plainDocument(t, 3))
+// A document that the operator writes again is accepted.
+func TestDocument_RepeatIsAccepted(t *testing.T) {
+	s := foldInEpoch(t, 1, plainDocument(t, 3))
 	n, v, err := Apply(s, s.Offset+1, plainDocument(t, 3))
 	must.NoError(t, err)
 	must.True(t, v.Accepted)
 	must.True(t, n.Document() == s.Document())
 }
 
-// Guards against a finished rollout that begins anew, and a newer order that is lost.
-func TestState_AfterARestoreKnowsItsRollouts(t *testing.T) {
+// Guards against a finished rollout that starts again and against the loss of a newer order after
+// a restore.
+func TestAfterRestore_KeepsRollouts(t *testing.T) {
 	signs := func(version string) []byte { return rolloutRecord(t, "signs", version) }
-	before := folded(t, 1, plainDocument(t, 3), signs("v2"), plainDocument(t, 7), signs("v3"), plainDocument(t, 9))
+	before := foldInEpoch(t, 1, plainDocument(t, 3), signs("v2"), plainDocument(t, 7), signs("v3"), plainDocument(t, 9))
 	order := before.Rollout("signs")
 	for name, c := range map[string]struct {
 		log     [][]byte
@@ -83,15 +85,16 @@
 		"another one where there was none": {[][]byte{plainDocument(t, 3), plainDocument(t, 4), plainDocument(t, 5), plainDocument(t, 6), signs("v2")}, "v2", true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := folded(t, 2, c.log...).AfterRestore(before)
+			s := foldInEpoch(t, 2, c.log...).AfterRestore(before)
 			got := s.Rollout("signs")
 			must.Eq(t, c.version, got.GetRollout().GetToVersion())
 			must.Eq(t, c.renamed, got.GetOffset() != order.GetOffset())
 		})
 	}
 
-	// Behind the restore the operator writes the order again: it is the same one, once.
-	s := folded(t, 2, plainDocument(t, 3)).AfterRestore(before)
+	// After the restore, the operator writes the order again. The first record restates the
+	// order; the second is a new one.
+	s := foldInEpoch(t, 2, plainDocument(t, 3)).AfterRestore(before)
 	again, _, err := Apply(s, s.Offset+1, signs("v3"))
 	must.NoError(t, err)
 	must.Eq(t, order.GetOffset(), again.Rollout("signs").GetOffset())
@@ -103,10 +106,11 @@
 	must.Eq(t, anew.Offset, anew.Rollout("signs").GetOffset())
 }
 
-// Guards against a daemon that started from an older copy and never learns what others have in force.
-func TestState_WithCarried(t *testing.T) {
-	before := folded(t, 1, plainDocument(t, 3), plainDocument(t, 9))
-	log := folded(t, 2, plainDocument(t, 3))
+// Guards against a daemon that started from an older copy of the log and never gets the newer
+// document that other daemons have in force.
+func TestWithNewerPeerState(t *testing.T) {
+	before := foldInEpoch(t, 1, plainDocument(t, 3), plainDocument(t, 9))
+	log := foldInEpoch(t, 2, plainDocument(t, 3))
 	for _, theirs := range []*State{before, log.AfterRestore(before)} {
 		s := log.WithNewerPeerState(theirs)
 		must.Eq(t, 9, s.Document().GetVersion())
--- a/fold/rollout.go
+++ b/fold/rollout.go
@@ -10,23 +10,24 @@
 	"github.com/crocuscross/crocuscross/configpb"
 )
 
-// Bounds on a rollout.
+// Limits on a rollout.
 const (
 	MaxRollouts          = MaxDocumentServices
 	MaxVersionBytes      = 128
 	MaxRolloutDurationMs = 24 * 60 * 60 * 1000
 )
 
-// EncodeRollout returns the record of a rollout.
+// EncodeRollout returns the serialized record of a rollout.
 func EncodeRollout(r *configpb.Rollout) ([]byte, error) {
 	return proto.MarshalOptions{Deterministic: true}.Marshal(&configpb.Record{RuleVersion: RolloutRule, Rollout: r})
 }
 
-// Rollout returns the latest order for a service, nil if there has been none. It must not
-// be changed.
+// Rollout returns the latest order for a service, nil if there is none. The caller must not
+// modify it.
 func (s *State) Rollout(service string) *configpb.RolloutOrder { return s.rollouts[service] }
 
-// Rollouts returns the latest order for each service, by service. They must not be changed.
+// Rollouts returns the latest order for each service, sorted by service. The caller must not
+// modify the orders.
 func (s *State) Rollouts() []*configpb.RolloutOrder {
 	var list []*configpb.RolloutOrder
 	for _, service := range slices.Sorted(maps.Keys(s.rollouts)) {
@@ -35,9 +36,9 @@
 	return list
 }
 
-// decideRollout puts an order in the place of the one before for its service if it is
-// acceptable. The service need not be in the document: the order may come first, and
-// whether its servers exist only time shows. s must not have been handed out yet.
+// decideRollout replaces the order of a service if the new one is acceptable. The service need
+// not be in the document: the order may precede the document, and backend servers of the service
+// may start later. s must not be shared yet.
 func (s *State) decideRollout(r *configpb.Rollout) Verdict {
 	v := Verdict{Offset: s.Offset}
 	reasons := checkRollout(r)
@@ -45,18 +46,19 @@
 		reasons.addf("at most %d services may have a rollout", MaxRollouts)
 	}
 	if len(reasons) > 0 {
-		v.Reasons = reasons.trim()
+		v.Reasons = reasons.truncate()
 		return v
 	}
 	v.Accepted = true
-	if o := s.rollouts[r.GetService()]; restates(o, r, s.Offset) {
-		s.setRollout(restated(o, s.Offset))
+	if o := s.rollouts[r.GetService()]; isRestatement(o, r, s.Offset) {
+		s.setRollout(withRestatedAt(o, s.Offset))
 		return v
 	}
 	s.setRollout(&configpb.RolloutOrder{Rollout: r, Offset: s.Offset})
 	return v
 }
 
+// setRollout copies the map because older states share it.
 func (s *State) setRollout(o *configpb.RolloutOrder) {
 	rollouts := maps.Clone(s.rollouts)
 	if rollouts == nil {
@@ -81,11 +83,11 @@
 
 func (s *State) decodeRollouts(list []*configpb.RolloutOrder) error {
 	if len(list) > MaxRollouts {
-		return errors.Wrapf(ErrBadState, "%d rollouts", len(list))
+		return errors.Wrapf(ErrBadState, "state has %d rollouts, at most %d are allowed", len(list), MaxRollouts)
 	}
 	for _, o := range list {
 		if o.GetOffset() == 0 || o.GetOffset() > s.Offset || s.Rollout(o.GetRollout().GetService()) != nil {
-			return errors.Wrapf(ErrBadState, "rollout at %d", o.GetOffset())
+			return errors.Wrapf(ErrBadState, "rollout at offset %d is not valid", o.GetOffset())
 		}
 		if r := checkRollout(o.GetRollout()); len(r) > 0 {
 			return errors.Wrapf(ErrBadState, "%s", r[0])
--- a/fold/rollout_test.go
+++ b/fold/rollout_test.go
@@ -21,9 +21,9 @@
 	return data
 }
 
-// Guards against a daemon that starts from the latest records and differs from one that
-// folded them all: neither would take the other's records.
-func TestFromLatest_EqualsTheFoldOfAll(t *testing.T) {
+// Guards against a daemon that starts from the latest records and ends up with a different state
+// than one that folded all records: neither would accept the other's records.
+func TestFromLatestRecords_EqualsFullFold(t *testing.T) {
 	records := []eventlog.Record{
 		{Offset: 1, Data: plainDocument(t, 3)}, {Offset: 2, Data: rolloutRecord(t, "signs", "v2")},
 		{Offset: 3, Data: plainDocument(t, 5)}, {Offset: 4}, {Offset: 5, Data: rolloutRecord(t, "ops", "v7")},
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against an order that nobody can carry out taking the place of one that somebody does.
-func TestRollout_BadOrderChangesNothing(t *testing.T) {
+// Guards against an invalid order that replaces a valid one.
+func TestRollout_InvalidOrderChangesNothing(t *testing.T) {
 	s, _, err := ApplyAll(Empty(), []eventlog.Record{{Offset: 1, Data: rolloutRecord(t, "signs", "v2")}})
 	must.NoError(t, err)
 	for name, r := range map[string]*configpb.Rollout{
--- a/fold/state.go
+++ b/fold/state.go
@@ -1,6 +1,6 @@
-// Package fold turns the records of the configuration stream into the state of
-// the configuration. The rule is deterministic and uses neither clock nor I/O,
-// so all daemons reach the same verdict on every record without voting.
+// Package fold computes the configuration state from the records of the configuration stream. The
+// fold is deterministic and uses neither a clock nor I/O, so all daemons reach the same verdict
+// on every record without a consensus protocol.
 package fold
 
 import (
@@ -13,26 +13,26 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// RuleVersion is the latest rule that this package knows. Any change of what a
-// record means, a new field or another bound included, needs a new rule.
+// RuleVersion is the latest rule version that this package implements. Any change of the meaning
+// of a record, including a new field or a different limit, needs a new rule.
 //
-// MaxDocumentBytes has none, though there are programs that hold documents against
-// eventlog.MaxRecordBytes: these look at the size before the rule and would pass over a
-// record of a new rule as well; and it is each reader, not the operator, that names
-// the rule, so that readers of both programs would hand on different records, and
-// chains, for one document. With one rule the chains agree, and a daemon that starts
-// from the state of such a program looks at the record again (WithLastDocument).
+// The increase of MaxDocumentBytes above eventlog.MaxRecordBytes is an exception, although some
+// programs still apply eventlog.MaxRecordBytes to documents. These programs check the size before
+// the rule and would skip a record of a new rule as well. Moreover each reader, not the operator,
+// sets the rule of a document's record, so readers of the two programs would pass on different
+// records, with different chains, for one document. With one rule the chains agree, and a daemon
+// that starts from the state of such a program checks the last record again (WithLastDocument).
 const RuleVersion = RolloutRule
 
-// The rules. Records carry the lowest one that suits them, so that an older
-// program follows as far as it can.
+// Rule versions. A record has the lowest one that is sufficient for it, so that older programs can
+// fold as many records as possible.
 const (
 	BundleRule   = 1
 	DocumentRule = 2
 	RolloutRule  = 3
 )
 
-// ResourceKind is one of the three kinds of resource.
+// ResourceKind is the kind of a resource.
 type ResourceKind uint8
 
 // The resource kinds, in the order in which they are serialized.
@@ -42,10 +42,10 @@
 	KindContract
 )
 
-// kinds lists all kinds in serialization order.
+// kinds lists all resource kinds in serialization order.
 var kinds = [...]ResourceKind{KindService, KindRoute, KindContract}
 
-// String returns the name used in messages.
+// String returns the name used in error texts and rejection reasons.
 func (k ResourceKind) String() string {
 	switch k {
 	case KindService:
@@ -58,20 +58,20 @@
 	return "unknown"
 }
 
-// Key names one resource.
+// Key identifies a resource.
 type Key struct {
 	Kind ResourceKind
 	Name string
 }
 
-// String returns kind and name.
+// String returns the kind and the name.
 func (k Key) String() string { return k.Kind.String() + " " + k.Name }
 
 func compareKeys(a, b Key) int {
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name))
 }
 
-// Entry is one resource in force. It is immutable.
+// Entry is a resource in force. It is immutable.
 type Entry struct {
 	Key Key
 	// Revision is the offset of the record that set the resource.
@@ -81,14 +81,14 @@
 	Resource        *configpb.Resource
 }
 
-// Chain is the digest over all records up to an offset. Two daemons with the
-// same chain have folded the same records.
+// Chain is a hash chain over all records up to an offset. Two daemons with the same chain at an
+// offset have folded the same records.
 type Chain [sha256.Size]byte
 
-// Extend returns the chain after one more record. Whoever passes records on
-// uses it to tell the chain before the first of them.
+// Extend returns the chain after one more record. A daemon that relays records uses it to compute
+// the chain before the first of them.
 func (c Chain) Extend(offset uint64, data []byte) Chain {
-	c = c.before(data)
+	c = c.predecessor(data)
 	h := sha256.New()
 	h.Write(c[:])
 	var o [8]byte
@@ -100,43 +100,43 @@
 	return n
 }
 
-// before returns what a record is chained to. A document takes the place of all
-// records before it and begins the chain anew: a daemon that starts with it, since
-// the log no longer has those, is then at the same chain as one that folded them. So
-// does a rollout, which stands beside documents in logs that keep the latest of each
-// alone.
-func (c Chain) before(data []byte) Chain {
-	if holdsField(data, documentField) || holdsField(data, rolloutField) {
+// predecessor returns the chain that a record is hashed with. A document replaces all records
+// before it and restarts the chain: a daemon that starts with the document, because the log has
+// dropped the earlier records, then has the same chain as a daemon that folded them. A rollout
+// restarts the chain as well, since some logs keep only the latest document and the latest
+// rollouts.
+func (c Chain) predecessor(data []byte) Chain {
+	if hasField(data, documentField) || hasField(data, rolloutField) {
 		return Chain{}
 	}
 	return c
 }
 
-// State is the fold of all records up to Offset. States are immutable and
-// share what they have in common; Apply returns a new one.
+// State is the result of folding all records up to Offset. States are immutable and share memory
+// with their predecessors; Apply returns a new State.
 type State struct {
 	Offset uint64
 	Chain  Chain
 
-	// previous is the chain before the last record.
+	// previous is the chain that the last record was hashed with.
 	previous Chain
-	// rule is the highest rule version among the records folded.
+	// rule is the highest rule version among the folded records.
 	rule    uint32
 	entries cowMap[Key, *Entry]
-	// bytes is the sum of the entries' sizes, see entryBytes.
+	// bytes is the sum of entryBytes over all entries.
 	bytes  int
 	routes routeIndex
-	recent recent
-	// document is the latest one accepted.
+	recent recentHistory
+	// document is the latest accepted document, nil if there is none.
 	document *configpb.Document
-	// rollouts holds the latest order for each service; it is replaced, never changed.
+	// rollouts maps each service to its latest order. The map is replaced, never modified.
 	rollouts map[string]*configpb.RolloutOrder
 }
 
 // Empty returns the state before the first record.
 func Empty() *State { return &State{} }
 
-// EmptyAt returns the state before the first record of an epoch, whose offset has index 0.
+// EmptyAt returns the state before the first record of an epoch. The index of the offset is 0.
 func EmptyAt(offset eventlog.Offset) *State { return &State{Offset: offset} }
 
 // Get returns a resource in force, nil if there is none.
@@ -145,9 +145,10 @@
 	return e
 }
 
-// LastRecordIs reports whether data is the record that the state folded last. A log
-// that lost its end and gave offsets out again holds another record there;
-// whoever folds on from a state must ask first, or would mix two histories.
+// LastRecordIs reports whether data is the record that the state folded last. A log that lost its
+// latest records and assigned their offsets again has a different record there. A daemon must
+// check this before it folds further records of a log into a state, or it would mix two
+// histories.
 func (s *State) LastRecordIs(data []byte) bool {
 	return s.Offset > 0 && s.previous.Extend(s.Offset, data) == s.Chain
 }
@@ -167,11 +168,11 @@
 	return list
 }
 
-// Verdict returns what became of a publish, if that is still remembered.
+// Verdict returns the verdict on a publish if it is still stored.
 func (s *State) Verdict(publishID string) (Verdict, bool) { return s.recent.verdict(publishID) }
 
-// next returns a copy that may be changed until it is handed out.
-func (s *State) next() *State {
+// mutableCopy returns a copy that may be modified until it is shared.
+func (s *State) mutableCopy() *State {
 	n := *s
 	n.entries = s.entries.fork()
 	n.routes.byPrefix = s.routes.byPrefix.fork()
@@ -179,7 +180,7 @@
 	return &n
 }
 
-// put sets or replaces a resource. s must not have been handed out yet.
+// put sets or replaces a resource. s must not be shared yet.
 func (s *State) put(e *Entry) {
 	s.remove(e.Key)
 	s.entries.set(e.Key, e)
@@ -189,8 +190,7 @@
 	}
 }
 
-// remove deletes a resource if it is there. s must not have been handed out
-// yet.
+// remove removes a resource if it exists. s must not be shared yet.
 func (s *State) remove(k Key) {
 	e := s.Get(k)
 	if e == nil {
