--- a/snapshot/bench_test.go
+++ b/snapshot/bench_test.go
@@ -14,8 +14,8 @@
 
 const benchServices = 26
 
-// fleet returns a state with n routes and n contracts, and their services.
-func fleet(n int) (*fold.State, []string) {
+// syntheticState returns a state with n routes and n contracts, and the names of its services.
+func syntheticState(n int) (*fold.State, []string) {
 	var serviceNames []string
 	for i := range benchServices {
 		serviceNames = append(serviceNames, fmt.Sprint("service-", i))
@@ -40,7 +40,7 @@
 
 func BenchmarkRoute(b *testing.B) {
 	for _, n := range sizes {
-		st, names := fleet(n)
+		st, names := syntheticState(n)
 		s := Build(nil, st, backends(names...))
 		path := fmt.Sprintf("/service-%d/route-%d/lookup?id=7", (n/2)%benchServices, n/2)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -56,7 +56,7 @@
 
 func BenchmarkBuild(b *testing.B) {
 	for _, n := range sizes {
-		st, names := fleet(n)
+		st, names := syntheticState(n)
 		known := backends(names...)
 		prev := Build(nil, st, known)
 		next := publish(st, contract("customer-1", 50))
@@ -70,8 +70,7 @@
 	}
 }
 
-// heapOf returns the live heap that a snapshot holds beside its state, in
-// bytes.
+// heapOf returns the heap size of a snapshot without its state, in bytes.
 func heapOf(st *fold.State, known *backend.Set) int64 {
 	before := liveHeap()
 	s := Build(nil, st, known)
@@ -90,7 +89,7 @@
 
 func BenchmarkBuildForBackends(b *testing.B) {
 	for _, n := range sizes {
-		st, names := fleet(n)
+		st, names := syntheticState(n)
 		prev := Build(nil, st, backends(names...))
 		known := backends(names...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -102,17 +101,17 @@
 	}
 }
 
-// Bounds on the allocations of a snapshot swap. maxBuildAllocs is for a swap at
-// 1,000 routes and 1,000 contracts of which one has changed: an unchanged
-// contract is carried over, not compiled again. maxBackendsAllocs is for a swap
-// because of backend servers alone.
+// Limits on the allocations of a snapshot swap. maxBuildAllocs applies to a swap with 1,000 routes
+// and 1,000 contracts of which one has changed: unchanged contracts are reused, not compiled again.
+// maxBackendsAllocs applies to a swap in which only backend servers have changed.
 const (
 	maxBuildAllocs    = 60
 	maxBackendsAllocs = 1
 )
 
-func TestCostOfASwap(t *testing.T) {
-	st, names := fleet(1000)
+// TestBuildCost limits the allocations of a snapshot swap.
+func TestBuildCost(t *testing.T) {
+	st, names := syntheticState(1000)
 	known := backends(names...)
 	prev := Build(nil, st, known)
 	next := publish(st, contract("customer-1", 50))
@@ -120,9 +119,9 @@
 	must.LessEq(t, maxBackendsAllocs, testing.AllocsPerRun(20, func() { Build(prev, st, known) }))
 }
 
-// The lookups are on the path of each call.
+// Each call does these lookups.
 func TestLookupsDoNotAllocate(t *testing.T) {
-	st, names := fleet(1000)
+	st, names := syntheticState(1000)
 	s := Build(nil, st, backends(names...))
 	lookup := func() {
 		s.Route("/service-6/route-500/lookup")
--- a/snapshot/contract.go
+++ b/snapshot/contract.go
@@ -8,7 +8,7 @@
 	"github.com/crocuscross/crocuscross/configpb"
 )
 
-// Contract is a customer's contract, compiled for the request path.
+// Contract is the compiled contract of a customer, as requests use it.
 type Contract struct {
 	Customer      string
 	Revision      uint64
@@ -46,14 +46,14 @@
 	return n
 }
 
-// CallTerms is what a contract says of one call.
+// CallTerms is the part of a contract that applies to one call.
 type CallTerms struct {
 	NonIdempotent bool
 	MaxWait       time.Duration
 }
 
-// Terms returns what the contract says of a call: the first matching rule, or
-// else the contract's wait and the method's usual meaning.
+// Terms returns the terms for a call. They come from the first matching rule. If no rule matches,
+// MaxWait is that of the contract, and POST and PATCH are non-idempotent.
 func (c *Contract) Terms(method, path string) CallTerms {
 	for _, r := range c.rules {
 		if r.method != "" && r.method != method {
--- a/snapshot/document.go
+++ b/snapshot/document.go
@@ -7,19 +7,18 @@
 	"github.com/crocuscross/crocuscross/configpb"
 )
 
-// Document is a whole configuration of an operator, compiled for the request
-// path. Unlike a route of a bundle, a route of a document is in force at once,
-// with or without backend servers: the document says what may not be served any
-// more as well.
+// Document is the compiled form of an operator's document, which is a complete configuration.
+// Unlike the route of a bundle, the route of a document is in force immediately, with or without
+// backend servers, because a document also says what must not be served any more.
 type Document struct {
-	// Version is the operator's own number.
-	Version uint64
-	Limits  ListenerLimits
-	hosts   map[string]table[*DocumentRoute]
-	source  *configpb.Document
+	// Version is the number that the operator assigned to the document.
+	Version      uint64
+	Limits       ListenerLimits
+	virtualHosts map[string]table[*DocumentRoute]
+	source       *configpb.Document
 }
 
-// VersionOrZero returns the document's version, 0 where there is no document.
+// VersionOrZero returns the version of the document, 0 if d is nil.
 func (d *Document) VersionOrZero() uint64 {
 	if d == nil {
 		return 0
@@ -27,7 +26,7 @@
 	return d.Version
 }
 
-// ListenerLimits bound what callers may send; zero fields bound nothing.
+// ListenerLimits limits the size and duration of requests. A zero field sets no limit.
 type ListenerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -38,61 +37,61 @@
 // DocumentRoute is a route of a document.
 type DocumentRoute struct {
 	Name string
-	// Kind tells what of the calls may be repeated.
+	// Kind says whether the calls of the route may be retried.
 	Kind configpb.CallKind
-	// Timeout is the longest time a call may be kept waiting, Objective the time
-	// within which its answer is worth its full value; 0 if not stated.
+	// Timeout is the maximum time that a call may wait for its response. Objective is the time
+	// within which the response has its full value to the caller. 0 means not set.
 	Timeout, Objective time.Duration
-	// Priority ranks the calls under overload, 0 first.
+	// Priority is the priority of the calls under overload; 0 is the highest.
 	Priority int
-	// MaxAttempts is how many backend servers one call may be sent to, 0 if not
-	// stated.
+	// MaxAttempts is the maximum number of backend servers that one call is sent to, 0 if not
+	// set.
 	MaxAttempts int
 
-	parts []part
-	total uint32
+	split       []splitTarget
+	totalWeight uint32
 }
 
-// part is a service with the weights of those before it and its own in sum.
-type part struct {
-	service string
-	upTo    uint32
+// splitTarget is a service of a split. cumulativeWeight is the sum of its weight and the weights
+// of the targets before it.
+type splitTarget struct {
+	service          string
+	cumulativeWeight uint32
 }
 
-// NonIdempotent reports whether a call may run once at most.
+// NonIdempotent reports whether a call may be executed at most once.
 func (r *DocumentRoute) NonIdempotent() bool {
 	return r.Kind != configpb.CallKind_CALL_KIND_IDEMPOTENT
 }
 
-// PickService returns where a call goes; rnd returns a random number below its
-// argument. Each part of a split gets its weight's share of the calls whether or
-// not it has room: a part that is short of room must not move its calls to
-// another version of the service.
+// PickService returns the service that a call is sent to; rnd returns a random number below its
+// argument. Each target of a split gets calls in proportion to its weight, whether or not it has
+// free capacity: an overloaded target must not shift its calls to another version of the service.
 func (r *DocumentRoute) PickService(rnd func(uint32) uint32) string {
-	if len(r.parts) == 1 {
-		return r.parts[0].service
+	if len(r.split) == 1 {
+		return r.split[0].service
 	}
-	n := rnd(r.total)
-	for _, p := range r.parts {
-		if n < p.upTo {
+	n := rnd(r.totalWeight)
+	for _, p := range r.split {
+		if n < p.cumulativeWeight {
 			return p.service
 		}
 	}
-	return r.parts[len(r.parts)-1].service
+	return r.split[len(r.split)-1].service
 }
 
-// Route returns the route of a virtual host, which may have a port, and a path:
-// the longest matching prefix.
+// Route returns the route with the longest matching prefix of a path on a virtual host. host may
+// include a port.
 func (d *Document) Route(host, path string) (*DocumentRoute, bool) {
-	n := d.hosts[virtualHost(host)].find(path)
+	n := d.virtualHosts[virtualHost(host)].find(path)
 	if n == nil {
 		return nil, false
 	}
 	return n.value, true
 }
 
-// HealthPath returns where the backend servers of a service tell of their health; ok
-// is false where the document does not say.
+// HealthPath returns the path of the health check of a service; ok is false if the document does
+// not set one.
 func (d *Document) HealthPath(service string) (path string, ok bool) {
 	for _, s := range d.source.GetServices() {
 		if s.GetName() == service && strings.HasPrefix(s.GetHealthPath(), "/") {
@@ -102,7 +101,7 @@
 	return "", false
 }
 
-// HasService reports whether the document names a service.
+// HasService reports whether the document contains a service.
 func (d *Document) HasService(name string) bool {
 	for _, s := range d.source.GetServices() {
 		if s.GetName() == name {
@@ -112,7 +111,7 @@
 	return false
 }
 
-// virtualHost returns a Host field's value without its port and in lower case.
+// virtualHost returns the value of a Host header in lower case and without its port.
 func virtualHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
@@ -120,7 +119,8 @@
 	return strings.ToLower(host)
 }
 
-// buildDocument compiles the state's document unless it is the one in force.
+// buildDocument compiles the document of the state. It reuses the compiled document of prev if
+// the document is the same.
 func (s *Snapshot) buildDocument(prev *Snapshot) {
 	d := s.State.Document()
 	if d == nil {
@@ -134,13 +134,13 @@
 }
 
 func newDocument(d *configpb.Document) *Document {
-	n := &Document{Version: d.GetVersion(), hosts: make(map[string]table[*DocumentRoute]), source: d}
+	n := &Document{Version: d.GetVersion(), virtualHosts: make(map[string]table[*DocumentRoute]), source: d}
 	for _, r := range d.GetRoutes() {
 		host := virtualHost(r.GetVirtualHost())
-		n.hosts[host] = append(n.hosts[host], node[*DocumentRoute]{prefix: r.GetPathPrefix(), value: newDocumentRoute(r)})
+		n.virtualHosts[host] = append(n.virtualHosts[host], node[*DocumentRoute]{prefix: r.GetPathPrefix(), value: newDocumentRoute(r)})
 	}
-	for host, t := range n.hosts {
-		n.hosts[host] = newTable(t)
+	for host, t := range n.virtualHosts {
+		n.virtualHosts[host] = newTable(t)
 	}
 	l := d.GetLimits()
 	n.Limits = ListenerLimits{
@@ -166,8 +166,8 @@
 		split = []*configpb.Split{{Service: r.GetService(), Weight: 1}}
 	}
 	for _, p := range split {
-		n.total += p.GetWeight()
-		n.parts = append(n.parts, part{p.GetService(), n.total})
+		n.totalWeight += p.GetWeight()
+		n.split = append(n.split, splitTarget{p.GetService(), n.totalWeight})
 	}
 	return n
 }
--- a/snapshot/document_test.go
+++ b/snapshot/document_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// A document's routes are in force at once, with no backend server known.
+// The routes of a document are in force immediately, even if no backend server is known.
 func TestDocumentRoutes(t *testing.T) {
 	s := Build(nil, documentState(9, testDocument()), backends())
 	d := s.Document()
@@ -58,8 +58,7 @@
 	}
 }
 
-// Each part of a split gets its weight's share, and calls of a split upload are
-// non-idempotent.
+// Each target of a split gets calls in proportion to its weight, and uploads are non-idempotent.
 func TestDocumentSplit(t *testing.T) {
 	s := Build(nil, documentState(9, testDocument()), backends())
 	r, _ := s.Document().Route("h.example", "/a/b/x")
@@ -72,8 +71,8 @@
 	must.Eq(t, map[string]int{"one": 90, "two": 10}, got)
 }
 
-// New backend servers do not compile the document anew.
-func TestDocumentIsKeptWhileItIsTheSame(t *testing.T) {
+// A change of backend servers does not compile the document again.
+func TestUnchangedDocumentIsReused(t *testing.T) {
 	st := documentState(9, testDocument())
 	s := Build(nil, st, backends())
 	must.True(t, s.Document() == Build(s, st, backends("one")).Document())
--- a/snapshot/example_test.go
+++ b/snapshot/example_test.go
@@ -9,8 +9,8 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// A route gets in force with the first backend server of its service, not
-// before. An older state never does.
+// A route is put in force as soon as a backend server of its service is known. An older state is
+// rejected.
 func ExampleBuild() {
 	record, err := fold.EncodeRecord(&configpb.Bundle{PublishId: "p-1", Changes: []*configpb.Change{
 		{Resource: &configpb.Resource{Kind: &configpb.Resource_Service{
--- a/snapshot/helper_test.go
+++ b/snapshot/helper_test.go
@@ -22,14 +22,13 @@
 	return &configpb.Resource{Kind: &configpb.Resource_Contract{Contract: c}}
 }
 
-// publish folds a bundle that sets resources. The revisions that it replaces
-// are the current ones.
+// publish folds a bundle that sets resources on top of their current revisions.
 func publish(s *fold.State, resources ...*configpb.Resource) *fold.State {
 	return change(s, resources, nil)
 }
 
-// change folds a bundle that sets and deletes resources. It panics if the fold
-// rejects it.
+// change folds a bundle that sets and deletes resources. It panics if the fold rejects the
+// bundle.
 func change(s *fold.State, set, del []*configpb.Resource) *fold.State {
 	next, v := tryChange(s, set, del)
 	if !v.Accepted {
@@ -59,7 +58,7 @@
 	return next, v
 }
 
-// backends returns a set with one server of each service.
+// backends returns a set with one server for each service.
 func backends(services ...string) *backend.Set {
 	var servers []*backend.Server
 	for _, s := range services {
@@ -68,7 +67,7 @@
 	return backend.NewSet(servers)
 }
 
-// services returns resources of the services named.
+// services returns a service resource for each name.
 func services(names ...string) []*configpb.Resource {
 	var list []*configpb.Resource
 	for _, n := range names {
@@ -77,8 +76,8 @@
 	return list
 }
 
-// target returns the service that a path leads to, "none" without a route and
-// "wait" where the call is refused for the time being.
+// target returns the service that a path is routed to, "none" if there is no route and "wait" if
+// calls are refused until a backend server is known.
 func target(s *Snapshot, path string) string {
 	r, ok := s.Route(path)
 	switch {
--- a/snapshot/property_test.go
+++ b/snapshot/property_test.go
@@ -39,11 +39,10 @@
 	return states
 }
 
-// States come in any order, some twice, while backend servers come and go.
-// Whatever the sequence, callers must never be sent to a service that had no
-// backend server when its route got into force, nor see a version, route or
-// contract go back, nor lose an answer because a route waits.
-func TestBuildKeepsItsPromises(t *testing.T) {
+// States arrive in any order, some of them repeatedly, while backend servers come and go. In
+// every sequence, a route must be put in force only with a backend server, no version, route or
+// contract may revert, and a prefix must keep its route while another route for it is withheld.
+func TestBuildInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		states := drawStates(t)
 		newest := map[string]uint64{}
@@ -60,17 +59,17 @@
 			checkRoutes(t, prev, next, known)
 			checkContracts(t, prev, next)
 			for _, r := range next.Routes() {
-				must.GreaterEq(t, newest[r.PathPrefix], r.Revision, must.Sprint("an older route came back under its prefix"))
+				must.GreaterEq(t, newest[r.PathPrefix], r.Revision, must.Sprint("an older route was put back in force under its prefix"))
 				newest[r.PathPrefix] = r.Revision
 			}
 			path := rapid.SampledFrom([]string{"/", "/x", "/x/", "/x/y", "/x/yz", "/xx", "/y", "z"}).Draw(t, "path")
-			must.Eq(t, slowTarget(next, path), target(next, path))
+			must.Eq(t, referenceTarget(next, path), target(next, path))
 			prev = next
 		}
 	})
 }
 
-// checkRoutes compares what is in force with what the state wants.
+// checkRoutes compares the routes in force with those of the state.
 func checkRoutes(t *rapid.T, prev, next *Snapshot, known *backend.Set) {
 	wanted := map[string]Route{}
 	for _, e := range next.State.Entries(fold.KindRoute) {
@@ -83,18 +82,18 @@
 		must.Eq(t, WithheldRoute{r.Name, r.Revision, r.Service}, w)
 		must.SliceEmpty(t, known.ForService(w.Service))
 		waiting[w.Name], waiting[r.PathPrefix] = true, true
-		must.SliceNotContains(t, next.Routes(), r, must.Sprint("a route in force is called withheld"))
+		must.SliceNotContains(t, next.Routes(), r, must.Sprint("a route in force is listed as withheld"))
 		if old, ok := prev.routeAt(r.PathPrefix); ok {
 			got, _ := next.routeAt(r.PathPrefix)
-			must.Eq(t, old, got, must.Sprint("a prefix lost its answer while its route waits"))
+			must.Eq(t, old, got, must.Sprint("a prefix lost its route while another route for it is withheld"))
 		}
 	}
 	for _, r := range next.Routes() {
 		old, had := prev.routeAt(r.PathPrefix)
 		had = had && old == r
-		must.True(t, had || wanted[r.Name] == r, must.Sprint("a route that is not wanted got into force"))
-		must.True(t, had || len(known.ForService(r.Service)) > 0, must.Sprint("a route got into force without a backend server"))
-		must.True(t, wanted[r.Name] == r || waiting[r.Name] || waiting[r.PathPrefix], must.Sprint("a route stayed for nothing"))
+		must.True(t, had || wanted[r.Name] == r, must.Sprint("a route that is not in the state was put in force"))
+		must.True(t, had || len(known.ForService(r.Service)) > 0, must.Sprint("a route was put in force without a backend server"))
+		must.True(t, wanted[r.Name] == r || waiting[r.Name] || waiting[r.PathPrefix], must.Sprint("a replaced route stayed in force although no withheld route needs it"))
 	}
 	for name, r := range wanted {
 		got, _ := next.routeAt(r.PathPrefix)
@@ -114,8 +113,8 @@
 	}
 }
 
-// slowTarget looks through all prefixes.
-func slowTarget(s *Snapshot, path string) string {
+// referenceTarget is a reference implementation of target that checks all prefixes.
+func referenceTarget(s *Snapshot, path string) string {
 	longest, answer := -1, "none"
 	for _, n := range s.table {
 		p := n.value.route.PathPrefix
--- a/snapshot/routes.go
+++ b/snapshot/routes.go
@@ -8,7 +8,7 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// Route is one route in force.
+// Route is a route in force.
 type Route struct {
 	Name       string
 	PathPrefix string
@@ -23,78 +23,80 @@
 	Service  string
 }
 
-// routeBuilder collects what is in force under each prefix.
+// routeBuilder determines the route in force under each prefix.
 type routeBuilder struct {
 	prev     *Snapshot
 	byPrefix map[string]Route
 	withheld []Route
-	// unanswered are the withheld routes of which it is not known what callers
-	// got before.
-	unanswered []Route
+	// refused contains the withheld routes whose calls are refused because the daemon does not
+	// know how the calls were routed before.
+	refused []Route
 }
 
-// buildRoutes decides on all routes of the state.
+// buildRoutes determines which routes of the state are in force and which are withheld.
 func (s *Snapshot) buildRoutes(prev *Snapshot) {
 	entries := s.State.Entries(fold.KindRoute)
 	b := &routeBuilder{prev: prev, byPrefix: make(map[string]Route, len(entries))}
 	for _, e := range entries {
 		r := e.Resource.GetRoute()
 		next := Route{Name: r.GetName(), PathPrefix: r.GetPathPrefix(), Service: r.GetService(), Revision: e.Revision}
-		b.admit(next, s.backends)
+		b.activateOrWithhold(next, s.backends)
 	}
-	// What withheld routes replace is looked for last, when it is known which
-	// prefixes have gone to other routes.
+	// The routes that withheld routes are to replace are looked up last, when all prefixes that
+	// other routes have taken over are known.
 	for _, r := range b.withheld {
-		b.keepReplaced(r)
+		b.retainReplaced(r)
 		s.Withheld = append(s.Withheld, WithheldRoute{r.Name, r.Revision, r.Service})
 	}
-	b.findUnanswered()
+	b.findRefused()
 	s.routes = b.routes()
-	s.table = routeTable(s.routes, b.unanswered)
+	s.table = routeTable(s.routes, b.refused)
 }
 
-// placed is what a path prefix leads to.
-type placed struct {
+// tableEntry is the value of a path prefix in the routing table.
+type tableEntry struct {
 	route Route
-	// withheld is set where calls are refused until the route is in force.
+	// withheld is true if calls are refused until the route is in force.
 	withheld bool
 }
 
-// routeTable takes the routes in force and the ones whose prefixes are refused.
-func routeTable(routes, withheld []Route) table[placed] {
-	t := make(table[placed], 0, len(routes)+len(withheld))
+// routeTable returns the table of the routes in force and of the withheld routes whose calls are
+// refused.
+func routeTable(routes, withheld []Route) table[tableEntry] {
+	t := make(table[tableEntry], 0, len(routes)+len(withheld))
 	for _, r := range routes {
-		t = append(t, node[placed]{prefix: r.PathPrefix, value: placed{route: r}})
+		t = append(t, node[tableEntry]{prefix: r.PathPrefix, value: tableEntry{route: r}})
 	}
 	for _, r := range withheld {
-		t = append(t, node[placed]{prefix: r.PathPrefix, value: placed{route: r, withheld: true}})
+		t = append(t, node[tableEntry]{prefix: r.PathPrefix, value: tableEntry{route: r, withheld: true}})
 	}
 	return newTable(t)
 }
 
-// admit lets a route in if it is in force already or can be served.
-func (b *routeBuilder) admit(r Route, backends *backend.Set) {
+// activateOrWithhold puts a route in force if it is in force already or a backend server can
+// serve it. Otherwise it withholds the route.
+func (b *routeBuilder) activateOrWithhold(r Route, backends *backend.Set) {
 	old, had := b.prev.routeAt(r.PathPrefix)
-	if had && old == r || takesCalls(backends.ForService(r.Service)) {
+	if had && old == r || anyAcceptsCalls(backends.ForService(r.Service)) {
 		b.byPrefix[r.PathPrefix] = r
 		return
 	}
 	b.withheld = append(b.withheld, r)
 }
 
-// takesCalls reports whether a new call could go to one of the servers. One
-// that is about to leave does not count: a route that moved to it would lose
-// its old target for nothing.
-func takesCalls(servers []*backend.Server) bool {
+// anyAcceptsCalls reports whether a new call could be sent to one of the servers. A draining
+// server does not count: a route that moved to it would lose its old target to no purpose.
+func anyAcceptsCalls(servers []*backend.Server) bool {
 	return slices.ContainsFunc(servers, func(b *backend.Server) bool { return !b.Draining })
 }
 
-// keepReplaced keeps what a withheld route is going to replace.
-func (b *routeBuilder) keepReplaced(r Route) {
+// retainReplaced keeps the routes in force that a withheld route is to replace: the one with the
+// same prefix, and the one with the same name unless another route has taken its prefix.
+func (b *routeBuilder) retainReplaced(r Route) {
 	if old, ok := b.prev.routeAt(r.PathPrefix); ok {
 		b.byPrefix[r.PathPrefix] = old
 	}
-	old, ok := b.prev.routeNamed(r.Name)
+	old, ok := b.prev.routeByName(r.Name)
 	if !ok {
 		return
 	}
@@ -112,20 +114,21 @@
 	return list
 }
 
-// findUnanswered collects the routes that were withheld from the start on.
-func (b *routeBuilder) findUnanswered() {
-	before := b.prev.unanswered()
+// findRefused collects the routes that have been withheld since the daemon started and whose
+// prefix has no route in force.
+func (b *routeBuilder) findRefused() {
+	before := b.prev.refusedRoutes()
 	for _, r := range b.withheld {
 		_, kept := b.byPrefix[r.PathPrefix]
 		if !kept && (b.prev == nil || before[r.Name]) {
-			b.unanswered = append(b.unanswered, r)
+			b.refused = append(b.refused, r)
 		}
 	}
 }
 
-// unanswered returns the names of the routes whose calls are refused until
-// their backend servers are known.
-func (s *Snapshot) unanswered() map[string]bool {
+// refusedRoutes returns the names of the withheld routes whose calls are refused until a backend
+// server is known.
+func (s *Snapshot) refusedRoutes() map[string]bool {
 	names := make(map[string]bool)
 	if s == nil {
 		return names
@@ -138,7 +141,7 @@
 	return names
 }
 
-// routeAt returns the route in force under a prefix.
+// routeAt returns the route in force with exactly this prefix.
 func (s *Snapshot) routeAt(prefix string) (Route, bool) {
 	if s == nil {
 		return Route{}, false
@@ -152,9 +155,9 @@
 	return s.routes[i], true
 }
 
-// routeNamed returns the latest revision in force under a name. An earlier one
-// may be in force as well, in the place of another route that is withheld.
-func (s *Snapshot) routeNamed(name string) (latest Route, ok bool) {
+// routeByName returns the latest revision in force of a route. An earlier revision may be in
+// force as well, in place of another route that is withheld.
+func (s *Snapshot) routeByName(name string) (latest Route, ok bool) {
 	if s == nil {
 		return Route{}, false
 	}
--- a/snapshot/snapshot_test.go
+++ b/snapshot/snapshot_test.go
@@ -10,11 +10,11 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// An operator points /a from service one to service two, which has no backend
-// server yet. Callers go on to get service one, also when its servers go, until
-// the first server of two is known. A draining server is none: it would refuse
-// the calls that it took from service one.
-func TestMovedRouteKeepsItsTargetUntilTheNewIsThere(t *testing.T) {
+// An operator moves /a from service one to service two, which has no backend server yet. Calls
+// must be routed to service one, even if its servers disappear, until the first server of two is
+// known. A draining server of two does not count: it would refuse the calls taken from service
+// one.
+func TestMovedRouteKeepsTargetUntilNewServiceHasServer(t *testing.T) {
 	st := publish(fold.Empty(), append(services("one", "two"), route("r", "/a", "one"))...)
 	s := Build(nil, st, backends("one"))
 	must.Eq(t, "one", target(s, "/a"))
@@ -32,13 +32,13 @@
 	must.Eq(t, "two", target(s, "/a"))
 	must.SliceEmpty(t, s.Withheld)
 	s = Build(s, st, backends("one"))
-	must.Eq(t, "two", target(s, "/a"), must.Sprint("a revision in force must not be taken back"))
+	must.Eq(t, "two", target(s, "/a"), must.Sprint("a revision in force must not be reverted"))
 }
 
-// Prefixes change hands between routes in one bundle while the service of the
-// new holder has no backend server. Callers under the prefix must not fall into
-// a gap between the old holder, which gave it up, and the new one, which waits.
-func TestPrefixThatChangesHandsIsAnsweredThroughout(t *testing.T) {
+// One bundle gives a prefix to another route while the service of the new route has no backend
+// server. The prefix must have a route throughout: its old route is gone from the state and the
+// new one is withheld, but calls must not be lost in between.
+func TestReassignedPrefixIsAlwaysRouted(t *testing.T) {
 	first := publish(fold.Empty(), append(services("one", "two", "three"), route("p", "/p", "one"), route("q", "/q", "two"))...)
 	for name, tc := range map[string]struct {
 		set, del    []*configpb.Resource
@@ -64,11 +64,11 @@
 	}
 }
 
-// A daemon restarts and knows the backend servers of service one but not yet
-// those of two. Calls under /a/b have gone to two for weeks; sending them to
-// one, which holds the shorter prefix, would hand permit holds to the wrong
-// service. On a daemon that ran before /a/b was published they go on to one.
-func TestRestartedDaemonDoesNotGuess(t *testing.T) {
+// A restarted daemon knows the backend servers of service one but not yet those of two. The calls
+// under /a/b belong to two; sending them to one, which has the shorter prefix, would deliver them
+// to the wrong service. On a daemon that was running before /a/b was published, they still go to
+// one.
+func TestRestartedDaemonRefusesWithheldRoute(t *testing.T) {
 	short := publish(fold.Empty(), append(services("one", "two"), route("a", "/a", "one"))...)
 	both := publish(short, route("ab", "/a/b", "two"))
 
@@ -80,16 +80,15 @@
 	must.Eq(t, "one", target(restarted, "/a/c"))
 	later := publish(both, contract("c", 1))
 	restarted = Build(restarted, later, backends("one"))
-	must.Eq(t, "wait", target(restarted, "/a/b/c"), must.Sprint("a later version tells nothing new about the route"))
+	must.Eq(t, "wait", target(restarted, "/a/b/c"), must.Sprint("a later version must not change what is known of the route"))
 	restarted = Build(restarted, later, backends("one", "two"))
 	must.Eq(t, "two", target(restarted, "/a/b/c"))
 }
 
-// Two controllers race, or a peer lags, and the older state comes last. Putting
-// it into force would revert the contract that callers were served under. The
-// same goes for another state at the same offset, from a log that gave out
-// offsets twice.
-func TestOlderOrOtherStateIsRefused(t *testing.T) {
+// An older state arrives last, from controllers that race or a peer that lags. Putting it in
+// force would revert a contract in force. A different state at the same offset, from a log that
+// assigned offsets twice, must be rejected as well.
+func TestOlderOrForkedStateIsRejected(t *testing.T) {
 	old := publish(fold.Empty(), contract("c", 1))
 	now := publish(old, contract("c", 2))
 	other := publish(old, contract("c", 3))
@@ -98,10 +97,10 @@
 		must.True(t, Build(s, st, backends("one")) == s)
 	}
 	must.Eq(t, 2.0, s.Contract("c").Rate)
-	must.True(t, Build(s, now, backends("one")) != s, must.Sprint("the same state with new backend servers is fine"))
+	must.True(t, Build(s, now, backends("one")) != s, must.Sprint("the same state with new backend servers must be accepted"))
 }
 
-func TestTermsOfACall(t *testing.T) {
+func TestContractTerms(t *testing.T) {
 	c := contract("c", 2)
 	c.GetContract().Rules = []*configpb.CallRule{
 		{Method: "POST", PathPrefix: "/lookup"},
--- a/snapshot/table.go
+++ b/snapshot/table.go
@@ -6,23 +6,23 @@
 	"strings"
 )
 
-// noParent marks a prefix that lies within no other.
+// noParent is the parent of a node whose prefix has no shorter prefix in the table.
 const noParent = -1
 
-// node is one prefix of a table.
+// node is a prefix of a table and its value.
 type node[T any] struct {
 	prefix string
 	value  T
-	// parent is the index of the longest shorter prefix, or noParent.
+	// parent is the index of the node with the longest prefix that is a proper prefix of this
+	// one, or noParent.
 	parent int
 }
 
-// table finds the longest prefix of a path. Its nodes are sorted by prefix in
-// byte order.
+// table finds the longest matching prefix of a path. Its nodes are sorted by prefix in byte
+// order.
 type table[T any] []node[T]
 
-// newTable links the nodes given, which need no parent yet. No prefix occurs
-// twice.
+// newTable sorts the nodes and sets their parents. The prefixes must be unique.
 func newTable[T any](t table[T]) table[T] {
 	slices.SortFunc(t, func(a, b node[T]) int { return cmp.Compare(a.prefix, b.prefix) })
 	for i := range t {
@@ -31,9 +31,9 @@
 	return t
 }
 
-// find returns the node of the longest prefix of a path, nil if there is none.
-// All prefixes that sort between the one sought and the path begin with the one
-// sought, so it is found among the last of them and its parents.
+// find returns the node of the longest matching prefix of a path, nil if there is none. Every
+// prefix that sorts between the longest match and the path begins with the longest match, so the
+// search can start at the last node that does not sort after the path and follow the parents.
 func (t table[T]) find(path string) *node[T] {
 	lo, hi := 0, len(t)
 	for lo < hi {
@@ -51,8 +51,8 @@
 	return &t[i]
 }
 
-// ancestor returns the first of a node and its parents that is a prefix of a
-// path, or noParent.
+// ancestor returns the index of the first node that is a prefix of the path, starting at node i
+// and following the parents, or noParent.
 func (t table[T]) ancestor(i int, path string) int {
 	for i != noParent && !strings.HasPrefix(path, t[i].prefix) {
 		i = t[i].parent
