--- a/checkpoint/bench_test.go
+++ b/checkpoint/bench_test.go
@@ -11,9 +11,9 @@
 
 var sizes = []int{200, 1000, 2000, 4000}
 
-// written returns a stream that holds some checkpoints of a state with n
-// resources, and the bytes of one.
-func written(tb testing.TB, resources, checkpoints int) (*memlog.Service, *memlog.Stream, uint64) {
+// writtenStream returns a stream with some checkpoints of a state with n resources, and the size
+// of one checkpoint in bytes.
+func writtenStream(tb testing.TB, resources, checkpoints int) (*memlog.Service, *memlog.Stream, uint64) {
 	svc, stream := newStream()
 	st := stateAt(resources)
 	for range checkpoints {
@@ -27,7 +27,7 @@
 func BenchmarkWrite(b *testing.B) {
 	for _, n := range sizes {
 		st := stateAt(n)
-		_, stream, size := written(b, n, 1)
+		_, stream, size := writtenStream(b, n, 1)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
@@ -43,7 +43,7 @@
 func BenchmarkLatest(b *testing.B) {
 	const retained = 8
 	for _, n := range sizes {
-		svc, stream, _ := written(b, n, retained)
+		svc, stream, _ := writtenStream(b, n, retained)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			before, runs := svc.Counters().BytesOut, 0
@@ -58,11 +58,11 @@
 	}
 }
 
-// Bounds on the bytes that a checkpoint costs the platform. A start reads what
-// the stream retains once and the newest checkpoint once more.
-func TestBytesOfACheckpoint(t *testing.T) {
+// Limits the bytes that a checkpoint transfers to and from the platform. Latest reads everything
+// that the stream retains once and the newest checkpoint a second time.
+func TestCheckpointTransferSize(t *testing.T) {
 	const resources, retained, maxPartOverhead = 2000, 3, 128
-	svc, stream, size := written(t, resources, retained)
+	svc, stream, size := writtenStream(t, resources, retained)
 	parts := svc.Counters().Appends / retained
 	state := uint64(len(encoded(stateAt(resources))))
 	must.LessEq(t, state+parts*maxPartOverhead, size)
--- a/checkpoint/checkpoint_test.go
+++ b/checkpoint/checkpoint_test.go
@@ -39,8 +39,8 @@
 	must.False(t, errors.Is(err, ErrNoCheckpoint), must.Sprint("an outage must not look like an empty stream"))
 }
 
-// The log goes down between finding a checkpoint and loading it. The
-// checkpoint must be loaded when the log is back, not be taken for a bad one.
+// The log becomes unavailable after a checkpoint has been found and before it is loaded. The
+// checkpoint must not be treated as unusable, but loaded when the log is available again.
 func TestOutageBeforeLoad(t *testing.T) {
 	svc, stream := newStream()
 	must.NoError(t, NewWriter(stream, "h", options()).Write(t.Context(), stateAt(3)))
@@ -54,10 +54,10 @@
 	must.NoError(t, err)
 }
 
-// The answers to two appends are lost, one of them after it took effect. The
-// writer appends the parts again, and a part stands in the stream twice. The
-// checkpoint is whole all the same.
-func TestLostAnswersLeaveAWholeCheckpoint(t *testing.T) {
+// One append fails without effect, and the response to another is lost after it took effect. The
+// writer appends these parts again, so that a part is in the stream twice. The checkpoint must be
+// complete.
+func TestLostResponsesLeaveCompleteCheckpoint(t *testing.T) {
 	svc, stream := newStream()
 	svc.LoseRequests(1)
 	svc.LoseResponses(1)
@@ -68,9 +68,9 @@
 	must.Eq(t, encoded(st), encoded(got))
 }
 
-// A writer dies or gives up between two parts, with an older checkpoint in the
-// stream. A newcomer must get the older one, not a part of the newer.
-func TestUnfinishedCheckpointIsNotThere(t *testing.T) {
+// A writer stops between two parts while an older checkpoint is in the stream. A starting daemon
+// must get the older one, not part of the newer one.
+func TestIncompleteCheckpointIsIgnored(t *testing.T) {
 	_, stream := newStream()
 	must.NoError(t, NewWriter(stream, "h", options()).Write(t.Context(), stateAt(3)))
 	limited := &limitedLog{Log: stream, appends: 2}
@@ -81,7 +81,7 @@
 	must.Eq(t, encoded(stateAt(3)), encoded(got))
 }
 
-// limitedLog goes down after some appends.
+// limitedLog becomes unavailable after some appends.
 type limitedLog struct {
 	eventlog.Log
 	appends int
@@ -95,11 +95,11 @@
 	return l.Log.Append(ctx, data)
 }
 
-// Several writers append at once; some repeat parts, some stop half-way, a
-// paused one goes on long after newer checkpoints are there, garbage stands in
-// between, and retention cuts the front. A newcomer gets the newest of those
-// that are there whole, or is told that there is none.
-func TestNewestWholeCheckpointIsFound(t *testing.T) {
+// Several writers append concurrently: some repeat parts, some stop halfway, and one continues
+// after newer checkpoints have been written. Invalid records are mixed in, and retention drops
+// the oldest records. A starting daemon must get the newest complete checkpoint, or
+// ErrNoCheckpoint if there is none.
+func TestNewestCompleteCheckpointIsFound(t *testing.T) {
 	states := []*fold.State{stateAt(1), stateAt(2), stateAt(3), stateAt(4)}
 	rapid.Check(t, func(t *rapid.T) {
 		_, stream := newStream()
@@ -137,7 +137,7 @@
 			return len(w.at) < len(w.records) || w.at[0] < first
 		})
 		if len(whole) == 0 {
-			// A repeat after the cut can make up for a part that was cut.
+			// A repeated part after the cut can replace one that was cut off.
 			must.True(t, errors.Is(err, ErrNoCheckpoint) || got != nil)
 			return
 		}
@@ -148,10 +148,10 @@
 	})
 }
 
-// A newer program writes a checkpoint under a rule unknown here; a damaged
-// writer appends parts whose digest is wrong, or a state other than the parts
-// claim. An older checkpoint that is sound must be taken in place of any.
-func TestUnusableCheckpointsArePassedOver(t *testing.T) {
+// A newer program writes a checkpoint under an unknown rule, or a faulty writer appends parts
+// with a wrong digest or a state other than the parts claim. An older valid checkpoint must be
+// used in place of any of these.
+func TestUnusableCheckpointsAreSkipped(t *testing.T) {
 	newer := stateAt(5).Encode()
 	newer.RuleVersion = fold.RuleVersion + 1
 	for name, records := range map[string][][]byte{
@@ -179,7 +179,7 @@
 	}
 }
 
-// rawPart returns a checkpoint in one part, after a change to it.
+// rawPart returns a checkpoint in one part, modified by change.
 func rawPart(m *configpb.State, change func(*configpb.CheckpointPart)) []byte {
 	data, _ := proto.Marshal(m)
 	sum := sha256.Sum256(data)
@@ -189,9 +189,9 @@
 	return raw
 }
 
-// A faulty program fills the stream with first parts whose checkpoints never
-// come to an end, and others with whole ones. What the scanner remembers stays
-// bounded, or one bad writer would take down every daemon that starts.
+// A faulty program fills the stream with first parts of checkpoints that are never completed, and
+// another one with complete checkpoints. The scanner's memory must stay bounded, or one faulty
+// writer would bring down every daemon that starts.
 func TestScannerMemoryIsBounded(t *testing.T) {
 	_, stream := newStream()
 	first := partsOf("w", 0, stateAt(1), 2)[0]
@@ -199,16 +199,17 @@
 	s := NewScanner(stream)
 	most := 0
 	for i := range uint64(5 * maxGapRecords) {
-		_, _ = stream.Append(t.Context(), renumbered(first, i))
-		_, _ = stream.Append(t.Context(), renumbered(whole, i))
+		_, _ = stream.Append(t.Context(), withID(first, i))
+		_, _ = stream.Append(t.Context(), withID(whole, i))
 		must.NoError(t, s.Scan(t.Context()))
-		most = max(most, len(s.open))
+		most = max(most, len(s.incomplete))
 	}
 	must.LessEq(t, 2*maxGapRecords, most)
-	must.Eq(t, maxWhole, len(s.whole))
+	must.Eq(t, maxComplete, len(s.complete))
 }
 
-func renumbered(raw []byte, id uint64) []byte {
+// withID returns a part with another checkpoint id.
+func withID(raw []byte, id uint64) []byte {
 	p := &configpb.CheckpointPart{}
 	if err := proto.Unmarshal(raw, p); err != nil {
 		panic(err)
@@ -218,9 +219,9 @@
 	return raw
 }
 
-// Retention drops the newest checkpoint, or the stream loses its end, between
-// two scans. A keeper that went on believing in it would write no other.
-func TestScannerForgetsWhatIsGone(t *testing.T) {
+// Retention drops the newest checkpoint, or the stream loses its latest records, between two
+// scans. If the scanner kept the checkpoint, a Checkpointer would not write another one.
+func TestScannerDropsExpiredCheckpoints(t *testing.T) {
 	_, stream := newStream()
 	w := NewWriter(stream, "h", options())
 	s := NewScanner(stream)
--- a/checkpoint/checkpointer.go
+++ b/checkpoint/checkpointer.go
@@ -12,39 +12,39 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// CheckpointerOptions holds what a Keeper needs beside the streams.
+// CheckpointerOptions configures a Checkpointer.
 type CheckpointerOptions struct {
 	Policy Policy
 	Writer WriterOptions
-	// CheckInterval is how often a candidate looks at the streams.
+	// CheckInterval is the time between two checks of the streams by a candidate.
 	CheckInterval time.Duration
-	// Now is the monotonic clock.
+	// Now returns the current time with a monotonic clock reading.
 	Now func() time.Time
 	// Jitter returns a random number from 0 to 1.
 	Jitter func() float64
 	Logger *slog.Logger
 }
 
-// checksPerAge is how often a candidate looks while a checkpoint is not due. It
-// bounds by how much an age is misjudged.
-const checksPerAge = 60
+// checksPerMaxAge is the number of checks of a candidate within Policy.MaxAge. It determines how
+// inaccurate the age of a checkpoint can be, which is counted from the check that first found it.
+const checksPerMaxAge = 60
 
-// DefaultCheckpointerOptions suit a platform that keeps records for a time.
+// DefaultCheckpointerOptions returns the options for a platform that retains records for the
+// given time.
 func DefaultCheckpointerOptions(retention time.Duration) CheckpointerOptions {
 	policy := PolicyFor(retention)
 	return CheckpointerOptions{
 		Policy:        policy,
 		Writer:        DefaultWriterOptions(),
-		CheckInterval: policy.MaxAge / checksPerAge,
+		CheckInterval: policy.MaxAge / checksPerMaxAge,
 		Now:           time.Now,
 		Jitter:        rand.Float64,
 		Logger:        slog.New(slog.DiscardHandler),
 	}
 }
 
-// Checkpointer sees to it that there is always a checkpoint from which the tail of
-// the log is unbroken. One runs in each daemon. Its Step must not be called by
-// two goroutines at once.
+// Checkpointer ensures that there is always a checkpoint after which the log still contains every
+// record. Each daemon runs one. Step must not be called concurrently.
 type Checkpointer struct {
 	opts    CheckpointerOptions
 	host    string
@@ -52,20 +52,20 @@
 	scanner *Scanner
 	writer  *Writer
 
-	// newest and seen tell of the newest whole checkpoint and when it was first
-	// seen.
-	newest   *Checkpoint
-	seen     time.Time
-	ageKnown bool
-	// scanned is whether the stream has been looked at before.
+	// newest is the newest complete checkpoint, and firstSeen is when a check first found it.
+	// ageKnown is false if it was already there at the first check.
+	newest    *Checkpoint
+	firstSeen time.Time
+	ageKnown  bool
+	// scanned is true after the first scan of the stream.
 	scanned bool
-	// dueSince is when a checkpoint came to be due, zero while none is.
+	// dueSince is the time since which a checkpoint is due, zero if none is due.
 	dueSince time.Time
-	// wait is this host's turn, counted from dueSince.
+	// wait is the time from dueSince until this host writes the checkpoint.
 	wait time.Duration
 }
 
-// NewCheckpointer returns a keeper for the streams eventlog.StreamConfig and
+// NewCheckpointer returns a Checkpointer for the streams eventlog.StreamConfig and
 // eventlog.StreamCheckpoints.
 func NewCheckpointer(host string, config, checkpoints eventlog.Log, opts CheckpointerOptions) *Checkpointer {
 	return &Checkpointer{
@@ -77,77 +77,79 @@
 	}
 }
 
-// Step looks whether a checkpoint of st is due and writes it if it is this
-// host's turn among the live ones. It returns when to call it next, after an
-// error too. A step that was paused on its way and writes late does no harm:
-// its checkpoint is older than the newest then.
-func (k *Checkpointer) Step(ctx context.Context, st *fold.State, live []string) (next time.Duration, err error) {
-	wait, candidate := k.opts.Policy.WriteDelay(k.host, live, st.Offset, k.opts.Jitter())
+// Step checks whether a checkpoint of st is due and writes it when it is this host's turn among
+// the live hosts. It returns the time until the next call, also with an error. If the process is
+// paused during a step and writes late, the checkpoint does no harm: it is older than the newest
+// one and therefore not used.
+func (c *Checkpointer) Step(ctx context.Context, st *fold.State, live []string) (next time.Duration, err error) {
+	wait, candidate := c.opts.Policy.WriteDelay(c.host, live, st.Offset, c.opts.Jitter())
 	if !candidate {
-		k.dueSince = time.Time{}
-		return k.opts.CheckInterval, nil
+		c.dueSince = time.Time{}
+		return c.opts.CheckInterval, nil
 	}
-	reason, err := k.look(ctx, st)
+	reason, err := c.dueReason(ctx, st)
 	if err != nil || reason == ReasonNone {
-		k.dueSince = time.Time{}
-		return k.opts.CheckInterval, err
+		c.dueSince = time.Time{}
+		return c.opts.CheckInterval, err
 	}
-	now := k.opts.Now()
-	if k.dueSince.IsZero() {
-		k.dueSince, k.wait = now, wait
+	now := c.opts.Now()
+	if c.dueSince.IsZero() {
+		c.dueSince, c.wait = now, wait
 	}
-	if left := k.wait - now.Sub(k.dueSince); left > 0 {
-		return min(left, k.opts.CheckInterval), nil
+	if left := c.wait - now.Sub(c.dueSince); left > 0 {
+		return min(left, c.opts.CheckInterval), nil
 	}
-	k.dueSince = time.Time{}
-	if err := k.writer.Write(ctx, st); err != nil {
-		return k.opts.CheckInterval, err
+	c.dueSince = time.Time{}
+	if err := c.writer.Write(ctx, st); err != nil {
+		return c.opts.CheckInterval, err
 	}
-	k.opts.Logger.Info("checkpoint: written", "offset", st.Offset, "reason", reason)
-	return k.opts.CheckInterval, nil
+	c.opts.Logger.Info("checkpoint: written", "offset", st.Offset, "reason", reason)
+	return c.opts.CheckInterval, nil
 }
 
-// look brings up to date what is known of both streams and asks the policy.
-func (k *Checkpointer) look(ctx context.Context, st *fold.State) (Reason, error) {
-	bounds, err := k.config.Bounds(ctx)
+// dueReason reads the current bounds of the configuration stream, scans the checkpoint stream and
+// returns the policy's decision.
+func (c *Checkpointer) dueReason(ctx context.Context, st *fold.State) (Reason, error) {
+	bounds, err := c.config.Bounds(ctx)
 	if err != nil {
 		return ReasonNone, err
 	}
-	if err := k.scanner.Scan(ctx); err != nil {
+	if err := c.scanner.Scan(ctx); err != nil {
 		return ReasonNone, err
 	}
-	if err := k.verify(ctx); err != nil {
+	if err := c.verify(ctx); err != nil {
 		return ReasonNone, err
 	}
-	k.note(k.scanner.Newest())
-	return k.opts.Policy.Due(PolicyInput{Offset: st.Offset, Config: bounds, Newest: k.sighting()}), nil
+	c.observe(c.scanner.Newest())
+	return c.opts.Policy.Due(PolicyInput{Offset: st.Offset, Config: bounds, Newest: c.knownCheckpoint()}), nil
 }
 
-// verify loads a checkpoint that is new here. A keeper that relied on one that
-// nobody can start from would write none until the last good one has expired.
-func (k *Checkpointer) verify(ctx context.Context) error {
-	newest := k.scanner.Newest()
-	if newest == nil || newest == k.newest {
+// verify loads the newest checkpoint if it is new to this Checkpointer. A Checkpointer that
+// relied on a checkpoint that cannot be loaded would not write another one before the last good
+// one has expired.
+func (c *Checkpointer) verify(ctx context.Context) error {
+	newest := c.scanner.Newest()
+	if newest == nil || newest == c.newest {
 		return nil
 	}
-	_, err := k.scanner.Load(ctx)
+	_, err := c.scanner.Load(ctx)
 	if errors.Is(err, ErrNoCheckpoint) {
 		return nil
 	}
 	return err
 }
 
-// note starts the age of a checkpoint when it is first seen.
-func (k *Checkpointer) note(newest *Checkpoint) {
-	if newest != nil && newest != k.newest {
-		k.seen, k.ageKnown = k.opts.Now(), k.scanned
+// observe sets the time at which the newest checkpoint was first seen.
+func (c *Checkpointer) observe(newest *Checkpoint) {
+	if newest != nil && newest != c.newest {
+		c.firstSeen, c.ageKnown = c.opts.Now(), c.scanned
 	}
-	k.newest, k.scanned = newest, true
+	c.newest, c.scanned = newest, true
 }
 
-func (k *Checkpointer) sighting() *KnownCheckpoint {
-	if k.newest == nil {
+func (c *Checkpointer) knownCheckpoint() *KnownCheckpoint {
+	if c.newest == nil {
 		return nil
 	}
-	return &KnownCheckpoint{Offset: k.newest.Offset, Age: k.opts.Now().Sub(k.seen), AgeKnown: k.ageKnown}
+	return &KnownCheckpoint{Offset: c.newest.Offset, Age: c.opts.Now().Sub(c.firstSeen), AgeKnown: c.ageKnown}
 }
--- a/checkpoint/example_test.go
+++ b/checkpoint/example_test.go
@@ -11,7 +11,7 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// A daemon writes the state back before the records expire; a newcomer starts
+// A daemon writes a checkpoint of its state before the records expire, and a new daemon starts
 // from it.
 func Example() {
 	ctx := context.Background()
--- a/checkpoint/helper_test.go
+++ b/checkpoint/helper_test.go
@@ -14,7 +14,7 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// record returns the record that sets the n-th of some contracts.
+// record returns a record that sets the contract of customer n on top of its current revision.
 func record(s *fold.State, n int) []byte {
 	c := &configpb.Contract{Customer: fmt.Sprintf("customer-%d", n), RatePerSecond: 1, MaxWaitMs: 1000}
 	change := &configpb.Change{Resource: &configpb.Resource{Kind: &configpb.Resource_Contract{Contract: c}}}
@@ -32,7 +32,7 @@
 	return data
 }
 
-// stateAt returns a state of some size after n records.
+// stateAt returns the state after n records, each of which adds a contract.
 func stateAt(n int) *fold.State {
 	s := fold.Empty()
 	for i := range n {
@@ -41,7 +41,7 @@
 	return s
 }
 
-// bigState returns a state that takes several parts.
+// bigState returns a state that needs several parts.
 func bigState() *fold.State {
 	s := fold.Empty()
 	for i := range 10 {
@@ -64,7 +64,8 @@
 	return string(data)
 }
 
-// options let a writer repeat without waiting and number its checkpoints.
+// options returns options with which a writer retries without waiting and numbers its
+// checkpoints.
 func options() WriterOptions {
 	opts := DefaultWriterOptions()
 	opts.Sleep = func(context.Context, time.Duration) error { return nil }
@@ -73,9 +74,9 @@
 	return opts
 }
 
-// partsOf returns the records of a checkpoint, cut into n parts at least.
+// partsOf returns the records of a checkpoint, split into n parts.
 func partsOf(writer string, id uint64, st *fold.State, n int) [][]byte {
-	whole, err := split(writer, id, st)
+	whole, err := splitState(writer, id, st)
 	if err != nil {
 		panic(err)
 	}
--- a/checkpoint/part.go
+++ b/checkpoint/part.go
@@ -1,7 +1,7 @@
-// Package checkpoint keeps the folded configuration in the platform's log
-// beyond the retention of the records that it was folded from. Any daemon may
-// write one at any time: a checkpoint is whole or not there, and a repeated, late
-// or interrupted write does no harm.
+// Package checkpoint stores the folded configuration state in the platform's log, so that it
+// outlasts the retention of the records it was folded from. Any daemon may write a checkpoint at
+// any time: an incomplete checkpoint is ignored, and repeated, late or interrupted writes do no
+// harm.
 package checkpoint
 
 import (
@@ -16,25 +16,25 @@
 )
 
 const (
-	// MaxBytes bounds a serialized state. It is above what the bounds of the
-	// fold allow for resources, verdicts and deletions together.
+	// MaxBytes is the maximum size of a serialized state. It is larger than the limits of the
+	// fold on resources, verdicts and deletions together.
 	MaxBytes = 16 << 20
 
-	// partOverheadBytes is kept free in a record for the fields beside data.
+	// partOverheadBytes is reserved in each record for the fields other than data.
 	partOverheadBytes = 1 << 10
 	partDataBytes     = eventlog.MaxRecordBytes - partOverheadBytes
 	maxParts          = (MaxBytes + partDataBytes - 1) / partDataBytes
 	maxWriterBytes    = 256
 )
 
-// ErrTooLarge means that a state does not fit a checkpoint.
+// ErrTooLarge means that a serialized state exceeds MaxBytes.
 var ErrTooLarge = errors.New("state is too large for a checkpoint")
 
-// digest of a serialized state.
+// digest is the SHA-256 digest of a serialized state.
 type digest [sha256.Size]byte
 
-// partKey tells which parts belong together. It holds everything that they
-// have in common, so that parts which contradict each other are never joined.
+// partKey identifies the parts that belong together. It includes all fields that these parts have
+// in common, so that inconsistent parts are never joined.
 type partKey struct {
 	writer string
 	id     uint64
@@ -43,8 +43,8 @@
 	digest digest
 }
 
-// split serializes a state into the parts of one checkpoint.
-func split(writer string, id uint64, st *fold.State) ([]*configpb.CheckpointPart, error) {
+// splitState serializes a state and splits it into the parts of one checkpoint.
+func splitState(writer string, id uint64, st *fold.State) ([]*configpb.CheckpointPart, error) {
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(st.Encode())
 	if err != nil {
 		return nil, errors.Wrap(err, "encode state")
@@ -69,8 +69,8 @@
 	return parts, nil
 }
 
-// parsePart reads one record of the stream; ok is false for anything that no
-// writer appends.
+// parsePart parses a record of the stream; ok is false if it is not a part that a Writer could
+// have appended.
 func parsePart(data []byte) (part *configpb.CheckpointPart, key partKey, ok bool) {
 	if len(data) > eventlog.MaxRecordBytes {
 		return nil, partKey{}, false
--- a/checkpoint/policy.go
+++ b/checkpoint/policy.go
@@ -9,98 +9,98 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// Reason is why a checkpoint is due.
+// Reason is the reason why a checkpoint is due.
 type Reason string
 
-// The reasons, the most pressing first.
+// The reasons, the most urgent first.
 const (
-	// ReasonNone means that none is due.
+	// ReasonNone means that no checkpoint is due.
 	ReasonNone Reason = ""
-	// ReasonTail means that the log no longer holds all records after the newest
-	// checkpoint: without another, the state lives in daemons' memory alone.
+	// ReasonTail means that the log has dropped records after the newest checkpoint. Until the
+	// next checkpoint, the state exists only in the memory of the daemons.
 	ReasonTail Reason = "the log has dropped records that no checkpoint covers"
-	// ReasonRetention means that the oldest record that a newcomer needs is in
-	// the older half of what the log retains.
+	// ReasonRetention means that the oldest record after the newest checkpoint is in the older
+	// half of the retained log.
 	ReasonRetention Reason = "records that no checkpoint covers are halfway to being dropped"
-	// ReasonRecords means that a newcomer has many records to read.
+	// ReasonRecords means that a starting daemon has to read many records.
 	ReasonRecords Reason = "many records have followed the last checkpoint"
-	// ReasonAge means that the last checkpoint itself, or the records after it,
-	// may be halfway to being dropped.
+	// ReasonAge means that the newest checkpoint, or the records after it, may have reached half
+	// of their retention.
 	ReasonAge Reason = "the last checkpoint is old"
 )
 
-// Policy says when a checkpoint is due and whose turn it is to write it. Any
-// daemon may write one at any time, so the turns need no agreement: they only
-// keep duplicates rare.
+// Policy determines when a checkpoint is due and when each host writes it. Any daemon may write a
+// checkpoint at any time, so hosts need not agree: the delays only make duplicates rare.
 type Policy struct {
-	// EveryRecords is how many records may follow the newest checkpoint.
+	// EveryRecords is the number of records after the newest checkpoint at which the next one is
+	// due.
 	EveryRecords uint64
-	// MaxAge is how long the newest checkpoint may stand. The log tells no
-	// ages, so this must be well under half of the platform's retention.
+	// MaxAge is the age of the newest checkpoint at which the next one is due. The log does not
+	// report the age of records, so MaxAge must be well under half of the platform's retention.
 	MaxAge time.Duration
-	// MinInterval is the least time between two checkpoints, unless the log has
-	// already dropped what they would cover.
+	// MinInterval is the minimum time between two checkpoints, unless the log has already dropped
+	// records after the newest one.
 	MinInterval time.Duration
-	// Candidates is how many live daemons look at the checkpoint stream. It
-	// bounds the reads at the source however large the fleet is.
+	// Candidates is the number of live daemons that read the checkpoint stream. It limits the
+	// read load on the platform regardless of the fleet size.
 	Candidates int
-	// TurnLength is how long each candidate leaves the write to the one before
-	// it.
+	// TurnLength is the delay between two consecutive candidates: each one writes only if those
+	// before it have not.
 	TurnLength time.Duration
 }
 
 const (
-	// A checkpoint is written again after a quarter of the retention: the
-	// writers of two more quarters may fail before it is lost.
-	agesPerRetention = 4
-	// intervalsPerAge keeps a burst of changes from filling the stream, which
-	// every daemon that starts without peers reads.
-	intervalsPerAge = 12
-	// turnsPerAge leaves all candidates their turns long before the next
+	// With a new checkpoint after each quarter of the retention, the writes of two further
+	// quarters may fail before the last checkpoint is lost.
+	maxAgesPerRetention = 4
+	// minIntervalsPerMaxAge prevents a burst of changes from filling the stream, which every
+	// daemon that starts without peers reads.
+	minIntervalsPerMaxAge = 12
+	// turnsPerMaxAge is large enough that all candidates have had their turn long before the next
 	// checkpoint is due.
-	turnsPerAge = 360
+	turnsPerMaxAge = 360
 )
 
-// PolicyFor returns the policy for a platform that keeps records for a time.
+// PolicyFor returns the policy for a platform that retains records for the given time.
 func PolicyFor(retention time.Duration) Policy {
-	maxAge := retention / agesPerRetention
+	maxAge := retention / maxAgesPerRetention
 	return Policy{
 		EveryRecords: 500,
 		MaxAge:       maxAge,
-		MinInterval:  maxAge / intervalsPerAge,
+		MinInterval:  maxAge / minIntervalsPerMaxAge,
 		Candidates:   4,
-		TurnLength:   maxAge / turnsPerAge,
+		TurnLength:   maxAge / turnsPerMaxAge,
 	}
 }
 
-// KnownCheckpoint is the newest whole checkpoint that a daemon knows of.
+// KnownCheckpoint describes the newest complete checkpoint that a daemon knows of.
 type KnownCheckpoint struct {
-	// Offset of the state.
+	// Offset is the offset of the state.
 	Offset uint64
-	// Age is the time since the daemon first saw it.
+	// Age is the time since the daemon first saw the checkpoint.
 	Age time.Duration
-	// AgeKnown is unset where the checkpoint stood there when the daemon first
-	// looked. It then counts as half of MaxAge older, or a fleet whose daemons
-	// are all replaced within MaxAge would never write one.
+	// AgeKnown is false if the checkpoint already existed when the daemon first read the stream.
+	// Half of MaxAge is then added to its age. Otherwise a fleet whose daemons are all replaced
+	// within MaxAge would never write a checkpoint.
 	AgeKnown bool
 }
 
-// PolicyInput is what a daemon knows when it asks whether a checkpoint is due.
+// PolicyInput is the input of Policy.Due.
 type PolicyInput struct {
-	// Offset of the state that the daemon could write.
+	// Offset is the offset of the state that the daemon could write.
 	Offset uint64
-	// Config is what the configuration stream retains.
+	// Config is the range of records that the configuration stream retains.
 	Config eventlog.Bounds
-	// Newest is nil where the stream holds no whole checkpoint.
+	// Newest is the newest complete checkpoint, nil if the stream has none.
 	Newest *KnownCheckpoint
 }
 
-// Due returns why a checkpoint is due, ReasonNone if none is. A daemon that is
-// behind the newest checkpoint leaves it to others.
+// Due returns the reason why a checkpoint is due, ReasonNone if none is due. A daemon whose state
+// is older than the newest checkpoint writes none.
 func (p Policy) Due(s PolicyInput) Reason {
 	covered, age := uint64(0), p.MaxAge
 	if s.Newest != nil {
-		covered, age = s.Newest.Offset, p.ageOf(*s.Newest)
+		covered, age = s.Newest.Offset, p.effectiveAge(*s.Newest)
 	}
 	if s.Offset == 0 || s.Offset < covered {
 		return ReasonNone
@@ -113,7 +113,7 @@
 		return ReasonAge
 	case age < p.MinInterval:
 		return ReasonNone
-	case s.Offset > covered && halfway(needed, s.Config):
+	case s.Offset > covered && inOlderHalf(needed, s.Config):
 		return ReasonRetention
 	case s.Offset-covered >= p.EveryRecords:
 		return ReasonRecords
@@ -121,28 +121,31 @@
 	return ReasonNone
 }
 
-func (p Policy) ageOf(s KnownCheckpoint) time.Duration {
+// effectiveAge returns the age of a checkpoint, with half of MaxAge added if the age is not
+// known.
+func (p Policy) effectiveAge(s KnownCheckpoint) time.Duration {
 	if s.AgeKnown {
 		return s.Age
 	}
 	return s.Age + p.MaxAge/2
 }
 
-// halfway reports whether a record is in the older half of what is retained.
-func halfway(needed eventlog.Offset, retained eventlog.Bounds) bool {
+// inOlderHalf reports whether a record is in the older half of the retained records, or before
+// them.
+func inOlderHalf(needed eventlog.Offset, retained eventlog.Bounds) bool {
 	return needed < retained.First+(retained.End-retained.First)/2
 }
 
-// WriteDelay returns how long a host waits once a checkpoint is due, and whether it
-// is a candidate at all. The order of the live hosts changes every EveryRecords
-// records, so that the work goes around. jitter is a random number from 0 to 1
-// that tells apart hosts which differ over who is alive.
+// WriteDelay returns how long a host waits after a checkpoint has become due before it writes
+// one. ok is false if the host is not a candidate. The ranking of the live hosts changes every
+// EveryRecords records, which distributes the work. jitter is a random number from 0 to 1; it
+// separates hosts that rank themselves equally because they disagree on which hosts are live.
 func (p Policy) WriteDelay(host string, live []string, offset uint64, jitter float64) (wait time.Duration, ok bool) {
 	epoch := offset / max(1, p.EveryRecords)
-	own := rendezvous(host, epoch)
+	own := rendezvousHash(host, epoch)
 	rank := 0
 	for _, other := range live {
-		if other != host && rendezvous(other, epoch) > own {
+		if other != host && rendezvousHash(other, epoch) > own {
 			rank++
 		}
 	}
@@ -152,7 +155,7 @@
 	return time.Duration(rank)*p.TurnLength + time.Duration(jitter*float64(p.TurnLength)/2), true
 }
 
-// rendezvous hashes a host under an epoch.
-func rendezvous(host string, epoch uint64) uint64 {
+// rendezvousHash returns the hash of a host in an epoch, for rendezvous hashing.
+func rendezvousHash(host string, epoch uint64) uint64 {
 	return xxhash.Sum64String("checkpoint " + strconv.FormatUint(epoch, 10) + " " + host)
 }
--- a/checkpoint/policy_test.go
+++ b/checkpoint/policy_test.go
@@ -42,9 +42,9 @@
 	}
 }
 
-// Whatever the fleet, the same few hosts look at the stream as long as few
-// records come, each at a time of its own; then it is others' turn.
-func TestTurnsAreFewAndGoAround(t *testing.T) {
+// Regardless of the fleet size, the same few hosts are candidates until EveryRecords records have
+// been added, each with its own delay; after that, the candidates change.
+func TestWriteDelayCandidatesAreFewAndChange(t *testing.T) {
 	p := PolicyFor(4 * time.Hour)
 	rapid.Check(t, func(t *rapid.T) {
 		var hosts []string
@@ -78,28 +78,28 @@
 	must.Greater(t, 20, len(first))
 }
 
-// keepers is a small fleet on one log with an injected clock.
-type keepers struct {
-	now    time.Time
-	svc    *memlog.Service
-	config *memlog.Stream
-	stream *memlog.Stream
-	state  *fold.State
-	hosts  []string
-	list   []*Checkpointer
-	next   []time.Time
+// testFleet is a small fleet on one log with an injected clock.
+type testFleet struct {
+	now           time.Time
+	svc           *memlog.Service
+	config        *memlog.Stream
+	stream        *memlog.Stream
+	state         *fold.State
+	hosts         []string
+	checkpointers []*Checkpointer
+	next          []time.Time
 }
 
-const keeperRetention = 3 * time.Hour
+const testRetention = 3 * time.Hour
 
-func newKeepers(hosts int) *keepers {
-	f := &keepers{now: time.Unix(1e9, 0), state: fold.Empty()}
+func newTestFleet(hosts int) *testFleet {
+	f := &testFleet{now: time.Unix(1e9, 0), state: fold.Empty()}
 	opts := memlog.DefaultOptions()
-	opts.RetainFor = keeperRetention
+	opts.RetainFor = testRetention
 	opts.Now = func() time.Time { return f.now }
 	f.svc = memlog.New(opts)
 	f.config, f.stream = f.svc.Stream(eventlog.StreamConfig), f.svc.Stream(eventlog.StreamCheckpoints)
-	f.list, f.next = make([]*Checkpointer, hosts), make([]time.Time, hosts)
+	f.checkpointers, f.next = make([]*Checkpointer, hosts), make([]time.Time, hosts)
 	for i := range hosts {
 		f.hosts = append(f.hosts, fmt.Sprint("host-", i))
 		f.restart(i)
@@ -107,29 +107,29 @@
 	return f
 }
 
-// restart replaces a host's keeper by one that knows nothing.
-func (f *keepers) restart(i int) {
-	opts := DefaultCheckpointerOptions(keeperRetention)
+// restart replaces the Checkpointer of a host by a new one.
+func (f *testFleet) restart(i int) {
+	opts := DefaultCheckpointerOptions(testRetention)
 	opts.Writer = options()
 	opts.Writer.NewID = func() uint64 { return uint64(f.now.UnixNano()) }
 	opts.Now = func() time.Time { return f.now }
 	opts.Jitter = func() float64 { return 0 }
-	f.list[i] = NewCheckpointer(f.hosts[i], f.config, f.stream, opts)
+	f.checkpointers[i] = NewCheckpointer(f.hosts[i], f.config, f.stream, opts)
 	f.next[i] = f.now
 }
 
-func (f *keepers) publish() {
+func (f *testFleet) publish() {
 	data := record(f.state, int(f.state.Offset%20))
 	if _, err := f.config.Append(context.Background(), data); err == nil {
 		f.state, _, _ = fold.Apply(f.state, f.state.Offset+1, data)
 	}
 }
 
-// run lets time pass in steps of some seconds and calls each keeper when it asked
-// to be called.
-func (f *keepers) run(d time.Duration) {
+// run advances the clock in steps of 10 seconds and calls each Checkpointer when its wait is
+// over.
+func (f *testFleet) run(d time.Duration) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(10 * time.Second) {
-		for i, k := range f.list {
+		for i, k := range f.checkpointers {
 			if f.now.Before(f.next[i]) {
 				continue
 			}
@@ -139,14 +139,14 @@
 	}
 }
 
-// checkNewcomer starts from nothing but the log.
-func (f *keepers) checkNewcomer(t *testing.T) {
+// checkStartFromLog checks that the log alone is sufficient to restore the current state.
+func (f *testFleet) checkStartFromLog(t *testing.T) {
 	t.Helper()
 	st, err := Latest(t.Context(), f.stream)
 	must.NoError(t, err)
 	bounds, err := f.config.Bounds(t.Context())
 	must.NoError(t, err)
-	must.LessEq(t, st.Offset+1, bounds.First, must.Sprint("the tail is broken"))
+	must.LessEq(t, st.Offset+1, bounds.First, must.Sprint("the log has dropped records after the checkpoint"))
 	records, err := f.config.Read(t.Context(), st.Offset+1, 1<<20, 0)
 	must.NoError(t, err)
 	st, _, err = fold.ApplyAll(st, records)
@@ -154,11 +154,11 @@
 	must.Eq(t, encoded(f.state), encoded(st))
 }
 
-// Operators publish in the daytime and not at night, hosts are replaced all the
-// time, and records expire after three hours. At any time a newcomer must be
-// able to start from the log alone, with few checkpoints in the stream.
-func TestNewcomerCanAlwaysStart(t *testing.T) {
-	f := newKeepers(12)
+// Operators publish during the day only, hosts are replaced continuously, and records expire
+// after three hours. At any time a new daemon must be able to start from the log alone, with few
+// checkpoints in the stream.
+func TestNewDaemonCanAlwaysStartFromLog(t *testing.T) {
+	f := newTestFleet(12)
 	f.publish()
 	f.run(time.Minute)
 	for hour := range 30 {
@@ -166,10 +166,10 @@
 			if hour%24 < 8 {
 				f.publish()
 			}
-			f.restart((hour*60 + minute) / 7 % len(f.list))
+			f.restart((hour*60 + minute) / 7 % len(f.checkpointers))
 			f.run(time.Minute)
 			if minute%20 == 0 {
-				f.checkNewcomer(t)
+				f.checkStartFromLog(t)
 			}
 		}
 	}
@@ -177,68 +177,66 @@
 	must.LessEq(t, 30*2, bounds.End-1, must.Sprint("checkpoints in 30 h"))
 }
 
-// The platform is down for longer than it keeps records, so that every
-// checkpoint and record has expired when it comes back; the state lives in the
-// daemons' memory alone. They must write it back at once, not when the last
-// checkpoint they remember would have been due.
-func TestCheckpointAfterAnOutageLongerThanRetention(t *testing.T) {
-	f := newKeepers(5)
+// The platform is unavailable for longer than its retention, so that every checkpoint and record
+// has expired afterwards and the state exists only in the memory of the daemons. They must write
+// a checkpoint immediately, not when the next one would have been due.
+func TestCheckpointAfterOutageLongerThanRetention(t *testing.T) {
+	f := newTestFleet(5)
 	f.publish()
 	f.run(time.Minute)
-	f.checkNewcomer(t)
+	f.checkStartFromLog(t)
 	f.publish()
 	f.run(time.Minute)
 	f.svc.SetOutage(true)
-	f.run(keeperRetention + time.Hour)
+	f.run(testRetention + time.Hour)
 	f.svc.SetOutage(false)
 	_, err := Latest(t.Context(), f.stream)
 	must.ErrorIs(t, err, ErrNoCheckpoint)
 	f.run(2 * time.Minute)
-	f.checkNewcomer(t)
+	f.checkStartFromLog(t)
 	bounds, _ := f.stream.Bounds(t.Context())
 	must.LessEq(t, 1, bounds.End-bounds.First, must.Sprint("duplicates"))
 }
 
-// Two keepers differ over who is alive and write the same checkpoint; a third
-// was paused before its write and appends an hour-old one at last. Newcomers
-// still get the newest.
-func TestLateAndDoubleWritesDoNoHarm(t *testing.T) {
-	f := newKeepers(3)
+// Two hosts write the same checkpoint because they disagree on which hosts are live, and a host
+// that was paused writes an older one late. A starting daemon must still get the newest.
+func TestLateAndDuplicateWritesAreHarmless(t *testing.T) {
+	f := newTestFleet(3)
 	f.publish()
 	late := f.state
 	f.publish()
 	for _, st := range []*fold.State{f.state, f.state, late} {
 		must.NoError(t, NewWriter(f.stream, "h", options()).Write(t.Context(), st))
 	}
-	f.checkNewcomer(t)
+	f.checkStartFromLog(t)
 }
 
-// A faulty program writes a checkpoint whose parts are sound but whose state
-// nobody can decode, at a high offset. Keepers that took it for the newest would
-// deem themselves behind and write none while the last good one expires.
-func TestKeeperReliesOnNoCheckpointThatItCannotUse(t *testing.T) {
-	f := newKeepers(3)
+// A faulty program writes a checkpoint with valid parts, a high offset and a state that cannot be
+// decoded. Checkpointers that relied on it would consider their own state older and write none,
+// while the last good checkpoint expires.
+func TestUnusableCheckpointDoesNotPreventWrite(t *testing.T) {
+	f := newTestFleet(3)
 	f.publish()
 	bad := rawPart(&configpb.State{Offset: 1 << 40}, func(*configpb.CheckpointPart) {})
 	_, err := f.stream.Append(t.Context(), bad)
 	must.NoError(t, err)
 	f.run(2 * time.Minute)
-	f.checkNewcomer(t)
+	f.checkStartFromLog(t)
 }
 
-// All candidates find at once that a checkpoint is due. The second waits for
-// the first; it writes if the first has died, and not if that has written.
-func TestSecondCandidateWaitsForTheFirst(t *testing.T) {
+// All candidates find at the same time that a checkpoint is due. The second candidate waits for
+// the first, and writes only if the first has not.
+func TestSecondCandidateWaitsForFirst(t *testing.T) {
 	for _, firstDies := range []bool{false, true} {
-		f := newKeepers(2)
+		f := newTestFleet(2)
 		f.publish()
-		first, second := f.list[0], f.list[1]
-		if wait, _ := PolicyFor(keeperRetention).WriteDelay(f.hosts[0], f.hosts, f.state.Offset, 0); wait > 0 {
+		first, second := f.checkpointers[0], f.checkpointers[1]
+		if wait, _ := PolicyFor(testRetention).WriteDelay(f.hosts[0], f.hosts, f.state.Offset, 0); wait > 0 {
 			first, second = second, first
 		}
 		wait, err := second.Step(t.Context(), f.state, f.hosts)
 		must.NoError(t, err)
-		must.Eq(t, PolicyFor(keeperRetention).TurnLength, wait)
+		must.Eq(t, PolicyFor(testRetention).TurnLength, wait)
 		if !firstDies {
 			_, err = first.Step(t.Context(), f.state, f.hosts)
 			must.NoError(t, err)
--- a/checkpoint/scan.go
+++ b/checkpoint/scan.go
@@ -11,81 +11,81 @@
 )
 
 const (
-	// scanRecords is how many records are read at once. A part has up to
-	// eventlog.MaxRecordBytes, so this bounds the memory of a scan.
+	// scanRecords is the number of records read at once. A part has up to
+	// eventlog.MaxRecordBytes, so it limits the memory of a scan.
 	scanRecords = 8
-	// maxGapRecords is how many records may lie between two parts of one
-	// checkpoint. A longer gap gives it up, which bounds the checkpoints that
-	// are open at once by twice as many.
+	// maxGapRecords is the maximum number of records between two parts of one checkpoint. After a
+	// longer gap the checkpoint is dropped, which limits the number of incomplete checkpoints in
+	// memory to twice maxGapRecords.
 	maxGapRecords = 1024
-	// maxWhole bounds the whole checkpoints remembered, the newest ones.
-	maxWhole = 64
+	// maxComplete is the number of complete checkpoints that a Scanner keeps track of, the newest
+	// ones.
+	maxComplete = 64
 )
 
-// Checkpoint is a checkpoint in the stream.
+// Checkpoint describes a checkpoint in the stream.
 type Checkpoint struct {
-	// Offset of the state.
+	// Offset is the offset of the state.
 	Offset uint64
 	Writer string
-	// Bytes of the serialized state.
+	// Bytes is the size of the serialized state.
 	Bytes int
 
 	digest digest
-	// parts are the offsets in the checkpoint stream.
+	// parts contains the offsets of the parts in the checkpoint stream.
 	parts []eventlog.Offset
 }
 
-// End is the stream's offset of the last part.
-func (f *Checkpoint) End() eventlog.Offset { return f.parts[len(f.parts)-1] }
+// End returns the offset of the last part in the checkpoint stream.
+func (c *Checkpoint) End() eventlog.Offset { return c.parts[len(c.parts)-1] }
 
-// Scanner finds the whole checkpoints of a stream. It keeps no part's data, so
-// its memory is bounded whatever the stream holds. It must not be used by two
-// goroutines at once.
+// Scanner finds the complete checkpoints of a stream. It does not store the data of parts, so its
+// memory is bounded whatever the stream contains. It must not be used concurrently.
 type Scanner struct {
 	log eventlog.Log
-	// next is the offset to go on from.
+	// next is the offset of the next record to read.
 	next eventlog.Offset
-	// swept is where open was last rid of checkpoints given up.
-	swept eventlog.Offset
-	// open are the checkpoints of which some parts have been seen.
-	open map[partKey]*Checkpoint
-	// whole in descending order of state and stream offset.
-	whole []*Checkpoint
+	// lastSweep is the offset at which incomplete checkpoints were last evicted.
+	lastSweep eventlog.Offset
+	// incomplete contains the checkpoints of which some parts have been read.
+	incomplete map[partKey]*Checkpoint
+	// complete is sorted by newestFirst.
+	complete []*Checkpoint
 }
 
-// NewScanner returns a scanner that has seen nothing.
+// NewScanner returns a scanner that starts with the oldest record of the stream.
 func NewScanner(log eventlog.Log) *Scanner {
-	return &Scanner{log: log, open: make(map[partKey]*Checkpoint)}
+	return &Scanner{log: log, incomplete: make(map[partKey]*Checkpoint)}
 }
 
-// Scan goes on to the present end of the stream, and forgets the checkpoints
-// that are no longer retained whole. After an error the next Scan
-// goes on where this one stopped.
+// Scan reads the stream from the last scanned record to its current end and drops the checkpoints
+// whose first part is no longer retained. After an error, the next call continues where this one
+// stopped.
 func (s *Scanner) Scan(ctx context.Context) error {
 	bounds, err := s.log.Bounds(ctx)
 	if err != nil {
-		return errors.Wrap(err, "bounds of the checkpoint stream")
+		return errors.Wrap(err, "read the bounds of the checkpoint stream")
 	}
 	if bounds.End < s.next {
-		// The stream lost its end. What was seen may be gone, and offsets may
-		// have been given out again.
+		// The stream lost its latest records. The checkpoints found so far may be gone, and
+		// offsets may have been assigned again.
 		*s = *NewScanner(s.log)
 	}
 	s.next = max(s.next, bounds.First)
-	s.whole = slices.DeleteFunc(s.whole, func(f *Checkpoint) bool { return f.parts[0] < bounds.First })
+	s.complete = slices.DeleteFunc(s.complete, func(cp *Checkpoint) bool { return cp.parts[0] < bounds.First })
 	for s.next < bounds.End {
-		if err := s.scanSome(ctx); err != nil {
+		if err := s.scanBatch(ctx); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (s *Scanner) scanSome(ctx context.Context) error {
+func (s *Scanner) scanBatch(ctx context.Context) error {
 	records, err := s.log.Read(ctx, s.next, scanRecords, 0)
 	var truncated *eventlog.TruncatedError
 	if errors.As(err, &truncated) && truncated.First > s.next {
-		// Retention has passed the scan by.
+		// The records have expired since the bounds were read.
 		s.next = truncated.First
 		return nil
 	}
@@ -93,72 +93,74 @@
 		return errors.Wrap(err, "read the checkpoint stream")
 	}
 	if len(records) == 0 {
-		return errors.Wrapf(eventlog.ErrUnavailable, "checkpoint stream lacks record %d", s.next)
+		return errors.Wrapf(eventlog.ErrUnavailable, "record %d of the checkpoint stream is missing", s.next)
 	}
 	for _, r := range records {
-		s.take(r)
+		s.processRecord(r)
 		s.next = r.Offset + 1
 	}
 	return nil
 }
 
-// take looks at one record of the stream.
-func (s *Scanner) take(r eventlog.Record) {
-	s.sweep(r.Offset)
+// processRecord adds one record of the stream to its checkpoint.
+func (s *Scanner) processRecord(r eventlog.Record) {
+	s.evictIncomplete(r.Offset)
 	part, key, ok := parsePart(r.Data)
 	if !ok {
 		return
 	}
-	f := s.open[key]
-	if f == nil && part.GetIndex() == 0 {
-		f = &Checkpoint{Offset: key.offset, Writer: key.writer, digest: key.digest}
-		s.open[key] = f
+	cp := s.incomplete[key]
+	if cp == nil && part.GetIndex() == 0 {
+		cp = &Checkpoint{Offset: key.offset, Writer: key.writer, digest: key.digest}
+		s.incomplete[key] = cp
 	}
-	if f == nil || int(part.GetIndex()) != len(f.parts) {
-		// A repeat; or the parts before have expired, and it cannot be whole.
+	if cp == nil || int(part.GetIndex()) != len(cp.parts) {
+		// The part is a repeat, or an earlier part has expired and the checkpoint cannot be complete.
 		return
 	}
-	f.Bytes += len(part.GetData())
-	f.parts = append(f.parts, r.Offset)
-	if len(f.parts) == int(key.count) {
-		delete(s.open, key)
-		s.complete(f)
+	cp.Bytes += len(part.GetData())
+	cp.parts = append(cp.parts, r.Offset)
+	if len(cp.parts) == int(key.count) {
+		delete(s.incomplete, key)
+		s.addComplete(cp)
 	}
 }
 
-// complete keeps a checkpoint all of whose parts are there.
-func (s *Scanner) complete(f *Checkpoint) {
-	i, _ := slices.BinarySearchFunc(s.whole, f, newestFirst)
-	s.whole = slices.Insert(s.whole, i, f)
-	if len(s.whole) > maxWhole {
-		s.whole = s.whole[:maxWhole]
+// addComplete inserts a checkpoint all of whose parts have been read.
+func (s *Scanner) addComplete(cp *Checkpoint) {
+	i, _ := slices.BinarySearchFunc(s.complete, cp, newestFirst)
+	s.complete = slices.Insert(s.complete, i, cp)
+	if len(s.complete) > maxComplete {
+		s.complete = s.complete[:maxComplete]
 	}
 }
 
-// newestFirst orders by state and then by place in the stream: of two
-// checkpoints of one state the later expires later.
+// newestFirst orders checkpoints by the offset of their state, highest first, and then by their
+// end in the stream, last first: of two checkpoints of the same state, the later one expires
+// later.
 func newestFirst(a, b *Checkpoint) int {
 	return cmp.Or(cmp.Compare(b.Offset, a.Offset), cmp.Compare(b.End(), a.End()))
 }
 
-// sweep gives up the checkpoints without a part for too long.
-func (s *Scanner) sweep(at eventlog.Offset) {
-	if at < s.swept+maxGapRecords {
+// evictIncomplete drops the incomplete checkpoints whose last part is more than maxGapRecords
+// before the record at an offset.
+func (s *Scanner) evictIncomplete(at eventlog.Offset) {
+	if at < s.lastSweep+maxGapRecords {
 		return
 	}
-	s.swept = at
-	for key, f := range s.open {
-		if f.End()+maxGapRecords < at {
-			delete(s.open, key)
+	s.lastSweep = at
+	for key, cp := range s.incomplete {
+		if cp.End()+maxGapRecords < at {
+			delete(s.incomplete, key)
 		}
 	}
 }
 
-// Newest returns the whole checkpoint of the highest state offset, nil if none
-// has been found. Only Load tells whether the parts agree with their digest.
+// Newest returns the complete checkpoint with the highest state offset, nil if none has been
+// found. The digest is not checked until Load.
 func (s *Scanner) Newest() *Checkpoint {
-	if len(s.whole) == 0 {
+	if len(s.complete) == 0 {
 		return nil
 	}
-	return s.whole[0]
+	return s.complete[0]
 }
--- a/checkpoint/writer.go
+++ b/checkpoint/writer.go
@@ -13,21 +13,21 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// WriterOptions holds the bounds of a Writer.
+// WriterOptions configures a Writer.
 type WriterOptions struct {
-	// Attempts is how often one part is appended before the checkpoint is given
-	// up.
+	// Attempts is the maximum number of appends of one part. After that, Write fails.
 	Attempts int
-	// Backoff bounds the wait before the second attempt; it doubles from one
-	// attempt to the next. Waits have full jitter.
+	// Backoff is the upper limit of the wait before the second attempt; it doubles with each
+	// further attempt. Each wait is a random time from zero to the limit (full jitter).
 	Backoff time.Duration
-	// NewID returns a number that the writer has not used before.
+	// NewID returns a number that this writer has not used before.
 	NewID func() uint64
-	// Sleep waits, or returns the error of a context that is done.
+	// Sleep waits for d. It returns the error of ctx if ctx is done before.
 	Sleep func(ctx context.Context, d time.Duration) error
 }
 
-// DefaultWriterOptions suit a log that takes several hundred appends a second.
+// DefaultWriterOptions returns the options for a log that accepts several hundred appends a
+// second.
 func DefaultWriterOptions() WriterOptions {
 	return WriterOptions{
 		Attempts: 4,
@@ -55,21 +55,20 @@
 	opts WriterOptions
 }
 
-// NewWriter returns a writer for the stream eventlog.StreamCheckpoints. host
-// names the writer to people; nothing is decided by it.
+// NewWriter returns a writer for the stream eventlog.StreamCheckpoints. host identifies the
+// writer in error messages; no decision depends on it.
 func NewWriter(log eventlog.Log, host string, opts WriterOptions) *Writer {
 	return &Writer{log: log, host: host, opts: opts}
 }
 
-// Write appends a checkpoint of a state, part by part. After an error the
-// checkpoint may be there in part, which readers pass over, or even whole.
+// Write appends a checkpoint of a state, part by part. After an error the checkpoint may be in
+// the stream incompletely, in which case readers ignore it, or even completely.
 //
-// A part is appended again when the outcome of the append is unknown: readers
-// take the first of equal parts. The next part follows only once an append of
-// this one is known to be in the log, so that the first occurrences of all parts
-// stand in order.
+// A part is appended again if the outcome of an append is unknown; readers use the first of
+// several equal parts. The next part is appended only after an append of this one has succeeded,
+// so that the first occurrences of all parts are in order.
 func (w *Writer) Write(ctx context.Context, st *fold.State) error {
-	parts, err := split(w.host, w.opts.NewID(), st)
+	parts, err := splitState(w.host, w.opts.NewID(), st)
 	if err != nil {
 		return err
 	}
