--- a/checkpoint/checkpointer.go
+++ b/checkpoint/checkpointer.go
@@ -25,8 +25,8 @@
 	Logger *slog.Logger
 }
 
-// checksPerMaxAge is the number of checks of a candidate within Policy.MaxAge. It determines how
-// inaccurate the age of a checkpoint can be, which is counted from the check that first found it.
+// checksPerMaxAge is the number of checks of a candidate within Policy.MaxAge. It limits the
+// error of a checkpoint's age, which is counted from the check that first found the checkpoint.
 const checksPerMaxAge = 60
 
 // DefaultCheckpointerOptions returns the options for a platform that retains records for the
--- a/checkpoint/policy_test.go
+++ b/checkpoint/policy_test.go
@@ -22,21 +22,21 @@
 		s    PolicyInput
 		want Reason
 	}{
-		"nothing published":            {PolicyInput{0, eventlog.Bounds{First: 1, End: 1}, nil}, ReasonNone},
-		"none yet":                     {PolicyInput{5, eventlog.Bounds{First: 1, End: 6}, nil}, ReasonAge},
-		"none, and the log has cut":    {PolicyInput{5, eventlog.Bounds{First: 3, End: 6}, nil}, ReasonTail},
-		"fresh":                        {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(60, time.Minute)}, ReasonNone},
-		"tail broken though fresh":     {PolicyInput{100, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonTail},
-		"tail just unbroken":           {PolicyInput{100, eventlog.Bounds{First: 90, End: 101}, seen(89, time.Minute)}, ReasonNone},
-		"tail broken, covered by own":  {PolicyInput{89, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonNone},
-		"half of retention":            {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(49, 10*time.Minute)}, ReasonRetention},
-		"later half of retention":      {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(50, 10*time.Minute)}, ReasonNone},
-		"nothing new in a short log":   {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, seen(100, 10*time.Minute)}, ReasonNone},
-		"many records":                 {PolicyInput{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, 10*time.Minute)}, ReasonRecords},
-		"many records at once":         {PolicyInput{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, time.Minute)}, ReasonNone},
-		"old though nothing new":       {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, seen(100, time.Hour)}, ReasonAge},
-		"age unknown counts half":      {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, &KnownCheckpoint{100, 30 * time.Minute, false}}, ReasonAge},
-		"behind the newest checkpoint": {PolicyInput{100, eventlog.Bounds{First: 150, End: 201}, seen(120, time.Hour)}, ReasonNone},
+		"nothing published":                       {PolicyInput{0, eventlog.Bounds{First: 1, End: 1}, nil}, ReasonNone},
+		"no checkpoint yet":                       {PolicyInput{5, eventlog.Bounds{First: 1, End: 6}, nil}, ReasonAge},
+		"no checkpoint, records dropped":          {PolicyInput{5, eventlog.Bounds{First: 3, End: 6}, nil}, ReasonTail},
+		"recent checkpoint":                       {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(60, time.Minute)}, ReasonNone},
+		"records dropped after recent checkpoint": {PolicyInput{100, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonTail},
+		"next record is the oldest retained":      {PolicyInput{100, eventlog.Bounds{First: 90, End: 101}, seen(89, time.Minute)}, ReasonNone},
+		"records dropped after own offset":        {PolicyInput{89, eventlog.Bounds{First: 91, End: 101}, seen(89, time.Minute)}, ReasonNone},
+		"next record in older half":               {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(49, 10*time.Minute)}, ReasonRetention},
+		"next record in newer half":               {PolicyInput{100, eventlog.Bounds{First: 1, End: 101}, seen(50, 10*time.Minute)}, ReasonNone},
+		"no record after checkpoint":              {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, seen(100, 10*time.Minute)}, ReasonNone},
+		"many records":                            {PolicyInput{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, 10*time.Minute)}, ReasonRecords},
+		"many records within MinInterval":         {PolicyInput{9500, eventlog.Bounds{First: 1, End: 9501}, seen(9000, time.Minute)}, ReasonNone},
+		"old checkpoint, no record after it":      {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, seen(100, time.Hour)}, ReasonAge},
+		"unknown age adds half of MaxAge":         {PolicyInput{100, eventlog.Bounds{First: 101, End: 101}, &KnownCheckpoint{100, 30 * time.Minute, false}}, ReasonAge},
+		"behind the newest checkpoint":            {PolicyInput{100, eventlog.Bounds{First: 150, End: 201}, seen(120, time.Hour)}, ReasonNone},
 	} {
 		t.Run(name, func(t *testing.T) { must.Eq(t, tc.want, p.Due(tc.s)) })
 	}
--- a/fold/apply.go
+++ b/fold/apply.go
@@ -22,7 +22,7 @@
 	Rule   uint32
 }
 
-// Error implements error.
+// Error names the offset and the rule version of the record and the highest supported version.
 func (e *UnknownRuleError) Error() string {
 	return fmt.Sprintf("record %d has rule version %d, this program supports versions up to %d", e.Offset, e.Rule, RuleVersion)
 }
@@ -167,7 +167,7 @@
 func (s *State) decideBundle(rec *configpb.Record) Verdict {
 	b := rec.GetBundle()
 	if first, ok := s.Verdict(b.GetPublishId()); ok {
-		// The publisher appended the bundle again because it received no answer. The first
+		// The publisher appended the bundle again because it received no response. The first
 		// verdict stands and is returned.
 		return first
 	}
--- a/fold/codec.go
+++ b/fold/codec.go
@@ -109,7 +109,7 @@
 		return nil
 	}
 	if n := proto.Size(d); n > MaxDocumentBytes {
-		return errors.Wrapf(ErrBadState, "document has %d bytes, at most %d are allowed", n, MaxDocumentBytes)
+		return errors.Wrapf(ErrBadState, "document of %d bytes is too large", n)
 	}
 	if r := CheckDocument(d); len(r) > 0 {
 		return errors.Wrapf(ErrBadState, "%s", r[0])
@@ -120,7 +120,7 @@
 
 func (s *State) decodeEntries(list []*configpb.Entry) error {
 	if len(list) > MaxResources {
-		return errors.Wrapf(ErrBadState, "state has %d resources, at most %d are allowed", len(list), MaxResources)
+		return errors.Wrapf(ErrBadState, "%d resources are too many", len(list))
 	}
 	for _, m := range list {
 		e, err := s.decodeEntry(m)
@@ -130,7 +130,7 @@
 		s.put(e)
 	}
 	if s.bytes > MaxResourceBytes {
-		return errors.Wrapf(ErrBadState, "resources take %d bytes, at most %d are allowed", s.bytes, MaxResourceBytes)
+		return errors.Wrapf(ErrBadState, "resources of %d bytes are too large", s.bytes)
 	}
 	for _, e := range s.Entries(KindRoute) {
 		if s.Get(Key{KindService, e.Resource.GetRoute().GetService()}) == nil {
--- a/fold/document_test.go
+++ b/fold/document_test.go
@@ -58,15 +58,15 @@
 	base, _, err := Apply(Empty(), 1, documentRecord(t, document(5, "/a/")))
 	must.NoError(t, err)
 	for name, change := range map[string]func(d *configpb.Document){
-		"lower version":      func(d *configpb.Document) { d.Version = 4 },
-		"same version":       func(d *configpb.Document) { d.Version = 5 },
-		"unknown service":    func(d *configpb.Document) { d.Routes[0].Service = "nobody" },
-		"no kind":            func(d *configpb.Document) { d.Routes[0].Kind = 0 },
-		"bad prefix":         func(d *configpb.Document) { d.Routes[0].PathPrefix = "a" },
-		"endless timeout":    func(d *configpb.Document) { d.Routes[0].TimeoutMs = MaxWaitMs + 1 },
-		"weightless split":   func(d *configpb.Document) { d.Routes[0].Split = []*configpb.Split{{Service: "ops"}} },
-		"split to nowhere":   func(d *configpb.Document) { d.Routes[0].Split = []*configpb.Split{{Service: "x", Weight: 1}} },
-		"two routes a place": func(d *configpb.Document) { d.Routes = append(d.Routes, d.Routes[0]) },
+		"lower version":            func(d *configpb.Document) { d.Version = 4 },
+		"same version":             func(d *configpb.Document) { d.Version = 5 },
+		"unknown service":          func(d *configpb.Document) { d.Routes[0].Service = "nobody" },
+		"no kind":                  func(d *configpb.Document) { d.Routes[0].Kind = 0 },
+		"bad prefix":               func(d *configpb.Document) { d.Routes[0].PathPrefix = "a" },
+		"timeout too long":         func(d *configpb.Document) { d.Routes[0].TimeoutMs = MaxWaitMs + 1 },
+		"split has no weight":      func(d *configpb.Document) { d.Routes[0].Split = []*configpb.Split{{Service: "ops"}} },
+		"split to unknown service": func(d *configpb.Document) { d.Routes[0].Split = []*configpb.Split{{Service: "x", Weight: 1}} },
+		"repeated route":           func(d *configpb.Document) { d.Routes = append(d.Routes, d.Routes[0]) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := document(6, "/b/")
@@ -132,10 +132,10 @@
 	must.Eq(t, current.Chain, repaired.Chain)
 	must.Eq(t, uint64(5), outdated.Document().GetVersion(), must.Sprint("states are immutable"))
 	for what, same := range map[string]*State{
-		"has it already":    current.WithLastDocument(last),
-		"another record":    outdated.WithLastDocument(documentRecord(t, document(7, "/c/"))),
-		"no record":         outdated.WithLastDocument([]byte("x")),
-		"nothing was there": Empty().WithLastDocument(last),
+		"already current": current.WithLastDocument(last),
+		"another record":  outdated.WithLastDocument(documentRecord(t, document(7, "/c/"))),
+		"not a record":    outdated.WithLastDocument([]byte("x")),
+		"empty state":     Empty().WithLastDocument(last),
 	} {
 		must.Less(t, 7, same.Document().GetVersion(), must.Sprint(what))
 	}
--- a/fold/fuzz_test.go
+++ b/fold/fuzz_test.go
@@ -12,23 +12,23 @@
 // corruptions are changes that make a serialized state inconsistent.
 var corruptions = map[string]func(m *configpb.State){
 	"short chain": func(m *configpb.State) { m.Chain = m.Chain[1:] },
-	"chain without offset": func(m *configpb.State) {
+	"chain at offset 0": func(m *configpb.State) {
 		m.Offset, m.Entries, m.Verdicts, m.Deletions, m.PreviousChain = 0, nil, nil, nil, make([]byte, 32)
 	},
-	"short previous chain":    func(m *configpb.State) { m.PreviousChain = nil },
-	"no previous chain":       func(m *configpb.State) { m.PreviousChain = make([]byte, 32) },
-	"entry twice":             func(m *configpb.State) { m.Entries = append(m.Entries, m.Entries[0]) },
-	"entry without resource":  func(m *configpb.State) { m.Entries = append(m.Entries, nil) },
-	"route without service":   func(m *configpb.State) { m.Entries = m.Entries[1:] },
-	"prefix twice":            func(m *configpb.State) { m.Entries = append(m.Entries, entry(route("q", "/", "s"))) },
-	"resource out of bounds":  func(m *configpb.State) { m.Entries = append(m.Entries, entry(contract("d", -1))) },
-	"revision of the future":  func(m *configpb.State) { m.Entries[0].Revision = m.Offset + 1 },
-	"verdict twice":           func(m *configpb.State) { m.Verdicts = append(m.Verdicts, m.Verdicts[0]) },
-	"publish id twice":        func(m *configpb.State) { m.Verdicts[1].PublishId = m.Verdicts[0].PublishId },
-	"accepted with reasons":   func(m *configpb.State) { m.Verdicts[2].Accepted = true },
-	"verdict to be forgotten": func(m *configpb.State) { m.Offset += 2 * MaxVerdicts },
-	"deletion of the future":  func(m *configpb.State) { m.Deletions[0].Offset = 1 << 60 },
-	"deletion of no kind":     func(m *configpb.State) { m.Deletions[0].Kind = 300 },
+	"short previous chain":     func(m *configpb.State) { m.PreviousChain = nil },
+	"no previous chain":        func(m *configpb.State) { m.PreviousChain = make([]byte, 32) },
+	"repeated entry":           func(m *configpb.State) { m.Entries = append(m.Entries, m.Entries[0]) },
+	"entry without resource":   func(m *configpb.State) { m.Entries = append(m.Entries, nil) },
+	"route without service":    func(m *configpb.State) { m.Entries = m.Entries[1:] },
+	"repeated prefix":          func(m *configpb.State) { m.Entries = append(m.Entries, entry(route("q", "/", "s"))) },
+	"resource out of bounds":   func(m *configpb.State) { m.Entries = append(m.Entries, entry(contract("d", -1))) },
+	"revision after offset":    func(m *configpb.State) { m.Entries[0].Revision = m.Offset + 1 },
+	"repeated verdict":         func(m *configpb.State) { m.Verdicts = append(m.Verdicts, m.Verdicts[0]) },
+	"repeated publish id":      func(m *configpb.State) { m.Verdicts[1].PublishId = m.Verdicts[0].PublishId },
+	"accepted with reasons":    func(m *configpb.State) { m.Verdicts[2].Accepted = true },
+	"expired verdict":          func(m *configpb.State) { m.Offset += 2 * MaxVerdicts },
+	"deletion after offset":    func(m *configpb.State) { m.Deletions[0].Offset = 1 << 60 },
+	"deletion of unknown kind": func(m *configpb.State) { m.Deletions[0].Kind = 300 },
 }
 
 func entry(r *configpb.Resource) *configpb.Entry { return &configpb.Entry{Resource: r, Revision: 1} }
--- a/fold/restore_test.go
+++ b/fold/restore_test.go
@@ -28,10 +28,10 @@
 		log  [][]byte
 		want uint64
 	}{
-		"nothing in the copy": {nil, 9},
-		"older":               {[][]byte{plainDocument(t, 3)}, 9},
-		"written again":       {[][]byte{plainDocument(t, 3), plainDocument(t, 9)}, 9},
-		"newer":               {[][]byte{plainDocument(t, 3), plainDocument(t, 9), plainDocument(t, 12)}, 12},
+		"empty copy":             {nil, 9},
+		"older document":         {[][]byte{plainDocument(t, 3)}, 9},
+		"document written again": {[][]byte{plainDocument(t, 3), plainDocument(t, 9)}, 9},
+		"newer document":         {[][]byte{plainDocument(t, 3), plainDocument(t, 9), plainDocument(t, 12)}, 12},
 	} {
 		t.Run(name, func(t *testing.T) {
 			log := foldInEpoch(t, 2, c.log...)
@@ -54,7 +54,7 @@
 		})
 	}
 	must.True(t, before.AfterRestore(before) == before)
-	must.True(t, foldInEpoch(t, 1, plainDocument(t, 3)).AfterRestore(before).Document().GetVersion() == 3, must.Sprint("one epoch"))
+	must.True(t, foldInEpoch(t, 1, plainDocument(t, 3)).AfterRestore(before).Document().GetVersion() == 3, must.Sprint("same epoch"))
 }
 
 // A document that the operator writes again is accepted.
@@ -73,22 +73,22 @@
 	before := foldInEpoch(t, 1, plainDocument(t, 3), signs("v2"), plainDocument(t, 7), signs("v3"), plainDocument(t, 9))
 	order := before.Rollout("signs")
 	for name, c := range map[string]struct {
-		log     [][]byte
-		version string
-		renamed bool
+		log      [][]byte
+		version  string
+		newOrder bool
 	}{
-		"not in the copy":                  {[][]byte{plainDocument(t, 3)}, "v3", false},
-		"the one before in the copy":       {[][]byte{plainDocument(t, 3), signs("v2")}, "v3", false},
-		"in the copy":                      {[][]byte{plainDocument(t, 3), signs("v2"), plainDocument(t, 7), signs("v3")}, "v3", false},
-		"written again elsewhere":          {[][]byte{plainDocument(t, 3), signs("v3")}, "v3", false},
-		"another one behind":               {[][]byte{plainDocument(t, 3), signs("v2"), plainDocument(t, 7), plainDocument(t, 9), signs("v4")}, "v4", true},
-		"another one where there was none": {[][]byte{plainDocument(t, 3), plainDocument(t, 4), plainDocument(t, 5), plainDocument(t, 6), signs("v2")}, "v2", true},
+		"order not in the copy":                {[][]byte{plainDocument(t, 3)}, "v3", false},
+		"earlier order in the copy":            {[][]byte{plainDocument(t, 3), signs("v2")}, "v3", false},
+		"order in the copy":                    {[][]byte{plainDocument(t, 3), signs("v2"), plainDocument(t, 7), signs("v3")}, "v3", false},
+		"order written again at another index": {[][]byte{plainDocument(t, 3), signs("v3")}, "v3", false},
+		"newer order at a later index":         {[][]byte{plainDocument(t, 3), signs("v2"), plainDocument(t, 7), plainDocument(t, 9), signs("v4")}, "v4", true},
+		"earlier order at a later index":       {[][]byte{plainDocument(t, 3), plainDocument(t, 4), plainDocument(t, 5), plainDocument(t, 6), signs("v2")}, "v2", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := foldInEpoch(t, 2, c.log...).AfterRestore(before)
 			got := s.Rollout("signs")
 			must.Eq(t, c.version, got.GetRollout().GetToVersion())
-			must.Eq(t, c.renamed, got.GetOffset() != order.GetOffset())
+			must.Eq(t, c.newOrder, got.GetOffset() != order.GetOffset())
 		})
 	}
 
--- a/fold/rollout.go
+++ b/fold/rollout.go
@@ -83,7 +83,7 @@
 
 func (s *State) decodeRollouts(list []*configpb.RolloutOrder) error {
 	if len(list) > MaxRollouts {
-		return errors.Wrapf(ErrBadState, "state has %d rollouts, at most %d are allowed", len(list), MaxRollouts)
+		return errors.Wrapf(ErrBadState, "%d rollouts are too many", len(list))
 	}
 	for _, o := range list {
 		if o.GetOffset() == 0 || o.GetOffset() > s.Offset || s.Rollout(o.GetRollout().GetService()) != nil {
--- a/fold/state.go
+++ b/fold/state.go
@@ -81,8 +81,9 @@
 	Resource        *configpb.Resource
 }
 
-// Chain is a hash chain over all records up to an offset. Two daemons with the same chain at an
-// offset have folded the same records.
+// Chain is a hash chain over the records up to an offset. Two daemons with the same chain at an
+// offset have folded the same records. A document or a rollout restarts the chain; see
+// predecessor.
 type Chain [sha256.Size]byte
 
 // Extend returns the chain after one more record. A daemon that relays records uses it to compute
--- a/snapshot/routes.go
+++ b/snapshot/routes.go
@@ -28,9 +28,9 @@
 	prev     *Snapshot
 	byPrefix map[string]Route
 	withheld []Route
-	// refused contains the withheld routes whose calls are refused because the daemon does not
-	// know how the calls were routed before.
-	refused []Route
+	// refusedRoutes contains the withheld routes whose calls are refused because the daemon does
+	// not know how the calls were routed before.
+	refusedRoutes []Route
 }
 
 // buildRoutes determines which routes of the state are in force and which are withheld.
@@ -50,7 +50,7 @@
 	}
 	b.findRefused()
 	s.routes = b.routes()
-	s.table = routeTable(s.routes, b.refused)
+	s.table = routeTable(s.routes, b.refusedRoutes)
 }
 
 // tableEntry is the value of a path prefix in the routing table.
@@ -121,7 +121,7 @@
 	for _, r := range b.withheld {
 		_, kept := b.byPrefix[r.PathPrefix]
 		if !kept && (b.prev == nil || before[r.Name]) {
-			b.refused = append(b.refused, r)
+			b.refusedRoutes = append(b.refusedRoutes, r)
 		}
 	}
 }
