--- a/fold/bench_test.go
+++ b/fold/bench_test.go
@@ -157,8 +157,8 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// Limits on the cost of one fold step and on the size of the state. They are counts, so they hold on
-// every machine.
+// Limits on the cost of one fold step and on the size of the state. They are counts, so they hold
+// on every machine.
 const (
 	maxFoldAllocs       = 100
 	maxFoldBytes        = 64 << 10
--- a/fold/document_test.go
+++ b/fold/document_test.go
@@ -88,9 +88,9 @@
 	must.ErrorIs(t, err, ErrBadDocument)
 }
 
-// The operator writes a document as one record. The size limit of a daemon's append must not
-// apply to it: the fold would skip the document, advance the offset and keep the previous
-// document in force without any error.
+// The operator writes a document as one record, so the size limit of a daemon's append must not
+// apply to it. With that limit, the fold would skip the document, advance the offset and keep the
+// previous document in force without any error.
 func TestDocumentLargerThanOneAppend(t *testing.T) {
 	d := document(5, "/a/")
 	for i := range 10_000 {
