--- a/fold/apply.go
+++ b/fold/apply.go
@@ -24,7 +24,7 @@
 
 // Error names the offset and the rule version of the record and the highest supported version.
 func (e *UnknownRuleError) Error() string {
-	return fmt.Sprintf("record %d has rule version %d, this program supports versions up to %d", e.Offset, e.Rule, RuleVersion)
+	return fmt.Sprintf("record %d follows rule %d, this program supports rules up to %d", e.Offset, e.Rule, RuleVersion)
 }
 
 // Apply folds one record into a state and returns the new state and the verdict. A rejected or
