--- a/snapshot/document.go
+++ b/snapshot/document.go
@@ -26,7 +26,8 @@
 	return d.Version
 }
 
-// ListenerLimits limits the size and duration of requests. A zero field sets no limit.
+// ListenerLimits limits the size and duration of requests. A zero field sets no limit; the one in
+// the daemon's settings then applies.
 type ListenerLimits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
