--- a/errkind/errkind.go
+++ b/errkind/errkind.go
@@ -1,6 +1,6 @@
-// Package errkind is the closed list of error kinds and the table from a kind
-// to what the caller is answered. Every refusal and failure that leaves a
-// process carries exactly one kind of this list.
+// Package errkind defines the closed set of error kinds and maps each kind to the response that
+// the caller receives. Every rejection or failure that leaves a process carries exactly one of
+// these kinds.
 package errkind
 
 import (
@@ -10,12 +10,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Kind names one way in which a call can end without the backend server's
-// answer. Its value is the name that callers see.
+// Kind identifies why a call ended without a response from the backend server. Its value is the
+// name that callers see.
 type Kind string
 
-// The closed list.
+// All error kinds.
 const (
+	// None is the kind of a nil error.
 	None Kind = ""
 
 	BadRequest       Kind = "bad_request"
@@ -45,60 +46,65 @@
 	Internal         Kind = "internal"
 )
 
-// Run says whether the backend server ran the call.
+// Run states whether the backend server executed the call.
 type Run string
 
-// NotRun is a promise: the call has not run and never will. RunUnknown makes
-// no promise.
+// The values of Run.
 const (
-	NotRun     Run = "no"
+	// NotRun guarantees that the call has not been executed and never will be.
+	NotRun Run = "no"
+	// RunUnknown guarantees nothing: the call may have been executed.
 	RunUnknown Run = "unknown"
 )
 
-// Response is what a caller gets for a kind.
+// Response describes what a caller receives for an error kind.
 type Response struct {
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
-	// Run tells whether the call ran.
+	// Run states whether the call was executed.
 	Run Run
-	// Retry is whether the same call may succeed if it is sent again, and is
-	// safe to be sent again for an idempotent call.
+	// Retry reports whether the same call may succeed if it is sent again. If it is set, an
+	// idempotent call is safe to resend.
 	Retry bool
-	// RetryAfter is when to come back at the earliest, unless the error itself
-	// knows better. Zero leaves the header out.
+	// RetryAfter is the minimum delay before a retry, unless the error sets its own. Zero omits
+	// the Retry-After header.
 	RetryAfter time.Duration
 }
 
-// statusCanceled is the customary status for a caller that went away; it is
-// seen in logs and metrics only.
-const statusCanceled = 499
+// statusClientClosedRequest is the conventional status (from nginx) for a caller that
+// disconnected. It appears only in logs and metrics.
+const statusClientClosedRequest = 499
 
-// shortWait suits what is mended within moments: a backend server that announces
-// itself, a daemon that starts. Callers that take whole seconds only are told one.
-const shortWait = 200 * time.Millisecond
+// shortRetryAfter applies to conditions that clear within moments, such as a backend server that
+// is announcing itself or a daemon that is starting. Callers that accept only whole seconds
+// receive one second.
+const shortRetryAfter = 200 * time.Millisecond
 
-// shedWait suits a backend server that turns away calls though its gate had a slot
-// for them: the next try goes elsewhere, and has waited long enough by its way.
-const shedWait = 50 * time.Millisecond
+// shedRetryAfter applies when a backend server rejects a call although its gate had a free slot.
+// The next attempt goes to another server, so the time it takes to get there is enough of a
+// delay.
+const shedRetryAfter = 50 * time.Millisecond
 
-// quarantinedWait stands for the rest of a quarantine, which the error itself tells.
-const quarantinedWait = time.Minute
+// quarantinedRetryAfter is the fallback for the remaining time of a quarantine, which the error
+// itself normally carries.
+const quarantinedRetryAfter = time.Minute
 
-var table = map[Kind]Response{
+// responses maps each kind to its response.
+var responses = map[Kind]Response{
 	BadRequest:       {http.StatusBadRequest, NotRun, false, 0},
 	TooLarge:         {http.StatusRequestEntityTooLarge, NotRun, false, 0},
 	UnknownCustomer:  {http.StatusForbidden, NotRun, false, 0},
 	NoRoute:          {http.StatusNotFound, NotRun, false, 0},
 	RateLimited:      {http.StatusTooManyRequests, NotRun, true, time.Second},
 	ConcurrencyLimit: {http.StatusTooManyRequests, NotRun, true, time.Second},
-	NotReady:         {http.StatusServiceUnavailable, NotRun, true, shortWait},
-	NoBackend:        {http.StatusServiceUnavailable, NotRun, true, shortWait},
+	NotReady:         {http.StatusServiceUnavailable, NotRun, true, shortRetryAfter},
+	NoBackend:        {http.StatusServiceUnavailable, NotRun, true, shortRetryAfter},
 	Overloaded:       {http.StatusServiceUnavailable, NotRun, true, time.Second},
-	Shed:             {http.StatusServiceUnavailable, NotRun, true, shedWait},
-	Draining:         {http.StatusServiceUnavailable, NotRun, true, shortWait},
-	Unreachable:      {http.StatusServiceUnavailable, NotRun, true, shortWait},
-	DeadlineNotRun:   {http.StatusServiceUnavailable, NotRun, true, shortWait},
-	Barred:           {http.StatusServiceUnavailable, NotRun, true, shortWait},
+	Shed:             {http.StatusServiceUnavailable, NotRun, true, shedRetryAfter},
+	Draining:         {http.StatusServiceUnavailable, NotRun, true, shortRetryAfter},
+	Unreachable:      {http.StatusServiceUnavailable, NotRun, true, shortRetryAfter},
+	DeadlineNotRun:   {http.StatusServiceUnavailable, NotRun, true, shortRetryAfter},
+	Barred:           {http.StatusServiceUnavailable, NotRun, true, shortRetryAfter},
 	KeyUnknown:       {http.StatusBadRequest, NotRun, false, 0},
 	KeyMismatch:      {http.StatusUnprocessableEntity, NotRun, false, 0},
 	KeyInProgress:    {http.StatusConflict, RunUnknown, true, time.Second},
@@ -107,99 +113,98 @@
 	OutcomeUnknown:   {http.StatusBadGateway, RunUnknown, false, 0},
 	BackendFailed:    {http.StatusBadGateway, RunUnknown, true, 0},
 	BackendEnded:     {http.StatusBadGateway, RunUnknown, true, 0},
-	Quarantined:      {http.StatusServiceUnavailable, NotRun, true, quarantinedWait},
-	Canceled:         {statusCanceled, RunUnknown, false, 0},
+	Quarantined:      {http.StatusServiceUnavailable, NotRun, true, quarantinedRetryAfter},
+	Canceled:         {statusClientClosedRequest, RunUnknown, false, 0},
 	Internal:         {http.StatusInternalServerError, RunUnknown, false, 0},
 }
 
-// Kinds returns the whole list in no particular order.
+// Kinds returns all kinds, in no particular order.
 func Kinds() []Kind {
-	kinds := make([]Kind, 0, len(table))
-	for k := range table {
+	kinds := make([]Kind, 0, len(responses))
+	for k := range responses {
 		kinds = append(kinds, k)
 	}
 	return kinds
 }
 
-// Response returns the kind's row of the table; a name that is not in the list
-// is answered as Internal.
+// Response returns the response for the kind. An unknown kind yields Internal's response.
 func (k Kind) Response() Response {
-	a, ok := table[k]
+	a, ok := responses[k]
 	if !ok {
-		return table[Internal]
+		return responses[Internal]
 	}
 	return a
 }
 
-// Known reports whether the kind is in the list. A newer daemon may send a name
-// that an older one does not know.
+// Known reports whether the kind is defined in this package. A newer daemon may send a kind that
+// an older one does not know.
 func (k Kind) Known() bool {
-	_, ok := table[k]
+	_, ok := responses[k]
 	return ok
 }
 
-// Error is an error with its kind.
+// Error is an error with a kind.
 type Error struct {
 	Kind Kind
-	// RetryAfter overrides the table's value when above zero.
+	// RetryAfter overrides the kind's default when it is greater than zero.
 	RetryAfter time.Duration
-	// doubt overrides a table's NotRun.
-	doubt bool
-	cause error
+	// runUnknown overrides the NotRun of the kind's response with RunUnknown.
+	runUnknown bool
+	cause      error
 }
 
-// New returns an error of a kind with a text for people.
+// New returns an error of kind k with a human-readable message.
 func New(k Kind, text string) *Error {
 	return &Error{Kind: k, cause: errors.NewWithDepth(1, text)}
 }
 
-// Newf is New with a format.
+// Newf is like New but formats the message.
 func Newf(k Kind, format string, args ...any) *Error {
 	return &Error{Kind: k, cause: errors.NewWithDepthf(1, format, args...)}
 }
 
-// Wrap gives an error a kind; the error's text is kept.
+// Wrap wraps err with kind k and prefixes its message with text.
 func Wrap(k Kind, err error, text string) *Error {
 	return &Error{Kind: k, cause: errors.WrapWithDepth(1, err, text)}
 }
 
-// WithRetryAfter returns a copy that tells the caller when to come back.
+// WithRetryAfter returns a copy of the error whose minimum delay before a retry is d.
 func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	c := *e
 	c.RetryAfter = d
 	return &c
 }
 
-// WithRunUnknown returns err with the promise taken back that the call has not run. It is
-// for a refusal of this request under a key that an earlier request may have run
-// under: the refusal is true, "not run" may not be.
+// WithRunUnknown returns a copy of err that no longer guarantees that the call has not run, or
+// err itself if it is not an Error. It is for the rejection of a request whose idempotency key
+// was already used by an earlier request: this request was rejected, but the earlier one may have
+// run.
 func WithRunUnknown(err error) error {
 	var e *Error
 	if !errors.As(err, &e) {
 		return err
 	}
 	c := *e
-	c.doubt = true
+	c.runUnknown = true
 	return &c
 }
 
-// RunOf returns whether the call that ended with err ran.
+// RunOf returns whether the call that failed with err was executed.
 func RunOf(err error) Run {
 	var e *Error
-	if errors.As(err, &e) && e.doubt {
+	if errors.As(err, &e) && e.runUnknown {
 		return RunUnknown
 	}
 	return Of(err).Response().Run
 }
 
-// Error returns the text without the kind.
+// Error returns the message without the kind.
 func (e *Error) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Of returns the kind of an error: None for nil, Internal where no Error is in
-// the chain.
+// Of returns the kind of err: None for nil, Internal if the chain contains no Error.
 func Of(err error) Kind {
 	if err == nil {
 		return None
@@ -211,8 +216,8 @@
 	return Internal
 }
 
-// RetryAfterOf returns when the caller should come back: the error's own value
-// or else the table's.
+// RetryAfterOf returns the minimum delay before a retry: the error's own value or, if it has
+// none, the default of its kind.
 func RetryAfterOf(err error) time.Duration {
 	var e *Error
 	if errors.As(err, &e) && e.RetryAfter > 0 {
--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -31,7 +31,7 @@
 const writesPerCall = 3
 
 func BenchmarkPool_Call(b *testing.B) {
-	p, addr, writes := startCounted(b)
+	p, addr, writes := startWithWriteCounter(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		must.NoError(b, callStatus(b.Context(), p, addr))
@@ -40,7 +40,7 @@
 }
 
 func TestPool_CallWritesAreBounded(t *testing.T) {
-	p, addr, writes := startCounted(t)
+	p, addr, writes := startWithWriteCounter(t)
 	const calls = 100
 	for range calls {
 		must.NoError(t, callStatus(t.Context(), p, addr))
@@ -48,8 +48,8 @@
 	must.LessEq(t, calls*writesPerCall, int(writes.Load()))
 }
 
-// startCounted returns a pool with an open session whose writes are counted.
-func startCounted(b testing.TB) (*Pool, netip.AddrPort, *atomic.Int64) {
+// startWithWriteCounter returns a pool with an open session whose writes are counted.
+func startWithWriteCounter(b testing.TB) (*Pool, netip.AddrPort, *atomic.Int64) {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
@@ -85,7 +85,7 @@
 		var pools []*Pool
 		addrs := make([]netip.AddrPort, 0, sessions)
 		for range sessions {
-			p, addr, _ := startCounted(b)
+			p, addr, _ := startWithWriteCounter(b)
 			pools = append(pools, p)
 			addrs = append(addrs, addr)
 		}
--- a/peer/locality.go
+++ b/peer/locality.go
@@ -38,7 +38,7 @@
 type remote struct {
 	addr   netip.Addr
 	lookup func(netip.Addr) Locality
-	known  atomic.Uint32
+	cached  atomic.Uint32
 }
 
 func newRemote(addr netip.Addr, lookup func(netip.Addr) Locality) *remote {
@@ -53,11 +53,11 @@
 	return newRemote(netip.Addr{}, lookup)
 }
 
-func (r *remote) place() Locality {
-	if p := Locality(r.known.Load()); p != UnknownLocality || r.lookup == nil {
+func (r *remote) locality() Locality {
+	if p := Locality(r.cached.Load()); p != UnknownLocality || r.lookup == nil {
 		return p
 	}
 	p := r.lookup(r.addr)
-	r.known.Store(uint32(p))
+	r.cached.Store(uint32(p))
 	return p
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -88,7 +88,7 @@
 // A message makes its handler panic. Its sender takes the broken stream for a daemon that is
 // gone and tries the next one: if the panic ended the process, one message would end the
 // fleet. It ends its own stream, and the others of the session go on.
-func TestServer_PanicEndsItsStreamAlone(t *testing.T) {
+func TestServer_PanicEndsOnlyItsStream(t *testing.T) {
 	addr := startServer(t, DefaultServerOptions())
 	p := NewPool(DefaultPoolOptions())
 	defer p.Close()
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestPool_CallOnceKeepsNoSession(t *testing.T) {
+func TestPool_CallOnceClosesItsSession(t *testing.T) {
 	addr := startServer(t, DefaultServerOptions())
 	p := NewPool(DefaultPoolOptions())
 	defer p.Close()
@@ -114,7 +114,7 @@
 	})
 }
 
-func TestPool_UnreachableIsTold(t *testing.T) {
+func TestPool_UnreachablePeerReturnsErrUnreachable(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	addr := ln.Addr().(*net.TCPAddr).AddrPort()
@@ -167,7 +167,7 @@
 
 // Another daemon sees its stream closed and the server go on. Each case is
 // input that no daemon sends; the reason is counted.
-func TestServer_BadInputIsRefused(t *testing.T) {
+func TestServer_BadInputIsRejected(t *testing.T) {
 	oversized := protowire.AppendVarint(nil, MaxHeadBytes+1)
 	for name, tc := range map[string]struct {
 		bytes  []byte
@@ -213,7 +213,7 @@
 	must.NoError(t, s.Serve(ln))
 }
 
-func TestServer_SlowHeadIsRefused(t *testing.T) {
+func TestServer_SlowHeadIsRejected(t *testing.T) {
 	opts := DefaultServerOptions()
 	opts.HeadTimeout = time.Millisecond
 	meter := rejections{c: make(chan RejectReason, 10)}
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -58,28 +58,28 @@
 	closed   atomic.Bool
 }
 
-// slot holds the session to one address.
-type slot struct {
+// sessionEntry holds the session to one address.
+type sessionEntry struct {
 	sess atomic.Pointer[yamux.Session]
 	// conn is what the session runs on.
 	conn atomic.Pointer[frameConn]
-	// used is when a stream was last opened, in Unix nanoseconds.
-	used    atomic.Int64
+	// lastUsed is when a stream was last opened, in Unix nanoseconds.
+	lastUsed    atomic.Int64
 	pinging atomic.Bool
-	// dialing holds a token that a dialer takes, so that all who wait for the
+	// dialToken holds a token that a dialer takes, so that all who wait for the
 	// session dial once and each waits no longer than it may.
-	dialing chan struct{}
+	dialToken chan struct{}
 	remote  *remote
 }
 
-func newSlot(remote *remote) *slot {
-	s := &slot{dialing: make(chan struct{}, 1), remote: remote}
-	s.dialing <- struct{}{}
+func newSessionEntry(remote *remote) *sessionEntry {
+	s := &sessionEntry{dialToken: make(chan struct{}, 1), remote: remote}
+	s.dialToken <- struct{}{}
 	return s
 }
 
-// open returns the slot's session if it is usable.
-func (s *slot) open() *yamux.Session {
+// openSession returns the slot's session if it is usable.
+func (s *sessionEntry) openSession() *yamux.Session {
 	if sess := s.sess.Load(); sess != nil && !sess.IsClosed() {
 		return sess
 	}
@@ -96,14 +96,14 @@
 	if err != nil {
 		return nil, mark(errors.Wrapf(err, "connect to %s", addr), ErrUnreachable)
 	}
-	st, err := p.openOn(sess, addr, kind, remote)
+	st, err := p.openStream(sess, addr, kind, remote)
 	if err != nil {
 		p.drop(addr, sess)
 	}
 	return st, err
 }
 
-func (p *Pool) openOn(sess *yamux.Session, addr netip.AddrPort, kind peerpb.Kind, remote *remote) (*Stream, error) {
+func (p *Pool) openStream(sess *yamux.Session, addr netip.AddrPort, kind peerpb.Kind, remote *remote) (*Stream, error) {
 	conn, err := sess.OpenStream()
 	if err != nil {
 		return nil, mark(errors.Wrapf(err, "open stream to %s", addr), ErrUnreachable)
@@ -130,7 +130,7 @@
 		return mark(errors.Wrapf(err, "connect to %s", addr), ErrUnreachable)
 	}
 	defer sess.Close()
-	st, err := p.openOn(sess, addr, kind, newRemote(addr.Addr(), p.opts.LocalityOf))
+	st, err := p.openStream(sess, addr, kind, newRemote(addr.Addr(), p.opts.LocalityOf))
 	if err != nil {
 		return err
 	}
@@ -141,9 +141,9 @@
 	defer st.Close()
 	defer st.BindContext(ctx)()
 	if err := st.Send(req); err != nil {
-		return contextError(ctx, err)
+		return preferContextError(ctx, err)
 	}
-	return contextError(ctx, st.Recv(resp))
+	return preferContextError(ctx, st.Recv(resp))
 }
 
 // Drop closes the session to a peer, so that the next exchange connects anew.
@@ -152,7 +152,7 @@
 	if !ok {
 		return
 	}
-	if sess := v.(*slot).sess.Swap(nil); sess != nil {
+	if sess := v.(*sessionEntry).sess.Swap(nil); sess != nil {
 		_ = sess.Close()
 	}
 }
@@ -160,9 +160,9 @@
 // CloseIdle closes the sessions that have had no stream for IdleTimeout.
 func (p *Pool) CloseIdle(now time.Time) {
 	p.sessions.Range(func(k, v any) bool {
-		s := v.(*slot)
+		s := v.(*sessionEntry)
 		sess := s.sess.Load()
-		if sess == nil || now.UnixNano()-s.used.Load() < int64(p.opts.IdleTimeout) {
+		if sess == nil || now.UnixNano()-s.lastUsed.Load() < int64(p.opts.IdleTimeout) {
 			return true
 		}
 		if sess.IsClosed() || sess.NumStreams() == 0 {
@@ -186,20 +186,20 @@
 func (p *Pool) session(ctx context.Context, addr netip.AddrPort) (*yamux.Session, *remote, error) {
 	v, ok := p.sessions.Load(addr)
 	if !ok {
-		v, _ = p.sessions.LoadOrStore(addr, newSlot(newRemote(addr.Addr(), p.opts.LocalityOf)))
+		v, _ = p.sessions.LoadOrStore(addr, newSessionEntry(newRemote(addr.Addr(), p.opts.LocalityOf)))
 	}
-	s := v.(*slot)
-	s.used.Store(time.Now().UnixNano())
-	if sess := s.open(); sess != nil {
+	s := v.(*sessionEntry)
+	s.lastUsed.Store(time.Now().UnixNano())
+	if sess := s.openSession(); sess != nil {
 		return sess, s.remote, nil
 	}
 	select {
-	case <-s.dialing:
-		defer func() { s.dialing <- struct{}{} }()
+	case <-s.dialToken:
+		defer func() { s.dialToken <- struct{}{} }()
 	case <-ctx.Done():
 		return nil, nil, ctx.Err()
 	}
-	if sess := s.open(); sess != nil {
+	if sess := s.openSession(); sess != nil {
 		return sess, s.remote, nil
 	}
 	sess, conn, err := p.dial(ctx, addr)
@@ -234,7 +234,7 @@
 func (p *Pool) drop(addr netip.AddrPort, sess *yamux.Session) {
 	_ = sess.Close()
 	if v, ok := p.sessions.Load(addr); ok {
-		v.(*slot).sess.CompareAndSwap(sess, nil)
+		v.(*sessionEntry).sess.CompareAndSwap(sess, nil)
 	}
 }
 
@@ -263,8 +263,8 @@
 	return c
 }
 
-// contextError prefers the context's error, which tells why the stream failed.
-func contextError(ctx context.Context, err error) error {
+// preferContextError prefers the context's error, which tells why the stream failed.
+func preferContextError(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() != nil {
 		return errors.WithSecondaryError(ctx.Err(), err)
 	}
--- a/peer/server.go
+++ b/peer/server.go
@@ -61,8 +61,8 @@
 	handlers map[peerpb.Kind]Handler
 	streams  atomic.Int64
 
-	// serving counts the calls of Serve.
-	serving sync.WaitGroup
+	// serveCalls counts the calls of Serve.
+	serveCalls sync.WaitGroup
 
 	mu       sync.Mutex
 	sessions map[*yamux.Session]struct{}
@@ -76,7 +76,7 @@
 	// until Close.
 	s.t.Go(func() error {
 		<-s.t.Dying()
-		s.serving.Wait()
+		s.serveCalls.Wait()
 		return nil
 	})
 	return s
@@ -87,10 +87,10 @@
 
 // Serve accepts sessions until Close, and returns nil then.
 func (s *Server) Serve(ln net.Listener) error {
-	if !s.begin() {
+	if !s.beginServe() {
 		return ln.Close()
 	}
-	defer s.serving.Done()
+	defer s.serveCalls.Done()
 	result := make(chan error, 1)
 	s.t.Go(func() error {
 		result <- s.accept(ln)
@@ -103,15 +103,15 @@
 	return <-result
 }
 
-// begin holds off the end of the tomb, which takes no goroutine after it; it
+// beginServe holds off the end of the tomb, which takes no goroutine after it; it
 // reports false after Close.
-func (s *Server) begin() bool {
+func (s *Server) beginServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.t.Alive() {
 		return false
 	}
-	s.serving.Add(1)
+	s.serveCalls.Add(1)
 	return true
 }
 
@@ -193,7 +193,7 @@
 	_ = st.SetReadDeadline(time.Now().Add(s.opts.HeadTimeout))
 	var head peerpb.Head
 	if err := st.RecvMax(&head, MaxHeadBytes); err != nil {
-		s.opts.Meter.Rejected(reasonOf(err))
+		s.opts.Meter.Rejected(rejectReasonOf(err))
 		return
 	}
 	h, ok := s.handlers[head.GetKind()]
@@ -237,7 +237,7 @@
 	delete(s.sessions, sess)
 }
 
-func reasonOf(err error) RejectReason {
+func rejectReasonOf(err error) RejectReason {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, ErrMessageTooLarge):
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -41,7 +41,7 @@
 // ErrMalformed means that a peer's bytes are not the message expected.
 var ErrMalformed = errors.New("peer message malformed")
 
-var buffers = sync.Pool{New: func() any { return new(make([]byte, 0, readBufferBytes)) }}
+var sendBuffers = sync.Pool{New: func() any { return new(make([]byte, 0, readBufferBytes)) }}
 
 // Stream is one exchange. One goroutine may read while another writes.
 type Stream struct {
@@ -64,8 +64,8 @@
 
 // Send writes one message, with those queued before it.
 func (s *Stream) Send(m proto.Message) error {
-	p := buffers.Get().(*[]byte)
-	defer buffers.Put(p)
+	p := sendBuffers.Get().(*[]byte)
+	defer sendBuffers.Put(p)
 	b := append((*p)[:0], s.queued...)
 	s.queued = nil
 	b, err := appendMessage(b, m)
@@ -78,7 +78,7 @@
 		*p = b
 	}
 	n, err := s.conn.Write(b)
-	s.meter.Sent(s.kind, s.remote.place(), n)
+	s.meter.Sent(s.kind, s.remote.locality(), n)
 	return err
 }
 
@@ -106,14 +106,14 @@
 func (s *Stream) RecvMax(m proto.Message, limit int64) error {
 	err := protodelim.UnmarshalOptions{MaxSize: limit}.UnmarshalFrom(s.r, m)
 	if err == nil {
-		s.meter.Received(s.kind, s.remote.place(), proto.Size(m)+1)
+		s.meter.Received(s.kind, s.remote.locality(), proto.Size(m)+1)
 		return nil
 	}
-	return classify(err)
+	return classifyRecvError(err)
 }
 
-// classify tells what the peer did wrong from what the connection did.
-func classify(err error) error {
+// classifyRecvError tells what the peer did wrong from what the connection did.
+func classifyRecvError(err error) error {
 	var tooLarge *protodelim.SizeTooLargeError
 	var netErr net.Error
 	switch {
--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -13,52 +13,52 @@
 const (
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 16 << 10
-	// lingerTime is how long input is still read, and thrown away, behind the last
-	// answer. Closing a connection with unread input resets it, and the caller
-	// would lose the answer.
-	lingerTime = 500 * time.Millisecond
+	// lingerTimeout is how long input is still read and discarded after the last response.
+	// Closing a connection with unread input resets it, and the caller could lose the response.
+	lingerTimeout = 500 * time.Millisecond
 	// writeTimeout bounds one write to a caller that does not read.
 	writeTimeout = 30 * time.Second
-	// heldBodyTimeout bounds the time until a body that is held is there.
-	heldBodyTimeout = time.Minute
+	// bufferedBodyTimeout bounds the time to receive a body that is read before its request is
+	// handled.
+	bufferedBodyTimeout = time.Minute
 )
 
-// conn is one caller's connection. One goroutine reads requests; each request runs
-// in one of its own and writes its answer when its turn has come.
+// conn is the connection of one caller. One goroutine reads the requests; each request runs in
+// its own goroutine and writes its response once all earlier ones have been written.
 type conn struct {
 	srv *Server
 	nc  net.Conn
-	in  *boundedReader
+	in  *limitedReader
 	br  *bufio.Reader
 	bw  *bufio.Writer
 	ctx context.Context
-	// cancel ends the requests in progress: the caller has gone.
+	// cancel cancels the requests in progress, for example when the caller has disconnected.
 	cancel context.CancelFunc
-	// room holds a token for each request that may still begin.
-	room chan struct{}
+	// inFlight holds a token for each request in progress. Its capacity is the limit.
+	inFlight chan struct{}
 
 	mu sync.Mutex
-	// queue holds the requests not answered yet, in order.
+	// queue holds the requests that have not been answered completely, in the order received.
 	queue []*exchange
-	// closing is set once no further request is handled.
+	// closing is set once no further request is accepted.
 	closing bool
 	// reading is set while a request is being read.
 	reading bool
-	// empty is told when the queue has become empty.
-	empty *sync.Cond
+	// queueEmpty is signaled when the queue becomes empty.
+	queueEmpty *sync.Cond
 }
 
 func newConn(s *Server, nc net.Conn) *conn {
-	c := &conn{srv: s, nc: nc, in: &boundedReader{src: nc, left: unbounded}}
+	c := &conn{srv: s, nc: nc, in: &limitedReader{src: nc, remaining: unlimited}}
 	c.br = bufio.NewReaderSize(c.in, readBufferBytes)
 	c.bw = bufio.NewWriterSize(nc, writeBufferBytes)
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.room = make(chan struct{}, s.opts.MaxInFlight)
-	c.empty = sync.NewCond(&c.mu)
+	c.inFlight = make(chan struct{}, s.opts.MaxInFlight)
+	c.queueEmpty = sync.NewCond(&c.mu)
 	return c
 }
 
-// serve reads requests until the caller goes away or the connection is to end.
+// serve handles requests until the caller disconnects or the connection is due to close.
 func (c *conn) serve() {
 	defer c.srv.remove(c)
 	defer c.nc.Close()
@@ -73,8 +73,8 @@
 	}
 }
 
-// readRequests returns nil where the connection ends in an orderly way, and else
-// why the caller cannot be answered any more.
+// readRequests reads and starts requests until the connection ends. It returns nil if the
+// connection ends in an orderly way, and otherwise the reason why no more responses can be sent.
 func (c *conn) readRequests() error {
 	for {
 		if err := c.awaitRequest(); err != nil {
@@ -85,21 +85,21 @@
 		}
 		x, err := c.readRequest()
 		if err != nil {
-			return c.refuse(err)
+			return c.rejectInput(err)
 		}
 		select {
-		case c.room <- struct{}{}:
+		case c.inFlight <- struct{}{}:
 		case <-c.ctx.Done():
 			return c.ctx.Err()
 		}
-		if c.callerLeft() {
-			// A process that was busy reads a request together with its caller's close, and would
-			// run the call before it reads on.
+		if c.callerDisconnected() {
+			// On a busy process the request and the caller's close may be read together. Without
+			// this check the call would run before the next read reports the close.
 			c.srv.opts.OnCallerDisconnected(x.req)
-			return errGone
+			return errCallerDisconnected
 		}
-		if !c.begin(x) {
-			return c.watchLast()
+		if !c.startExchange(x) {
+			return c.detectDisconnect()
 		}
 		if x.stream != nil {
 			<-x.stream.done
@@ -107,18 +107,19 @@
 				return nil
 			}
 		}
-		if x.last {
-			return c.watchLast()
+		if x.lastRequest {
+			return c.detectDisconnect()
 		}
 	}
 }
 
-// errGone means that the caller closed its side while it was owed an answer.
-var errGone = errors.New("caller has gone")
+// errCallerDisconnected means that the caller closed the connection before it received all
+// responses.
+var errCallerDisconnected = errors.New("caller disconnected")
 
-// watchLast notices a caller that goes away before its last answer. Whatever it
-// sends is thrown away.
-func (c *conn) watchLast() error {
+// detectDisconnect is called after the last request. It reads and discards input until the
+// connection ends, and returns errCallerDisconnected if a response is still outstanding then.
+func (c *conn) detectDisconnect() error {
 	c.mu.Lock()
 	answered := len(c.queue) == 0
 	c.mu.Unlock()
@@ -129,16 +130,17 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) > 0 {
-		return errGone
+		return errCallerDisconnected
 	}
 	return nil
 }
 
-// errIdle means that no request came within the idle timeout.
+// errIdle means that no further request is due: none arrived within the idle timeout, or the
+// connection is closing.
 var errIdle = errors.New("connection idle")
 
-// awaitRequest waits for the first byte of a request. Empty lines before it are
-// passed over, as RFC 9112 asks.
+// awaitRequest waits for the first byte of a request. It skips empty lines before the request
+// line, as RFC 9112 requires.
 func (c *conn) awaitRequest() error {
 	c.setIdleDeadline()
 	for {
@@ -160,17 +162,18 @@
 	return c.nc.SetReadDeadline(time.Now().Add(c.srv.opts.Limits().HeaderTimeout))
 }
 
-// setIdleDeadline bounds the wait for a request while none is in progress.
+// setIdleDeadline clears the reading flag and sets the read deadline for the wait for the next
+// request.
 func (c *conn) setIdleDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
-	c.idleDeadline()
+	c.setIdleDeadlineLocked()
 }
 
-// idleDeadline sets the deadline of reads that wait for a request. The caller holds
-// mu.
-func (c *conn) idleDeadline() {
+// setIdleDeadlineLocked sets the read deadline to the idle timeout, or removes it while requests
+// are in progress. The caller holds mu.
+func (c *conn) setIdleDeadlineLocked() {
 	var at time.Time
 	if len(c.queue) == 0 {
 		at = time.Now().Add(c.srv.opts.Limits().IdleTimeout)
@@ -178,7 +181,8 @@
 	_ = c.nc.SetReadDeadline(at)
 }
 
-// idleError tells an idle connection from a caller that has gone.
+// idleError distinguishes an idle timeout, for which it returns errIdle, from a failed
+// connection.
 func (c *conn) idleError(err error) error {
 	var netErr net.Error
 	c.mu.Lock()
@@ -190,34 +194,36 @@
 	return err
 }
 
-// closeIfIdle ends a connection on which nothing happens.
+// closeIfIdle ends the connection if no request is being read or in progress.
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) == 0 && !c.reading {
+		// A caller that always has another request queued behind the one being answered would
+		// otherwise keep the connection open forever.
 		c.closing = true
 		_ = c.nc.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// abort cuts the connection.
+// abort cancels all requests and closes the connection immediately.
 func (c *conn) abort() {
 	c.cancel()
 	_ = c.nc.Close()
 }
 
-// waitEmpty waits until all requests in progress have ended.
+// waitEmpty waits until no requests are in progress.
 func (c *conn) waitEmpty() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for len(c.queue) > 0 {
-		c.empty.Wait()
+		c.queueEmpty.Wait()
 	}
 }
 
-// begin runs a request; it reports false where the connection ends before it, which
-// then counts as not read: the caller sends it again.
-func (c *conn) begin(x *exchange) bool {
+// startExchange queues the request and runs it. It returns false if the connection is closing;
+// the request then counts as not received and the caller sends it again.
+func (c *conn) startExchange(x *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reading = false
@@ -230,8 +236,8 @@
 		_ = c.nc.SetReadDeadline(time.Time{})
 		return false
 	}
-	x.last = x.req.Close || !x.req.ProtoAtLeast(1, 1)
-	c.closing = x.last
+	x.lastRequest = x.req.Close || !x.req.ProtoAtLeast(1, 1)
+	c.closing = x.lastRequest
 	c.queue = append(c.queue, x)
 	if len(c.queue) == 1 {
 		close(x.turn)
@@ -241,30 +247,31 @@
 	return true
 }
 
-// end takes an answered request out of the queue.
-func (c *conn) end() {
+// endExchange removes the first request from the queue after its response has been written.
+func (c *conn) endExchange() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.queue = c.queue[1:]
-	<-c.room
+	<-c.inFlight
 	if len(c.queue) > 0 {
 		close(c.queue[0].turn)
 		return
 	}
-	c.empty.Broadcast()
+	c.queueEmpty.Broadcast()
 	if !c.reading {
-		c.idleDeadline()
+		c.setIdleDeadlineLocked()
 	}
 	if c.closing {
-		// The reader may wait for a request that is not to be handled any more.
+		// Interrupt the reader, which may be waiting for a request that would no longer be
+		// handled.
 		_ = c.nc.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// lastAnswer reports whether the connection ends with the answer whose turn it is.
-// It goes on where requests behind it are in progress already.
-func (c *conn) lastAnswer(wanted bool) bool {
-	wanted = wanted || c.srv.mustShed()
+// closesAfterResponse reports whether the connection closes after the current response. It stays
+// open while further requests on it are in progress.
+func (c *conn) closesAfterResponse(wanted bool) bool {
+	wanted = wanted || c.srv.closeAfterResponse()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if wanted && len(c.queue) == 1 {
@@ -273,11 +280,12 @@
 	return c.closing && len(c.queue) == 1
 }
 
-// linger lets the caller read the last answer before the connection is closed.
+// linger closes the write side and discards input, so that the caller can read the last response
+// before the connection closes.
 func (c *conn) linger() {
 	if tcp, ok := c.nc.(interface{ CloseWrite() error }); ok && tcp.CloseWrite() != nil {
 		return
 	}
-	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTime))
+	_ = c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 	_, _ = io.Copy(io.Discard, c.nc)
 }
--- a/pipeline/disconnect_test.go
+++ b/pipeline/disconnect_test.go
@@ -13,13 +13,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// accepted hands out one connection, and then waits until it is closed.
-type accepted struct {
+// singleConnListener returns one connection from Accept and then blocks until its channel is
+// closed.
+type singleConnListener struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func (l *accepted) Accept() (net.Conn, error) {
+func (l *singleConnListener) Accept() (net.Conn, error) {
 	nc, ok := <-l.conns
 	if !ok {
 		return nil, net.ErrClosed
@@ -27,22 +28,22 @@
 	return nc, nil
 }
 
-func (l *accepted) Close() error { return nil }
+func (l *singleConnListener) Close() error { return nil }
 
-// watchedConn tells when it is closed.
-type watchedConn struct {
+// closeNotifyConn closes a channel when the connection is closed.
+type closeNotifyConn struct {
 	*net.TCPConn
 	once   sync.Once
 	closed chan struct{}
 }
 
-func (c *watchedConn) Close() error {
+func (c *closeNotifyConn) Close() error {
 	c.once.Do(func() { close(c.closed) })
 	return c.TCPConn.Close()
 }
 
-// awaitClose returns once the other end's close has reached the kernel.
-func awaitClose(t *testing.T, nc syscall.Conn) {
+// awaitPeerClose returns once the kernel has received the peer's close.
+func awaitPeerClose(t *testing.T, nc syscall.Conn) {
 	t.Helper()
 	raw, err := nc.SyscallConn()
 	must.NoError(t, err)
@@ -54,8 +55,8 @@
 	}))
 }
 
-// Guards against starting requests that were read after their caller had left.
-func TestRequestOfACallerThatHasLeftDoesNotBegin(t *testing.T) {
+// Guards against running requests that were read only after their caller had disconnected.
+func TestRequestOfDisconnectedCallerIsNotRun(t *testing.T) {
 	for name, raw := range map[string]string{
 		"one":    get("/1"),
 		"two":    get("/1") + get("/2"),
@@ -71,23 +72,23 @@
 			send(t, caller, raw)
 			tcp, err := ln.Accept()
 			must.NoError(t, err)
-			nc := &watchedConn{TCPConn: tcp.(*net.TCPConn), closed: make(chan struct{})}
+			nc := &closeNotifyConn{TCPConn: tcp.(*net.TCPConn), closed: make(chan struct{})}
 			must.NoError(t, caller.Close())
-			awaitClose(t, nc)
+			awaitPeerClose(t, nc)
 
 			var began, left atomic.Int64
 			opts := DefaultOptions()
 			opts.Handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) { began.Add(1) })
 			opts.OnCallerDisconnected = func(*http.Request) { left.Add(1) }
 			s := NewServer(opts)
-			l := &accepted{Listener: ln, conns: make(chan net.Conn, 1)}
+			l := &singleConnListener{Listener: ln, conns: make(chan net.Conn, 1)}
 			l.conns <- nc
 			ended := make(chan error, 1)
 			go func() { ended <- s.Serve(l) }()
 			select {
 			case <-nc.closed:
 			case <-time.After(waitLimit):
-				t.Fatal("the connection has not ended")
+				t.Fatal("the connection was not closed")
 			}
 			must.NoError(t, s.Close())
 			close(l.conns)
--- a/pipeline/exchange.go
+++ b/pipeline/exchange.go
@@ -13,48 +13,48 @@
 	"time"
 )
 
-// maxBuffered is how much of an answer is held until its turn has come, and until
-// its head is sent, in bytes.
-const maxBuffered = 64 << 10
+// maxBufferedResponseBytes bounds the part of a response that is buffered while earlier responses
+// are pending or its header has not been sent.
+const maxBufferedResponseBytes = 64 << 10
 
-// exchange is one request with its answer. It is the request's ResponseWriter.
+// exchange is one request and its response. It implements http.ResponseWriter for the request.
 type exchange struct {
 	c   *conn
 	req *http.Request
-	// turn is closed when the answers before this one have been written.
+	// turn is closed once all earlier responses on the connection have been written.
 	turn chan struct{}
-	// stream is the body that comes as it is read, nil for one that is held.
+	// stream is the body if the handler reads it from the connection, nil if it was buffered.
 	stream *streamedBody
-	// last is set where the caller ends the connection with this request.
-	last bool
+	// lastRequest is set if the connection closes after this request.
+	lastRequest bool
 
 	header http.Header
 	status int
-	// sent is the header as it was when the status was set.
-	sent     http.Header
-	buffered bytes.Buffer
-	begun    bool
-	chunked  bool
-	// declared is the Content-Length of the answer, -1 without one; written is the
-	// length of its body so far.
-	declared, written int64
-	err               error
+	// sentHeader is a copy of header, taken when the status was set.
+	sentHeader  http.Header
+	buffered    bytes.Buffer
+	headWritten bool
+	chunked     bool
+	// declaredLength is the Content-Length of the response, -1 if it has none. writtenLength is
+	// the length of the body written so far.
+	declaredLength, writtenLength int64
+	err                           error
 }
 
 func newExchange(c *conn, r *http.Request) *exchange {
-	return &exchange{c: c, req: r, turn: make(chan struct{}), header: make(http.Header), declared: -1}
+	return &exchange{c: c, req: r, turn: make(chan struct{}), header: make(http.Header), declaredLength: -1}
 }
 
-// streamedBody is a request's body that is read from the connection by its handler.
-// Reading ends with the handler: the next request follows on the same connection.
+// streamedBody is a request body that the handler reads directly from the connection. Reading
+// stops when the handler returns, since the next request follows on the same connection.
 type streamedBody struct {
 	src  io.ReadCloser
 	done chan struct{}
 
 	mu    sync.Mutex
 	ended bool
-	// whole is set once the body has been read to its end.
-	whole bool
+	// complete is set once the body has been read to its end.
+	complete bool
 }
 
 func (x *exchange) streamBody(src io.ReadCloser) {
@@ -67,28 +67,28 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.ended {
-		if b.whole {
+		if b.complete {
 			return 0, io.EOF
 		}
 		return 0, http.ErrBodyReadAfterClose
 	}
 	n, err := b.src.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.whole = true
+		b.complete = true
 		b.end()
 	}
 	return n, err
 }
 
-// Close implements io.Closer; what is left is not read.
+// Close implements io.Closer. It does not read the rest of the body.
 func (b *streamedBody) Close() error { return nil }
 
-// finish ends the reading and reports whether the body was read to its end.
+// finish ends reading and reports whether the whole body was read.
 func (b *streamedBody) finish() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.end()
-	return b.whole
+	return b.complete
 }
 
 func (b *streamedBody) end() {
@@ -98,11 +98,11 @@
 	}
 }
 
-// run handles the request and ends its answer.
+// run handles the request and completes its response.
 func (x *exchange) run() {
 	ctx, cancel := context.WithCancel(x.c.ctx)
 	defer cancel()
-	defer x.c.end()
+	defer x.c.endExchange()
 	if !x.handle(x.req.WithContext(ctx)) {
 		x.c.abort()
 		x.endBody()
@@ -110,8 +110,8 @@
 		return
 	}
 	if x.stream != nil && !x.stream.hasEnded() {
-		// What is left of the body stands where the next request would.
-		x.sent.Set("Connection", "close")
+		// The unread rest of the body occupies the place of the next request.
+		x.sentHeader.Set("Connection", "close")
 	}
 	x.finish()
 	x.endBody()
@@ -123,7 +123,8 @@
 	return b.ended
 }
 
-// endBody lets the connection go on behind the body, or end if some of it is left.
+// endBody lets the connection continue after the body, or marks it for closing if part of the
+// body was not read.
 func (x *exchange) endBody() {
 	if x.stream == nil {
 		return
@@ -131,12 +132,12 @@
 	if !x.stream.finish() {
 		x.c.mu.Lock()
 		x.c.closing = true
-		x.last = true
+		x.lastRequest = true
 		x.c.mu.Unlock()
 	}
 }
 
-// handle calls the handler; it reports false where the connection must be cut.
+// handle calls the handler. It returns false if the connection must be aborted.
 func (x *exchange) handle(r *http.Request) (ok bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -153,15 +154,15 @@
 	return true
 }
 
-// awaitTurn waits until the answers before this one have been written; it reports
-// false where the caller has gone.
+// awaitTurn waits until all earlier responses have been written. It returns false if the caller
+// has disconnected.
 func (x *exchange) awaitTurn() bool {
 	select {
 	case <-x.turn:
 		return x.c.ctx.Err() == nil
 	case <-x.c.ctx.Done():
 	}
-	// The queue is left in order, whoever ends first.
+	// Requests leave the queue in order, whichever ends first.
 	<-x.turn
 	return false
 }
@@ -175,9 +176,9 @@
 		return
 	}
 	x.status = status
-	x.sent = x.header.Clone()
-	if n, err := strconv.ParseInt(x.sent.Get("Content-Length"), 10, 64); err == nil && n >= 0 {
-		x.declared = n
+	x.sentHeader = x.header.Clone()
+	if n, err := strconv.ParseInt(x.sentHeader.Get("Content-Length"), 10, 64); err == nil && n >= 0 {
+		x.declaredLength = n
 	}
 }
 
@@ -189,22 +190,22 @@
 	if x.err != nil {
 		return 0, x.err
 	}
-	if !x.bodyFollows() {
+	if !x.bodyAllowed() {
 		return len(p), nil
 	}
-	x.written += int64(len(p))
-	if x.declared >= 0 && x.written > x.declared {
+	x.writtenLength += int64(len(p))
+	if x.declaredLength >= 0 && x.writtenLength > x.declaredLength {
 		x.err = http.ErrContentLength
 		return 0, x.err
 	}
 	x.buffered.Write(p)
-	if x.buffered.Len() >= maxBuffered {
+	if x.buffered.Len() >= maxBufferedResponseBytes {
 		return len(p), x.FlushError()
 	}
 	return len(p), nil
 }
 
-// FlushError sends what has been written so far; see http.ResponseController.
+// FlushError sends the data written so far. See http.ResponseController.
 func (x *exchange) FlushError() error {
 	if x.status == 0 {
 		x.WriteHeader(http.StatusOK)
@@ -215,8 +216,7 @@
 	return x.err
 }
 
-// SetReadDeadline bounds reads of a body that comes as it is read; see
-// http.ResponseController.
+// SetReadDeadline bounds reads of a streamed body. See http.ResponseController.
 func (x *exchange) SetReadDeadline(t time.Time) error {
 	if x.stream == nil || x.stream.hasEnded() {
 		return nil
@@ -224,14 +224,14 @@
 	return x.c.nc.SetReadDeadline(t)
 }
 
-// errShort means that an answer has less body than it said.
-var errShort = errors.New("answer shorter than its Content-Length")
+// errShortResponse means that the handler wrote less than the declared Content-Length.
+var errShortResponse = errors.New("response body shorter than its Content-Length")
 
-// finish sends the rest of the answer. Where that fails the connection is cut, so
-// that no caller takes a part for the whole.
+// finish sends the rest of the response. On failure it aborts the connection, so that the caller
+// does not take a partial response for a complete one.
 func (x *exchange) finish() {
-	if x.err == nil && x.declared >= 0 && x.bodyFollows() && x.written < x.declared {
-		x.err = errShort
+	if x.err == nil && x.declaredLength >= 0 && x.bodyAllowed() && x.writtenLength < x.declaredLength {
+		x.err = errShortResponse
 	}
 	if x.err == nil {
 		x.err = x.send(true)
@@ -242,15 +242,15 @@
 	}
 }
 
-// send writes the head, if it has not been, and what is buffered; end says that
-// nothing follows.
+// send writes the header, unless it has been written, and the buffered data. end states that this
+// completes the response.
 func (x *exchange) send(end bool) error {
 	if !x.awaitTurn() {
 		return context.Canceled
 	}
 	_ = x.c.nc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if !x.begun {
-		x.begun = true
+	if !x.headWritten {
+		x.headWritten = true
 		x.writeHead(end)
 	}
 	if x.buffered.Len() > 0 && x.chunked {
@@ -266,33 +266,33 @@
 	if end && x.chunked {
 		_, _ = x.c.bw.WriteString("0\r\n\r\n")
 	}
-	// The writer keeps its first error.
+	// bufio.Writer returns its first write error from Flush.
 	return x.c.bw.Flush()
 }
 
-// writeHead writes the status line and the header. A body of unknown length goes in
-// chunks; where it is whole already its length is known.
-func (x *exchange) writeHead(whole bool) {
-	h := x.sent
+// writeHead writes the status line and the header. complete states that the whole body is
+// buffered, so that its length is known; a body of unknown length is sent in chunks.
+func (x *exchange) writeHead(complete bool) {
+	h := x.sentHeader
 	for _, name := range []string{"Transfer-Encoding", "Keep-Alive"} {
 		h.Del(name)
 	}
 	switch {
-	case !x.bodyFollows():
+	case !x.bodyAllowed():
 		if x.status == http.StatusNoContent {
 			h.Del("Content-Length")
 		}
-	case x.declared >= 0:
-	case whole:
+	case x.declaredLength >= 0:
+	case complete:
 		h.Set("Content-Length", strconv.Itoa(x.buffered.Len()))
 	case x.req.ProtoAtLeast(1, 1):
 		x.chunked = true
 		h.Set("Transfer-Encoding", "chunked")
 	default:
-		// A caller of HTTP/1.0 takes the end of the connection for that of the body.
+		// An HTTP/1.0 caller takes the end of the connection for the end of the body.
 		h.Set("Connection", "close")
 	}
-	if x.c.lastAnswer(h.Get("Connection") == "close") {
+	if x.c.closesAfterResponse(h.Get("Connection") == "close") {
 		h.Set("Connection", "close")
 	} else {
 		h.Del("Connection")
@@ -302,12 +302,12 @@
 	_, _ = x.c.bw.WriteString("\r\n")
 }
 
-// bodyFollows reports whether what the handler writes is sent.
-func (x *exchange) bodyFollows() bool {
+// bodyAllowed reports whether the response may have a body.
+func (x *exchange) bodyAllowed() bool {
 	return x.status != http.StatusNoContent && x.status != http.StatusNotModified && x.req.Method != http.MethodHead
 }
 
-// statusLine returns the first line of an answer.
+// statusLine returns the HTTP/1.1 status line, with its line ending.
 func statusLine(status int) string {
 	return "HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n"
 }
--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -16,10 +16,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// waitLimit bounds the waits for what must come; it decides nothing.
+// waitLimit bounds waits for events that always occur unless the test fails.
 const waitLimit = 10 * time.Second
 
-// start serves a handler and returns the server and a function that connects.
+// start runs a server for the handler and returns it with a function that connects to it.
 func start(t *testing.T, h http.HandlerFunc, change func(*Options)) (*Server, func() net.Conn) {
 	t.Helper()
 	opts := DefaultOptions()
@@ -53,7 +53,7 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
-// read returns the next answer with its body.
+// read returns the next response and its body.
 func read(t *testing.T, br *bufio.Reader) (*http.Response, string) {
 	t.Helper()
 	resp, err := http.ReadResponse(br, nil)
@@ -63,9 +63,8 @@
 	return resp, string(b)
 }
 
-// A caller sends three requests at once. They run side by side and the last one
-// ends first; the answers come in the order of the requests.
-func TestRequestsRunSideBySideAndAreAnsweredInOrder(t *testing.T) {
+// Three pipelined requests run concurrently and the responses arrive in request order.
+func TestPipelinedRequestsRunConcurrentlyAndRespondInOrder(t *testing.T) {
 	var all sync.WaitGroup
 	all.Add(3)
 	_, dial := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -83,8 +82,9 @@
 	}
 }
 
-// A caller goes away behind requests that wait for their turn. All of them are told.
-func TestCallerThatLeavesIsNoticedBehindRequests(t *testing.T) {
+// A caller disconnects while pipelined requests wait for their responses. The contexts of all of
+// them are canceled.
+func TestDisconnectCancelsPipelinedRequests(t *testing.T) {
 	began, canceled := make(chan struct{}, 2), make(chan struct{}, 2)
 	_, dial := start(t, func(_ http.ResponseWriter, r *http.Request) {
 		began <- struct{}{}
@@ -102,10 +102,9 @@
 	}
 }
 
-// A server drains while two requests are in progress on one connection. Only the
-// answer with nothing behind it closes the connection: a close before it would
-// throw away a request that runs.
-func TestDrainEndsConnectionWithTheLastAnswer(t *testing.T) {
+// The server drains while two requests are in progress on one connection. Only the last response
+// closes the connection: an earlier close would discard a running request.
+func TestDrainClosesConnectionWithLastResponse(t *testing.T) {
 	release := make(chan struct{})
 	began := make(chan struct{}, 2)
 	s, dial := start(t, func(http.ResponseWriter, *http.Request) {
@@ -130,9 +129,8 @@
 	must.NoError(t, s.Shutdown(ctx))
 }
 
-// Bodies with a length and in chunks, small enough to be held, do not hold up the
-// requests behind them.
-func TestHeldBodies(t *testing.T) {
+// Small bodies, with a length or chunked, are buffered and do not block the requests behind them.
+func TestBufferedBodies(t *testing.T) {
 	_, dial := start(t, func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
 		fmt.Fprintf(w, "%s %d %v", b, r.ContentLength, err)
@@ -147,8 +145,8 @@
 	}
 }
 
-// A large body is handed over as it comes, in chunks or with a length, and what is
-// sent behind it is served.
+// A large body, with a length or chunked, is streamed to the handler, and the requests behind it
+// are served.
 func TestStreamedBodies(t *testing.T) {
 	_, dial := start(t, func(w http.ResponseWriter, r *http.Request) {
 		b, err := io.ReadAll(r.Body)
@@ -164,8 +162,9 @@
 	}
 }
 
-// Guards against taking a caller for gone since a deadline has passed that bounded an earlier body.
-func TestReadDeadlineOfABodyDoesNotCancelLaterRequests(t *testing.T) {
+// Guards against treating a caller as disconnected because the read deadline of an earlier body
+// has passed.
+func TestBodyReadDeadlineDoesNotCancelLaterRequests(t *testing.T) {
 	for _, maxHeld := range []int64{2, 1 << 20} {
 		t.Run(fmt.Sprint("held up to ", maxHeld), func(t *testing.T) {
 			_, dial := start(t, func(w http.ResponseWriter, r *http.Request) {
@@ -187,10 +186,9 @@
 	}
 }
 
-// A handler answers without reading a large body. The caller gets the answer, is
-// told that the connection ends, and what is left of the body is not taken for a
-// request.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// A handler responds without reading a large body. The caller receives the response with
+// Connection: close, and the rest of the body is not parsed as a request.
+func TestEarlyResponseClosesConnection(t *testing.T) {
 	served := 0
 	_, dial := start(t, func(w http.ResponseWriter, _ *http.Request) {
 		served++
@@ -208,9 +206,9 @@
 	must.Eq(t, 1, served)
 }
 
-// An answer that breaks off must not look whole: the connection is cut before the
-// length it was said to have, or before the last chunk.
-func TestBrokenAnswerDoesNotLookWhole(t *testing.T) {
+// A response that ends early must be recognizable as incomplete: the connection closes before the
+// declared length is reached or before the last chunk.
+func TestTruncatedResponseIsDetectable(t *testing.T) {
 	for name, h := range map[string]http.HandlerFunc{
 		"short": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
@@ -246,22 +244,22 @@
 		"two lengths":  {"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", http.StatusBadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := make(chan error, 1)
+			reported := make(chan error, 1)
 			_, dial := start(t, func(http.ResponseWriter, *http.Request) { t.Error("handled") }, func(o *Options) {
-				o.OnMalformed = func(_ net.Addr, err error) { told <- err }
+				o.OnMalformed = func(_ net.Addr, err error) { reported <- err }
 			})
 			nc := dial()
 			send(t, nc, c.raw)
 			resp, _ := read(t, bufio.NewReader(nc))
 			must.Eq(t, c.status, resp.StatusCode)
 			must.True(t, resp.Close)
-			must.Error(t, <-told)
+			must.Error(t, <-reported)
 		})
 	}
 }
 
-// A connection without requests is closed after the idle timeout, one with a slow
-// header is told so.
+// A connection without requests is closed after the idle timeout; a header that takes too long is
+// answered with status 408.
 func TestTimeouts(t *testing.T) {
 	limits := Limits{MaxHeaderBytes: 1 << 10, HeaderTimeout: 10 * time.Millisecond, IdleTimeout: 10 * time.Millisecond}
 	_, dial := start(t, func(http.ResponseWriter, *http.Request) {}, func(o *Options) {
@@ -291,8 +289,8 @@
 	must.Eq(t, "ok", body)
 }
 
-// An answer of unknown length goes in chunks, as it is written.
-func TestFlushedAnswer(t *testing.T) {
+// A response of unknown length is sent in chunks as it is written.
+func TestFlushedResponse(t *testing.T) {
 	more := make(chan struct{})
 	_, dial := start(t, func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "a")
@@ -316,9 +314,9 @@
 	must.Eq(t, "b", string(rest))
 }
 
-// Callers open a new connection for each try. Beyond a number of them each answer
-// ends its connection, so that the process does not run out of descriptors.
-func TestConnectionsBeyondTheBoundEndWithTheirAnswer(t *testing.T) {
+// Above MaxKeepAliveConns each response closes its connection, so that callers which open a
+// connection for each attempt do not exhaust the file descriptors of the process.
+func TestConnectionsAboveMaxKeepAliveConnsAreClosed(t *testing.T) {
 	_, dial := start(t, func(http.ResponseWriter, *http.Request) {}, func(o *Options) { o.MaxKeepAliveConns = 1 })
 	for _, closes := range []bool{false, true} {
 		nc := dial()
@@ -328,11 +326,11 @@
 	}
 }
 
-// A server drains while a caller always has another request behind the one that is
-// answered. The connection must end all the same, with the answers to the requests in
-// progress: else it goes on until the process is killed, which loses one. What is behind
-// the last answer counts as not read, and the caller sends it again.
-func TestDrainEndsAConnectionThatIsNeverIdle(t *testing.T) {
+// Guards against a drain that never ends because the caller always has another request behind the
+// current one: the connection would stay open until the process is killed, which loses a request.
+// The connection closes after the responses to the requests in progress. Requests behind the last
+// response count as not received, and the caller sends them again.
+func TestDrainClosesConnectionThatIsNeverIdle(t *testing.T) {
 	began, release := make(chan struct{}, 1), make(chan struct{})
 	s, dial := start(t, func(http.ResponseWriter, *http.Request) {
 		began <- struct{}{}
@@ -345,7 +343,7 @@
 	send(t, nc, get("/2"))
 	select {
 	case <-began:
-		t.Error("a request behind another began while the server drained")
+		t.Error("a pipelined request started while the server was draining")
 	case <-time.After(50 * time.Millisecond):
 	}
 	close(release)
--- a/pipeline/read.go
+++ b/pipeline/read.go
@@ -11,11 +11,11 @@
 	"github.com/crocuscross/crocuscross/internal/netopt"
 )
 
-// readRequest reads one request, with its body if that is held.
+// readRequest reads one request, including its body if it is small enough to be buffered.
 func (c *conn) readRequest() (*exchange, error) {
-	c.in.left = int64(c.srv.opts.Limits().MaxHeaderBytes)
+	c.in.remaining = int64(c.srv.opts.Limits().MaxHeaderBytes)
 	r, err := http.ReadRequest(c.br)
-	c.in.left = unbounded
+	c.in.remaining = unlimited
 	if err != nil && c.in.err != nil {
 		return nil, c.in.err
 	}
@@ -33,13 +33,13 @@
 	return x, nil
 }
 
-// callerLeft reports whether the connection ends behind what has been read of it.
-func (c *conn) callerLeft() bool { return netopt.Peek(c.nc) == netopt.InputEnded }
+// callerDisconnected reports whether the caller has closed or reset the connection and no input
+// is left in the kernel.
+func (c *conn) callerDisconnected() bool { return netopt.Peek(c.nc) == netopt.InputEnded }
 
-var errNoHost = errors.New("request names no host")
+var errNoHost = errors.New("request has no Host header")
 
-// readBody reads a small body whole; the rest of a larger one is handed over as it
-// comes.
+// readBody buffers a body of up to MaxBufferedBody bytes and streams a larger one to the handler.
 func (c *conn) readBody(x *exchange) error {
 	r := x.req
 	if r.ContentLength == 0 {
@@ -57,20 +57,20 @@
 		x.streamBody(r.Body)
 		return c.nc.SetReadDeadline(time.Time{})
 	}
-	_ = c.nc.SetReadDeadline(time.Now().Add(heldBodyTimeout))
-	held, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
+	_ = c.nc.SetReadDeadline(time.Now().Add(bufferedBodyTimeout))
+	body, err := io.ReadAll(io.LimitReader(r.Body, limit+1))
 	if err != nil {
 		return err
 	}
-	if int64(len(held)) <= limit {
-		r.Body = io.NopCloser(bytes.NewReader(held))
-		r.ContentLength, r.TransferEncoding = int64(len(held)), nil
+	if int64(len(body)) <= limit {
+		r.Body = io.NopCloser(bytes.NewReader(body))
+		r.ContentLength, r.TransferEncoding = int64(len(body)), nil
 		return nil
 	}
 	x.streamBody(struct {
 		io.Reader
 		io.Closer
-	}{io.MultiReader(bytes.NewReader(held), r.Body), r.Body})
+	}{io.MultiReader(bytes.NewReader(body), r.Body), r.Body})
 	return c.nc.SetReadDeadline(time.Time{})
 }
 
@@ -80,10 +80,11 @@
 	return err
 }
 
-// refuse answers input that is no request, behind the answers that are due, and
-// ends the connection.
-func (c *conn) refuse(err error) error {
-	status := refusalStatus(err)
+// rejectInput responds to malformed input after all pending responses have been written, and ends
+// the connection. It returns err if no response is due because the caller has disconnected, and
+// otherwise the error of the write.
+func (c *conn) rejectInput(err error) error {
+	status := rejectionStatus(err)
 	if status == 0 {
 		return err
 	}
@@ -94,9 +95,9 @@
 	return werr
 }
 
-// refusalStatus returns the status for input that could not be read, 0 where the
-// caller has gone.
-func refusalStatus(err error) int {
+// rejectionStatus returns the HTTP status for input that could not be read, or 0 if the caller
+// has disconnected.
+func rejectionStatus(err error) int {
 	var netErr net.Error
 	switch {
 	case errors.Is(err, errHeaderTooLarge):
--- a/pipeline/server.go
+++ b/pipeline/server.go
@@ -1,10 +1,10 @@
-// Package pipeline serves HTTP/1.1 connections on which callers send requests ahead
-// of the answers. Unlike the standard library's server it runs the requests of one
-// connection side by side, answers them in order, and goes on reading meanwhile, so
-// that a caller that goes away is noticed behind any number of requests.
+// Package pipeline serves HTTP/1.1 connections whose callers pipeline requests. Unlike the
+// standard library's server it runs the requests of one connection concurrently, sends the
+// responses in order and keeps reading meanwhile, so that it detects a disconnected caller no
+// matter how many requests are pending.
 //
-// Requests that stand one behind the other would else add up their times: three
-// lookups of 200 ms each, sent at once, would take 600 ms.
+// Sequential handling would add up the times of pipelined requests: three lookups of 200 ms each
+// would take 600 ms.
 package pipeline
 
 import (
@@ -20,40 +20,40 @@
 	"time"
 )
 
-// Limits bound what a caller may send. They are read anew for each request.
+// Limits bound what a caller may send. They are read again for each request.
 type Limits struct {
-	// MaxHeaderBytes bounds a request's line and header.
+	// MaxHeaderBytes bounds the size of the request line and the header.
 	MaxHeaderBytes int
-	// HeaderTimeout is how long a header may take from its first byte on.
+	// HeaderTimeout bounds the time to receive a header, from its first byte on.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection without a request is kept.
+	// IdleTimeout is how long a connection without requests stays open.
 	IdleTimeout time.Duration
 }
 
-// Options configure a Server. Handler is required.
+// Options configure a Server. Handler is required; DefaultOptions sets the others.
 type Options struct {
 	Handler http.Handler
-	// Limits returns the limits in force.
+	// Limits returns the current limits.
 	Limits func() Limits
-	// MaxBufferedBody is the largest body that is read before its request is handled,
-	// in bytes. Larger ones are handed over as they come, and requests behind them
-	// wait.
+	// MaxBufferedBody is the size in bytes up to which a body is read before its request is
+	// handled. Larger bodies are streamed to the handler and delay the requests behind them.
 	MaxBufferedBody int64
-	// MaxInFlight bounds the requests of one connection that are in progress.
+	// MaxInFlight bounds the requests in progress on one connection.
 	MaxInFlight int
-	// MaxKeepAliveConns is how many connections are kept for further requests. With more, an
-	// answer with no request behind it ends its connection: callers that open a new
-	// one for each try would else use up the process's descriptors.
+	// MaxKeepAliveConns is the number of connections that are kept open for further requests.
+	// While more are open, a connection closes after a response with no request behind it.
+	// Callers that open a new connection for each attempt would otherwise exhaust the file
+	// descriptors of the process.
 	MaxKeepAliveConns int
-	// OnMalformed is told of input that never became a request.
+	// OnMalformed is called for input that could not be parsed as a request.
 	OnMalformed func(remote net.Addr, err error)
-	// OnCallerDisconnected is told of each request that was read and does not begin, as its caller
-	// had left by then.
+	// OnCallerDisconnected is called for each request that was read but not started because its
+	// caller had already disconnected.
 	OnCallerDisconnected func(r *http.Request)
 	Logger               *slog.Logger
 }
 
-// DefaultOptions suit callers on the same host.
+// DefaultOptions returns options for callers on the same host, without a handler.
 func DefaultOptions() Options {
 	return Options{
 		Limits: func() Limits {
@@ -80,17 +80,17 @@
 	mu        sync.Mutex
 	listeners map[net.Listener]struct{}
 	conns     map[*conn]struct{}
-	// serving counts the connections.
+	// serving tracks the open connections.
 	serving sync.WaitGroup
 }
 
-// NewServer returns a server without connections.
+// NewServer returns a server with the given options.
 func NewServer(opts Options) *Server {
 	return &Server{opts: opts, listeners: make(map[net.Listener]struct{}), conns: make(map[*conn]struct{})}
 }
 
-// Serve accepts connections until the server is closed; it returns ErrClosed then,
-// and else the listener's error.
+// Serve accepts connections until the server is closed. It returns ErrClosed after that, or the
+// error of the listener.
 func (s *Server) Serve(ln net.Listener) error {
 	if !s.addListener(ln) {
 		return ErrClosed
@@ -101,11 +101,11 @@
 			if s.closed.Load() {
 				return ErrClosed
 			}
-			if !passing(err) {
+			if !isTransient(err) {
 				return err
 			}
-			s.opts.Logger.Warn("pipeline: connection not accepted", "error", err)
-			time.Sleep(acceptPause)
+			s.opts.Logger.Warn("pipeline: accept failed", "error", err)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if c := s.add(nc); c != nil {
@@ -114,12 +114,12 @@
 	}
 }
 
-// acceptPause is the wait after a connection could not be accepted for want of
-// something that others will give back, such as descriptors.
-const acceptPause = 10 * time.Millisecond
+// acceptRetryDelay is the wait after Accept failed for lack of a resource that is freed again,
+// such as file descriptors.
+const acceptRetryDelay = 10 * time.Millisecond
 
-// passing reports whether an error of Accept says nothing of the listener itself.
-func passing(err error) bool {
+// isTransient reports whether an error of Accept is temporary and not a fault of the listener.
+func isTransient(err error) bool {
 	var netErr net.Error
 	return errors.As(err, &netErr) && netErr.Timeout() || errors.Is(err, syscall.EMFILE) ||
 		errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ECONNABORTED)
@@ -135,7 +135,7 @@
 	return true
 }
 
-// add takes in a connection, nil once the server is closed.
+// add registers a connection. It closes the connection and returns nil if the server is closed.
 func (s *Server) add(nc net.Conn) *conn {
 	c := newConn(s, nc)
 	s.mu.Lock()
@@ -163,17 +163,18 @@
 	return len(s.conns)
 }
 
-// mustShed reports whether connections are to end with their next answer.
-func (s *Server) mustShed() bool {
+// closeAfterResponse reports whether connections must close after their next response, because
+// the server is draining or has too many connections.
+func (s *Server) closeAfterResponse() bool {
 	return s.draining.Load() || s.OpenConns() > s.opts.MaxKeepAliveConns
 }
 
-// Drain lets each connection end with its next answer that has no request behind
-// it. Connections are not cut, as a request may be on its way.
+// Drain makes each connection close after its next response with no request behind it. It does
+// not close idle connections, as a request may be in flight on them.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Shutdown accepts nothing more, closes connections as they become idle, and
-// returns when all have ended or, with its error, when ctx is done.
+// Shutdown stops accepting connections, closes existing ones as they become idle, and returns nil
+// when all have ended or the error of ctx when ctx is done.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.Drain()
 	s.closeListeners()
@@ -195,7 +196,7 @@
 	}
 }
 
-// Close ends everything at once.
+// Close closes the listeners and aborts all connections.
 func (s *Server) Close() error {
 	s.closeListeners()
 	s.mu.Lock()
@@ -215,30 +216,31 @@
 	}
 }
 
-// boundedReader is a connection's input of which at most left bytes are read on.
-type boundedReader struct {
-	src  io.Reader
-	left int64
-	// err is the latest error. The parser takes a line that breaks off for a
-	// malformed one.
+// limitedReader reads at most remaining bytes from a connection.
+type limitedReader struct {
+	src       io.Reader
+	remaining int64
+	// err is the latest read error. It is kept here because http.ReadRequest reports a truncated
+	// line as a malformed one.
 	err error
 }
 
-const unbounded = int64(1) << 62
+// unlimited is a value of limitedReader.remaining that no connection reaches.
+const unlimited = int64(1) << 62
 
-var errHeaderTooLarge = errors.New("header too large")
+var errHeaderTooLarge = errors.New("request header too large")
 
 // Read implements io.Reader.
-func (r *boundedReader) Read(p []byte) (int, error) {
-	if r.left <= 0 {
+func (r *limitedReader) Read(p []byte) (int, error) {
+	if r.remaining <= 0 {
 		r.err = errHeaderTooLarge
 		return 0, r.err
 	}
-	if int64(len(p)) > r.left {
-		p = p[:r.left]
+	if int64(len(p)) > r.remaining {
+		p = p[:r.remaining]
 	}
 	n, err := r.src.Read(p)
-	r.left -= int64(n)
+	r.remaining -= int64(n)
 	if err != nil {
 		r.err = err
 	}
--- a/transit/transit.go
+++ b/transit/transit.go
@@ -1,11 +1,11 @@
-// Package transit tells how long messages of other processes were held up on the way.
+// Package transit estimates how long messages from other processes were queued in the network.
 //
-// Hosts share no clock, so a call carries the time that is left and not when it ends.
-// A link with a queue of a second then gives the call a second more: it runs for a
-// caller that has gone. A sender therefore stamps its messages by a clock of its own.
-// The difference between its clock and the receiver's is unknown but nearly constant;
-// the least difference seen of late belongs to a message that was not held up, and what
-// another one's is above it was lost on the way.
+// Hosts share no clock, so a call carries its remaining time rather than an absolute deadline. If
+// a link queues the call for a second, the call gains that second and still runs after its caller
+// has given up. Senders therefore timestamp their messages with their local clock. The offset
+// between the sender's and the receiver's clock is unknown but nearly constant: the lowest recent
+// difference between receive time and send time belongs to a message that was not queued, and any
+// excess over that lowest difference is queueing delay.
 package transit
 
 import (
@@ -15,46 +15,48 @@
 	"golang.org/x/sys/unix"
 )
 
-// memory is for how long the least difference counts, at least; at most twice as long.
-// A sender that never had a free link in that time is believed to be at its usual
-// distance.
-const memory = 15 * time.Second
+// baselineWindow is the minimum time for which the lowest difference of a sender counts; the
+// maximum is twice as long. If no message of a sender crossed the link unqueued within that time,
+// the lowest delay seen is taken for the normal one.
+const baselineWindow = 15 * time.Second
 
-// Sender names one life of a sending process: another life may run on another clock.
+// Sender identifies one run of a sending process. A restarted process may use another clock.
 type Sender struct {
 	Host string
 	Boot uint64
 }
 
-// BootTimeMicros returns the time by this host's clock since it was started, in microseconds. The
-// clock counts times in which the host was suspended: one that does not would make
-// everything that comes after look as if it had been held up for as long.
+// BootTimeMicros returns the time since this host booted in microseconds, or 0 if the clock is
+// not available. The clock includes the time for which the host was suspended: with a clock that
+// stops during suspension, every later message would appear to be delayed by that time.
 func BootTimeMicros() int64 {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// The kernel lacks the clock; without stamps nothing counts as held up.
+		// The kernel lacks this clock; messages without a timestamp count as not delayed.
 		return 0
 	}
 	return ts.Nano() / int64(time.Microsecond)
 }
 
-// Estimator holds the least differences. The zero value is not ready; see New. It is
-// safe for concurrent use.
+// Estimator tracks the lowest difference between receive time and send time for each sender. Use
+// New to create one. It is safe for concurrent use.
 type Estimator struct {
 	mu sync.Mutex
-	// recent and older hold the least differences of two spans of time, in
-	// microseconds.
-	recent, older map[Sender]int64
-	rotated       int64
+	// current and previous hold the lowest differences, in microseconds, of the current and the
+	// previous window.
+	current, previous map[Sender]int64
+	// rotatedAt is the time at which the current window began, as returned by BootTimeMicros.
+	rotatedAt int64
 }
 
-// New returns an estimator that has seen nothing.
+// New returns an empty Estimator.
 func New() *Estimator {
-	return &Estimator{recent: make(map[Sender]int64), older: make(map[Sender]int64)}
+	return &Estimator{current: make(map[Sender]int64), previous: make(map[Sender]int64)}
 }
 
-// Delay takes in a message that was stamped at sent and arrived at now, both from Stamp
-// at either end, and returns how long it was held up. Without a stamp that is 0.
+// Delay records a message that was sent at sent and received at now, and returns its queueing
+// delay. Both times come from BootTimeMicros, sent on the sender's host and now on this one. It
+// returns 0 if either of them is 0.
 func (e *Estimator) Delay(s Sender, sent, now int64) time.Duration {
 	if sent == 0 || now == 0 {
 		return 0
@@ -62,23 +64,24 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.rotate(now)
-	difference := now - sent
-	least, ok := e.recent[s]
-	if !ok || difference < least {
-		least = difference
-		e.recent[s] = difference
+	offset := now - sent
+	lowest, ok := e.current[s]
+	if !ok || offset < lowest {
+		lowest = offset
+		e.current[s] = offset
 	}
-	if old, ok := e.older[s]; ok {
-		least = min(least, old)
+	if old, ok := e.previous[s]; ok {
+		lowest = min(lowest, old)
 	}
-	return time.Duration(difference-least) * time.Microsecond
+	return time.Duration(offset-lowest) * time.Microsecond
 }
 
-// rotate forgets what is too old. The caller holds mu.
+// rotate discards the previous window and starts a new one once the current window is over. The
+// caller holds mu.
 func (e *Estimator) rotate(now int64) {
-	if now-e.rotated < memory.Microseconds() {
+	if now-e.rotatedAt < baselineWindow.Microseconds() {
 		return
 	}
-	e.rotated = now
-	e.recent, e.older = make(map[Sender]int64), e.recent
+	e.rotatedAt = now
+	e.current, e.previous = make(map[Sender]int64), e.current
 }
--- a/transit/transit_test.go
+++ b/transit/transit_test.go
@@ -10,53 +10,54 @@
 const (
 	ms     = int64(time.Millisecond / time.Microsecond)
 	second = 1000 * ms
-	// apart is by how much the sender's clock is ahead.
-	apart = 3600 * second
+	// clockSkew is how far the sender's clock is ahead of the receiver's.
+	clockSkew = 3600 * second
 )
 
-// A link gets a queue and loses it again. Messages lose on the way what is above the
-// least that was seen, however far the clocks are apart.
-func TestDelayIsWhatTheQueueTakes(t *testing.T) {
+// A queue builds up on a link and drains again. The delay is the excess over the lowest latency,
+// regardless of the offset between the clocks.
+func TestDelay_EqualsQueueingTime(t *testing.T) {
 	e, s := New(), Sender{"host-1", 7}
-	for i, c := range []struct{ way, want int64 }{
+	for i, c := range []struct{ latency, want int64 }{
 		{3 * ms, 0}, {2 * ms, 0}, {2 * ms, 0}, {1002 * ms, 1000 * ms}, {52 * ms, 50 * ms}, {2 * ms, 0},
 	} {
 		sent := int64(i+1) * second
-		must.Eq(t, time.Duration(c.want)*time.Microsecond, e.Delay(s, sent+apart, sent+c.way))
+		must.Eq(t, time.Duration(c.want)*time.Microsecond, e.Delay(s, sent+clockSkew, sent+c.latency))
 	}
 }
 
-// A process restarts, perhaps on another machine: its clock has nothing to do with the
-// one before. Its calls must not look hours late.
-func TestAnotherLifeHasAnotherClock(t *testing.T) {
+// Guards against a restarted sender, possibly on another machine, appearing to be hours late
+// because its new clock is compared with the old one.
+func TestDelay_RestartedSenderHasNewClock(t *testing.T) {
 	e := New()
-	must.Eq(t, 0, e.Delay(Sender{"host-1", 7}, second+apart, second))
-	must.Eq(t, 0, e.Delay(Sender{"host-1", 8}, second-apart, second))
-	must.Eq(t, 5*time.Millisecond, e.Delay(Sender{"host-1", 7}, second+apart, second+5*ms))
+	must.Eq(t, 0, e.Delay(Sender{"host-1", 7}, second+clockSkew, second))
+	must.Eq(t, 0, e.Delay(Sender{"host-1", 8}, second-clockSkew, second))
+	must.Eq(t, 5*time.Millisecond, e.Delay(Sender{"host-1", 7}, second+clockSkew, second+5*ms))
 }
 
-// The way has become longer for good. After a while that is the usual distance.
-func TestLongerWayIsForgotten(t *testing.T) {
+// The path latency increases permanently and becomes the new baseline once the old windows have
+// expired.
+func TestDelay_AdaptsToLongerPath(t *testing.T) {
 	e, s := New(), Sender{"host-1", 7}
-	at := int64(memory / time.Microsecond)
+	at := int64(baselineWindow / time.Microsecond)
 	e.Delay(s, at, at+2*ms)
 	must.Eq(t, 98*time.Millisecond, e.Delay(s, at+second, at+second+100*ms))
 	for range 3 {
-		at += int64(memory/time.Microsecond) + second
+		at += int64(baselineWindow/time.Microsecond) + second
 		e.Delay(s, at, at+100*ms)
 	}
 	must.Eq(t, 0, e.Delay(s, at, at+100*ms))
-	must.MapLen(t, 1, e.older)
+	must.MapLen(t, 1, e.previous)
 }
 
-// Messages of programs without stamps count as not held up.
-func TestWithoutStamp(t *testing.T) {
+// Messages from senders that set no timestamp count as not delayed.
+func TestDelay_ZeroWithoutTimestamp(t *testing.T) {
 	must.Eq(t, 0, New().Delay(Sender{}, 0, BootTimeMicros()))
 	must.Positive(t, BootTimeMicros())
 }
 
-// Each call of another daemon asks for its delay.
-func TestDelayAllocatesNothing(t *testing.T) {
+// Delay runs for every call from another daemon, so it must not allocate.
+func TestDelay_DoesNotAllocate(t *testing.T) {
 	e, s := New(), Sender{"host-1", 7}
 	at := second
 	must.Zero(t, testing.AllocsPerRun(1000, func() {
