--- a/peer/bench_test.go
+++ b/peer/bench_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// countingConn counts the writes to a connection, each a system call and, with
-// TCP_NODELAY, as a rule a packet.
+// countingConn counts the writes to a connection. Each write is a system call and, with
+// TCP_NODELAY, usually a packet.
 type countingConn struct {
 	net.Conn
 	writes *atomic.Int64
@@ -25,9 +25,9 @@
 	return c.Conn.Write(p)
 }
 
-// One call costs its sender three writes: the stream's opening, one frame with
-// all messages, the stream's end. Before frames were written whole and the head
-// went out with the first message, it was six.
+// writesPerCall is the number of writes of the sender for one call: the opening of the stream,
+// one frame with all messages, and the closing of the stream. It would be six if the header and
+// body of frames were written separately and the Head were sent apart from the first message.
 const writesPerCall = 3
 
 func BenchmarkPool_Call(b *testing.B) {
@@ -48,7 +48,8 @@
 	must.LessEq(t, calls*writesPerCall, int(writes.Load()))
 }
 
-// startWithWriteCounter returns a pool with an open session whose writes are counted.
+// startWithWriteCounter returns a pool with an open session, the address of its server, and the
+// number of writes by the pool.
 func startWithWriteCounter(b testing.TB) (*Pool, netip.AddrPort, *atomic.Int64) {
 	b.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -76,8 +77,8 @@
 	return p, addr, writes
 }
 
-// BenchmarkPool_SessionMemory reports the heap of one idle session, both ends
-// together, goroutines' stacks included.
+// BenchmarkPool_SessionMemory reports the memory of one idle session, heap and goroutine stacks
+// of both ends together.
 func BenchmarkPool_SessionMemory(b *testing.B) {
 	const sessions = 200
 	for b.Loop() {
@@ -97,7 +98,7 @@
 	}
 }
 
-// memoryInUse returns the bytes of heap and stacks after a collection.
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/peer/coalesce.go
+++ b/peer/coalesce.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// A yamux frame begins with 12 bytes: version, type, flags (2), stream (4),
+// Layout of the 12-byte yamux frame header: version (1), type (1), flags (2), stream ID (4),
 // length (4).
 const (
-	frameHeaderBytes = 12
-	frameTypeOffset      = 1
-	frameTypeData    = 0
-	frameLengthOffset    = 8
-	// maxRetainedFrameBytes bounds the buffer that a session keeps, in bytes.
+	frameHeaderBytes  = 12
+	frameTypeOffset   = 1
+	frameTypeData     = 0
+	frameLengthOffset = 8
+	// maxRetainedFrameBytes is the largest capacity of the write buffer that a session keeps.
 	maxRetainedFrameBytes = 8 << 10
 )
 
-// frameConn sends the header of a data frame together with its body. yamux
-// writes them one after the other, which costs a second system call and, as
-// small writes are not delayed, a second packet for each frame.
+// frameConn writes the header and the body of a data frame together. yamux writes them
+// separately, which costs a second system call and, because Nagle's algorithm is off
+// (TCP_NODELAY), a second packet for each frame.
 type frameConn struct {
 	net.Conn
-	// pending holds a header back until its body comes. yamux writes from one
-	// goroutine.
+	// pending holds the header of a data frame until its body is written. yamux writes from a
+	// single goroutine.
 	pending []byte
-	// lastRead is when bytes last came, in nanoseconds since the process's clock began.
+	// lastRead is when data was last received, in nanoseconds since clockStart.
 	lastRead atomic.Int64
 }
 
-// Read notes that the other end is there.
+// Read reads from the connection and updates lastRead.
 func (c *frameConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -39,15 +39,15 @@
 	return n, err
 }
 
-// timeSinceRead returns how long nothing has come.
+// timeSinceRead returns the time since data was last received.
 func (c *frameConn) timeSinceRead() time.Duration {
 	return time.Since(clockStart) - time.Duration(c.lastRead.Load())
 }
 
-// clockStart is the zero of monotonic readings that are kept as numbers.
+// clockStart is the reference point for monotonic times that are stored as integers.
 var clockStart = time.Now()
 
-// Write holds a data frame's header back and sends everything else.
+// Write buffers the header of a data frame and writes everything else immediately.
 func (c *frameConn) Write(p []byte) (int, error) {
 	if len(c.pending) > 0 {
 		c.pending = append(c.pending, p...)
@@ -62,7 +62,7 @@
 	return c.Conn.Write(p)
 }
 
-// resetPending empties the buffer; one that grew for a large frame is not kept.
+// resetPending empties the buffer and releases one that has grown for a large frame.
 func (c *frameConn) resetPending() {
 	if cap(c.pending) > maxRetainedFrameBytes {
 		c.pending = nil
@@ -70,6 +70,7 @@
 	c.pending = c.pending[:0]
 }
 
+// isDataFrameHeader reports whether p is the header of a data frame with a body.
 func isDataFrameHeader(p []byte) bool {
 	return len(p) == frameHeaderBytes && p[frameTypeOffset] == frameTypeData &&
 		binary.BigEndian.Uint32(p[frameLengthOffset:]) > 0
--- a/peer/example_test.go
+++ b/peer/example_test.go
@@ -11,8 +11,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// A server answers one kind of exchange; the pool connects when it is first
-// asked and keeps the session.
+// The server handles one kind of exchange. The pool connects on the first call and keeps the
+// session open.
 func Example() {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/peer/locality.go
+++ b/peer/locality.go
@@ -6,20 +6,21 @@
 	"sync/atomic"
 )
 
-// Locality is where the other end of a session is, as far as bytes have a price.
+// Locality classifies a peer by whether traffic to it crosses an availability zone, which
+// determines the price of the traffic.
 type Locality uint32
 
-// The places.
+// The localities.
 const (
-	// UnknownLocality is that of a peer which no table lists yet.
+	// UnknownLocality means that the peer is not in the membership table yet.
 	UnknownLocality Locality = iota
-	// SameZone is the own availability zone.
+	// SameZone means that the peer is in the local availability zone.
 	SameZone
-	// OtherZone is any other one.
+	// OtherZone means that the peer is in another availability zone.
 	OtherZone
 )
 
-// String returns the name used in metrics.
+// String returns the label value used in metrics.
 func (p Locality) String() string {
 	switch p {
 	case SameZone:
@@ -30,22 +31,22 @@
 	return "unknown"
 }
 
-// Localities returns all places.
+// Localities returns all localities.
 func Localities() []Locality { return []Locality{UnknownLocality, SameZone, OtherZone} }
 
-// remote is the other end of a session. Its place is looked up once it is known, so that
-// a stream costs an atomic load.
+// remote is the other end of a session. It caches the locality once it is known, so that each
+// message costs only an atomic load.
 type remote struct {
 	addr   netip.Addr
 	lookup func(netip.Addr) Locality
-	cached  atomic.Uint32
+	cached atomic.Uint32
 }
 
 func newRemote(addr netip.Addr, lookup func(netip.Addr) Locality) *remote {
 	return &remote{addr: addr.Unmap(), lookup: lookup}
 }
 
-// remoteOf returns the other end of a connection.
+// remoteOf returns the other end of conn.
 func remoteOf(conn net.Conn, lookup func(netip.Addr) Locality) *remote {
 	if a, ok := conn.RemoteAddr().(*net.TCPAddr); ok {
 		return newRemote(a.AddrPort().Addr(), lookup)
@@ -53,6 +54,7 @@
 	return newRemote(netip.Addr{}, lookup)
 }
 
+// locality returns the cached locality, or looks it up while it is unknown.
 func (r *remote) locality() Locality {
 	if p := Locality(r.cached.Load()); p != UnknownLocality || r.lookup == nil {
 		return p
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -17,7 +17,7 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// rejections records why a server refused input.
+// rejections records the reasons of rejected input.
 type rejections struct {
 	NoMeter
 	c chan RejectReason
@@ -25,7 +25,8 @@
 
 func (r rejections) Rejected(reason RejectReason) { r.c <- reason }
 
-// startServer serves status asks on loopback.
+// startServer runs a server on the loopback interface that answers status requests, never answers
+// pulls and panics on drain requests.
 func startServer(t *testing.T, opts ServerOptions) netip.AddrPort {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,12 +39,12 @@
 		}
 		return st.Send(&peerpb.StatusAnswer{Host: "a"})
 	}))
-	// A kind whose handler never answers.
+	// A handler that never answers.
 	s.Handle(peerpb.Kind_KIND_PULL, HandlerFunc(func(ctx context.Context, st *Stream) error {
 		<-ctx.Done()
 		return nil
 	}))
-	s.Handle(peerpb.Kind_KIND_DRAIN, HandlerFunc(func(context.Context, *Stream) error { panic("a fault of ours") }))
+	s.Handle(peerpb.Kind_KIND_DRAIN, HandlerFunc(func(context.Context, *Stream) error { panic("handler fault") }))
 	done := make(chan error, 1)
 	go func() { done <- s.Serve(ln) }()
 	t.Cleanup(func() {
@@ -57,7 +58,7 @@
 	var ans peerpb.StatusAnswer
 	err := p.Call(ctx, addr, peerpb.Kind_KIND_STATUS, &peerpb.StatusAsk{}, &ans)
 	if err == nil && ans.GetHost() != "a" {
-		return errors.Newf("answer of host %q", ans.GetHost())
+		return errors.Newf("answer has host %q, want \"a\"", ans.GetHost())
 	}
 	return err
 }
@@ -85,9 +86,10 @@
 	must.Eq(t, 1, dials)
 }
 
-// A message makes its handler panic. Its sender takes the broken stream for a daemon that is
-// gone and tries the next one: if the panic ended the process, one message would end the
-// fleet. It ends its own stream, and the others of the session go on.
+// Guards against a message that makes its handler panic and thereby ends the process. Its sender
+// would take the broken stream for a failed daemon and try the next one, so that one message
+// could crash the whole fleet. The panic ends only its own stream; other streams of the session
+// continue.
 func TestServer_PanicEndsOnlyItsStream(t *testing.T) {
 	addr := startServer(t, DefaultServerOptions())
 	p := NewPool(DefaultPoolOptions())
@@ -109,7 +111,7 @@
 		must.Eq(t, "a", ans.GetHost())
 	}
 	p.sessions.Range(func(any, any) bool {
-		t.Fatal("a session was kept")
+		t.Fatal("the session was kept open")
 		return false
 	})
 }
@@ -124,9 +126,9 @@
 	must.ErrorIs(t, callStatus(t.Context(), p, addr), ErrUnreachable)
 }
 
-// A caller sees its exchange fail and the next one succeed. The connection has
-// gone silent while it carries a stream: no byte and no error comes through.
-// The watch must close it, since no error ever would.
+// A connection stops delivering data while it carries a stream, without any error. The exchange
+// in progress fails because the unanswered ping closes the session, and the next exchange
+// succeeds on a new one.
 func TestPool_SilentSessionIsReplaced(t *testing.T) {
 	addr := startServer(t, DefaultServerOptions())
 	opts := DefaultPoolOptions()
@@ -146,7 +148,7 @@
 	must.NoError(t, callStatus(t.Context(), p, addr))
 }
 
-// silentConn takes all writes, passes none on and never has anything to read.
+// silentConn discards all writes and never receives data.
 type silentConn struct {
 	net.Conn
 	once   sync.Once
@@ -165,8 +167,8 @@
 	return c.Conn.Close()
 }
 
-// Another daemon sees its stream closed and the server go on. Each case is
-// input that no daemon sends; the reason is counted.
+// Input that no daemon sends closes its stream and is counted by reason; the server keeps
+// serving.
 func TestServer_BadInputIsRejected(t *testing.T) {
 	oversized := protowire.AppendVarint(nil, MaxHeadBytes+1)
 	for name, tc := range map[string]struct {
@@ -204,7 +206,8 @@
 	}
 }
 
-// A daemon is stopped in the moment of its start.
+// A daemon may be stopped while it is still starting: Serve after Close returns at once, without
+// an error.
 func TestServer_ServeAfterCloseEnds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -17,24 +17,24 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// ErrUnreachable means that no stream could be opened: the peer has seen
-// nothing of the exchange.
+// ErrUnreachable means that no stream could be opened, so the peer has received no part of the
+// exchange.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// PoolOptions holds the bounds of a Pool.
+// PoolOptions configures a Pool.
 type PoolOptions struct {
 	// DialTimeout bounds the time to connect.
 	DialTimeout time.Duration
-	// IdleTimeout is how long a session without streams is kept.
+	// IdleTimeout is how long a session without streams is kept open.
 	IdleTimeout time.Duration
 	Meter       Meter
-	// LocalityOf returns where a peer is, for the meter; nil where nobody asks.
+	// LocalityOf returns the locality of a peer for Meter. If it is nil, the locality is unknown.
 	LocalityOf func(netip.Addr) Locality
-	// Dial connects; tests put relays in between.
+	// Dial connects to a peer. Tests replace it to intercept connections.
 	Dial func(ctx context.Context, addr netip.AddrPort) (net.Conn, error)
 }
 
-// DefaultPoolOptions suit hosts that are a few milliseconds apart.
+// DefaultPoolOptions returns options for hosts that are a few milliseconds apart.
 func DefaultPoolOptions() PoolOptions {
 	return PoolOptions{
 		DialTimeout: time.Second,
@@ -49,9 +49,8 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Pool keeps one session to each peer that is talked to and opens streams on
-// it. It is safe for concurrent use; opening a stream on an open session takes
-// no lock of the pool's.
+// Pool keeps one session to each peer in use and opens streams on it. It is safe for concurrent
+// use. Opening a stream on an existing session takes no lock of the pool.
 type Pool struct {
 	opts     PoolOptions
 	sessions sync.Map // netip.AddrPort to *slot
@@ -61,15 +60,15 @@
 // sessionEntry holds the session to one address.
 type sessionEntry struct {
 	sess atomic.Pointer[yamux.Session]
-	// conn is what the session runs on.
+	// conn is the connection below the session.
 	conn atomic.Pointer[frameConn]
-	// lastUsed is when a stream was last opened, in Unix nanoseconds.
-	lastUsed    atomic.Int64
-	pinging atomic.Bool
-	// dialToken holds a token that a dialer takes, so that all who wait for the
-	// session dial once and each waits no longer than it may.
+	// lastUsed is when a session for a stream was last requested, in Unix nanoseconds.
+	lastUsed atomic.Int64
+	pinging  atomic.Bool
+	// dialToken holds one token, which the goroutine that dials takes. Concurrent callers thus
+	// share one dial, and each of them waits no longer than its context allows.
 	dialToken chan struct{}
-	remote  *remote
+	remote    *remote
 }
 
 func newSessionEntry(remote *remote) *sessionEntry {
@@ -78,7 +77,7 @@
 	return s
 }
 
-// openSession returns the slot's session if it is usable.
+// openSession returns the entry's session if it is open, and otherwise nil.
 func (s *sessionEntry) openSession() *yamux.Session {
 	if sess := s.sess.Load(); sess != nil && !sess.IsClosed() {
 		return sess
@@ -89,8 +88,8 @@
 // NewPool returns a pool without sessions.
 func NewPool(opts PoolOptions) *Pool { return &Pool{opts: opts} }
 
-// Open starts an exchange; it begins to reach the peer with the first Send. The
-// error is ErrUnreachable where nothing can.
+// Open starts an exchange with a peer. Nothing about the exchange is transmitted but the opening
+// of the stream before the first Send. The error is ErrUnreachable if no stream could be opened.
 func (p *Pool) Open(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind) (*Stream, error) {
 	sess, remote, err := p.session(ctx, addr)
 	if err != nil {
@@ -112,7 +111,7 @@
 	return st, st.Queue(&peerpb.Head{Version: protocolVersion, Kind: kind})
 }
 
-// Call is an exchange of one message each way.
+// Call performs an exchange of one message in each direction.
 func (p *Pool) Call(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind, req, resp proto.Message) error {
 	st, err := p.Open(ctx, addr, kind)
 	if err != nil {
@@ -121,9 +120,8 @@
 	return call(ctx, st, req, resp)
 }
 
-// CallOnce is Call over a session of its own that is closed afterwards. One
-// question to each of a thousand daemons would else leave a thousand sessions
-// behind, some 25 KB each.
+// CallOnce is like Call but uses a new session that it closes afterwards. A single request to
+// each of a thousand daemons would otherwise leave a thousand sessions open, at about 25 KB each.
 func (p *Pool) CallOnce(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind, req, resp proto.Message) error {
 	sess, _, err := p.dial(ctx, addr)
 	if err != nil {
@@ -146,7 +144,7 @@
 	return preferContextError(ctx, st.Recv(resp))
 }
 
-// Drop closes the session to a peer, so that the next exchange connects anew.
+// Drop closes the session to a peer, so that the next exchange reconnects.
 func (p *Pool) Drop(addr netip.AddrPort) {
 	v, ok := p.sessions.Load(addr)
 	if !ok {
@@ -157,7 +155,7 @@
 	}
 }
 
-// CloseIdle closes the sessions that have had no stream for IdleTimeout.
+// CloseIdle closes sessions without streams that have not been used for IdleTimeout.
 func (p *Pool) CloseIdle(now time.Time) {
 	p.sessions.Range(func(k, v any) bool {
 		s := v.(*sessionEntry)
@@ -172,7 +170,7 @@
 	})
 }
 
-// Close closes all sessions; later calls of Open fail.
+// Close closes all sessions. Later calls of Open fail.
 func (p *Pool) Close() error {
 	p.closed.Store(true)
 	p.sessions.Range(func(k, _ any) bool {
@@ -182,7 +180,7 @@
 	return nil
 }
 
-// session returns the open session to addr, dialing once for all who wait.
+// session returns the open session to addr. Concurrent callers share one dial.
 func (p *Pool) session(ctx context.Context, addr netip.AddrPort) (*yamux.Session, *remote, error) {
 	v, ok := p.sessions.Load(addr)
 	if !ok {
@@ -230,7 +228,7 @@
 	return sess, framed, nil
 }
 
-// drop closes sess and forgets it, unless another has taken its place.
+// drop closes sess and removes it from its entry unless it has been replaced.
 func (p *Pool) drop(addr netip.AddrPort, sess *yamux.Session) {
 	_ = sess.Close()
 	if v, ok := p.sessions.Load(addr); ok {
@@ -238,8 +236,8 @@
 	}
 }
 
-// Timeouts of a session. yamux's defaults (75 s to open, 5 min to close) would
-// keep what a dead peer holds for minutes.
+// Session limits and timeouts. yamux's defaults (75 s to open a stream, 5 min to close one) would
+// hold the resources of a dead peer for minutes.
 const (
 	writeTimeout       = 2 * time.Second
 	streamOpenTimeout  = 10 * time.Second
@@ -251,8 +249,8 @@
 func sessionConfig() *yamux.Config {
 	c := yamux.DefaultConfig()
 	c.AcceptBacklog = acceptBacklog
-	// Sessions in use are pinged by the pool's watch. The keep-alive only lets
-	// the accepting side find sessions whose other end is gone for good.
+	// The pool's Run pings sessions in use. The keep-alive only lets the accepting side detect
+	// sessions whose peer is permanently gone.
 	c.EnableKeepAlive = true
 	c.KeepAliveInterval = keepAliveInterval
 	c.ConnectionWriteTimeout = writeTimeout
@@ -263,7 +261,8 @@
 	return c
 }
 
-// preferContextError prefers the context's error, which tells why the stream failed.
+// preferContextError replaces err with the context's error, which states why the stream failed,
+// and keeps err as the secondary error. Without a context error it returns err.
 func preferContextError(ctx context.Context, err error) error {
 	if err != nil && ctx.Err() != nil {
 		return errors.WithSecondaryError(ctx.Err(), err)
--- a/peer/server.go
+++ b/peer/server.go
@@ -18,33 +18,33 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// Handler serves one kind of stream. ctx ends with the session; the stream is
-// closed when the handler returns.
+// Handler serves the streams of one kind. ctx is canceled when the session ends; the stream is
+// closed when ServeStream returns.
 type Handler interface {
 	ServeStream(ctx context.Context, s *Stream) error
 }
 
-// HandlerFunc is a function as a Handler.
+// HandlerFunc adapts a function to a Handler.
 type HandlerFunc func(ctx context.Context, s *Stream) error
 
 // ServeStream calls f.
 func (f HandlerFunc) ServeStream(ctx context.Context, s *Stream) error { return f(ctx, s) }
 
-// ServerOptions holds the bounds of a Server.
+// ServerOptions configures a Server.
 type ServerOptions struct {
-	// MaxSessions bounds the sessions held at once.
+	// MaxSessions bounds the number of open sessions.
 	MaxSessions int
-	// MaxStreams bounds the streams served at once over all sessions.
+	// MaxStreams bounds the number of streams served concurrently over all sessions.
 	MaxStreams int
-	// HeadTimeout is how long a new stream may take to say what it is.
+	// HeadTimeout bounds the time to receive the Head of a new stream.
 	HeadTimeout time.Duration
 	Meter       Meter
-	// LocalityOf returns where a peer is, for the meter; nil where nobody asks.
+	// LocalityOf returns the locality of a peer for Meter. If it is nil, the locality is unknown.
 	LocalityOf func(netip.Addr) Locality
 	Logger     *slog.Logger
 }
 
-// DefaultServerOptions suit a fleet of about a thousand daemons.
+// DefaultServerOptions returns options for a fleet of about a thousand daemons.
 func DefaultServerOptions() ServerOptions {
 	return ServerOptions{
 		MaxSessions: 4096,
@@ -55,13 +55,13 @@
 	}
 }
 
-// Server accepts sessions from other daemons.
+// Server accepts sessions from other daemons and serves their streams.
 type Server struct {
 	opts     ServerOptions
 	handlers map[peerpb.Kind]Handler
 	streams  atomic.Int64
 
-	// serveCalls counts the calls of Serve.
+	// serveCalls tracks the calls of Serve in progress.
 	serveCalls sync.WaitGroup
 
 	mu       sync.Mutex
@@ -69,10 +69,10 @@
 	t        tomb.Tomb
 }
 
-// NewServer returns a server without handlers. It must be closed.
+// NewServer returns a server without handlers. The caller must close it.
 func NewServer(opts ServerOptions) *Server {
 	s := &Server{opts: opts, handlers: map[peerpb.Kind]Handler{}, sessions: map[*yamux.Session]struct{}{}}
-	// A tomb takes no goroutine after its last one has ended; this one lives
+	// A tomb rejects new goroutines once its last one has ended. This goroutine keeps it alive
 	// until Close.
 	s.t.Go(func() error {
 		<-s.t.Dying()
@@ -85,7 +85,7 @@
 // Handle sets the handler of a kind. It must be called before Serve.
 func (s *Server) Handle(kind peerpb.Kind, h Handler) { s.handlers[kind] = h }
 
-// Serve accepts sessions until Close, and returns nil then.
+// Serve accepts sessions from ln until Close, and then returns nil. It closes ln.
 func (s *Server) Serve(ln net.Listener) error {
 	if !s.beginServe() {
 		return ln.Close()
@@ -103,8 +103,8 @@
 	return <-result
 }
 
-// beginServe holds off the end of the tomb, which takes no goroutine after it; it
-// reports false after Close.
+// beginServe registers a call of Serve, which keeps the tomb alive so that it still accepts
+// goroutines. It returns false after Close.
 func (s *Server) beginServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,7 +123,7 @@
 				return nil
 			}
 			if !isTemporary(err) {
-				return errors.Wrap(err, "accept peer")
+				return errors.Wrap(err, "accept peer connection")
 			}
 			continue
 		}
@@ -134,7 +134,7 @@
 	}
 }
 
-// Close ends all sessions and waits for the handlers.
+// Close closes all sessions and waits for the handlers to return.
 func (s *Server) Close() error {
 	s.mu.Lock()
 	s.t.Kill(nil)
@@ -185,8 +185,8 @@
 	}
 }
 
-// serveStream reads the head and hands the stream over. A peer that sends
-// something else, or nothing, loses this stream only.
+// serveStream reads the Head and calls the handler of its kind. A peer that sends an invalid
+// Head, or none in time, loses only this stream.
 func (s *Server) serveStream(ctx context.Context, conn net.Conn, remote *remote) {
 	st := newStream(conn, peerpb.Kind_KIND_UNSPECIFIED, s.opts.Meter, remote)
 	defer st.Close()
@@ -199,7 +199,7 @@
 	h, ok := s.handlers[head.GetKind()]
 	if !ok || head.GetVersion() != protocolVersion {
 		s.opts.Meter.Rejected(RejectKind)
-		s.opts.Logger.Warn("peer: stream refused", "kind", head.GetKind(), "version", head.GetVersion())
+		s.opts.Logger.Warn("peer: stream rejected", "kind", head.GetKind(), "version", head.GetVersion())
 		return
 	}
 	st.kind = head.GetKind()
@@ -209,8 +209,9 @@
 	}
 }
 
-// handle calls the handler. A panic ends its stream alone: a call on which handlers panic
-// would be sent again to the next daemon, and would end one after the other.
+// handle calls the handler and turns a panic into an error, so that it ends only this stream. If
+// a panic ended the process, the call that caused it would be retried on the next daemon and
+// crash one daemon after another.
 func (s *Server) handle(ctx context.Context, h Handler, st *Stream) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -1,6 +1,6 @@
-// Package peer carries messages between daemons: one yamux session for each pair
-// that talks, one stream for each exchange, protobuf messages with a length
-// before each.
+// Package peer carries messages between daemons. Each pair of daemons that communicate shares a
+// yamux session, each exchange uses a stream of its own, and messages are length-prefixed
+// protobuf.
 package peer
 
 import (
@@ -20,38 +20,38 @@
 )
 
 const (
-	// protocolVersion of the Head that opens each stream.
+	// protocolVersion is the version in the Head that opens each stream.
 	protocolVersion = 1
-	// MaxMessageBytes bounds one message. The largest is a state or a batch of
-	// records on a pull.
+	// MaxMessageBytes bounds the size of one message. The largest messages carry a whole state or
+	// a batch of records in response to a pull.
 	MaxMessageBytes = 16 << 20
-	// MaxHeadBytes bounds the message that opens a stream, before anything is
-	// known of the sender's intent.
+	// MaxHeadBytes bounds the size of the message that opens a stream, whose kind is still
+	// unknown.
 	MaxHeadBytes = 64
-	// ChunkBytes is how much of a body is sent in one message. It keeps one
-	// body from holding the session for long.
+	// ChunkBytes is the maximum amount of body data in one message. It prevents a single body
+	// from occupying the session for long.
 	ChunkBytes = 32 << 10
 
 	readBufferBytes = 4 << 10
 )
 
-// ErrMessageTooLarge means that a peer announced a message above its bound.
+// ErrMessageTooLarge means that the length prefix of a received message exceeds the limit.
 var ErrMessageTooLarge = errors.New("peer message too large")
 
-// ErrMalformed means that a peer's bytes are not the message expected.
+// ErrMalformed means that received data could not be decoded as the expected message.
 var ErrMalformed = errors.New("peer message malformed")
 
 var sendBuffers = sync.Pool{New: func() any { return new(make([]byte, 0, readBufferBytes)) }}
 
-// Stream is one exchange. One goroutine may read while another writes.
+// Stream is one exchange with a peer. One goroutine may read while another writes.
 type Stream struct {
 	conn  net.Conn
 	r     *bufio.Reader
 	kind  peerpb.Kind
 	meter Meter
-	// remote tells where the other end is.
+	// remote is the peer, for its locality.
 	remote *remote
-	// queued messages go out with the next one sent.
+	// queued holds encoded messages that are sent together with the next one.
 	queued []byte
 }
 
@@ -59,10 +59,10 @@
 	return &Stream{conn: conn, r: bufio.NewReaderSize(conn, readBufferBytes), kind: kind, meter: meter, remote: remote}
 }
 
-// Kind returns what the exchange is about.
+// Kind returns the kind of the exchange.
 func (s *Stream) Kind() peerpb.Kind { return s.kind }
 
-// Send writes one message, with those queued before it.
+// Send writes one message, preceded by those queued.
 func (s *Stream) Send(m proto.Message) error {
 	p := sendBuffers.Get().(*[]byte)
 	defer sendBuffers.Put(p)
@@ -72,8 +72,8 @@
 	if err != nil {
 		return err
 	}
-	// Oversized buffers are left to the collector, so that one large state
-	// does not stay in the pool for good.
+	// Do not return oversized buffers to the pool, so that one large state does not stay there
+	// permanently.
 	if cap(b) <= 2*ChunkBytes {
 		*p = b
 	}
@@ -82,8 +82,7 @@
 	return err
 }
 
-// Queue holds a message back until the next Send, so that both go out in one
-// packet.
+// Queue buffers a message until the next Send, so that both are sent in one packet.
 func (s *Stream) Queue(m proto.Message) error {
 	b, err := appendMessage(s.queued, m)
 	if err == nil {
@@ -98,11 +97,11 @@
 	return b, errors.Wrap(err, "encode peer message")
 }
 
-// Recv reads one message of at most MaxMessageBytes. The error is io.EOF where
-// the peer ended the stream between messages.
+// Recv reads one message of at most MaxMessageBytes. It returns io.EOF if the peer closed the
+// stream between messages.
 func (s *Stream) Recv(m proto.Message) error { return s.RecvMax(m, MaxMessageBytes) }
 
-// RecvMax is Recv with a bound of its own, in bytes.
+// RecvMax is like Recv with a limit in bytes of its own.
 func (s *Stream) RecvMax(m proto.Message, limit int64) error {
 	err := protodelim.UnmarshalOptions{MaxSize: limit}.UnmarshalFrom(s.r, m)
 	if err == nil {
@@ -112,7 +111,8 @@
 	return classifyRecvError(err)
 }
 
-// classifyRecvError tells what the peer did wrong from what the connection did.
+// classifyRecvError marks errors caused by invalid data from the peer and returns connection
+// errors unchanged.
 func classifyRecvError(err error) error {
 	var tooLarge *protodelim.SizeTooLargeError
 	var netErr net.Error
@@ -127,47 +127,49 @@
 	return err
 }
 
-// Buffered returns how many bytes have arrived that no message has been read of yet.
-// There may be more behind them.
+// Buffered returns the number of received bytes that have not been decoded yet. More may be
+// pending on the connection.
 func (s *Stream) Buffered() int { return s.r.Buffered() }
 
-// SetDeadline bounds all reads and writes.
+// SetDeadline sets the deadline of all reads and writes.
 func (s *Stream) SetDeadline(t time.Time) error { return s.conn.SetDeadline(t) }
 
-// SetReadDeadline bounds reads.
+// SetReadDeadline sets the deadline of all reads.
 func (s *Stream) SetReadDeadline(t time.Time) error { return s.conn.SetReadDeadline(t) }
 
-// SetWriteDeadline bounds writes.
+// SetWriteDeadline sets the deadline of all writes.
 func (s *Stream) SetWriteDeadline(t time.Time) error { return s.conn.SetWriteDeadline(t) }
 
-// BindReads makes reads fail once ctx is done; writes still work, so that the
-// peer can be told. The returned function undoes the binding.
+// BindReads makes reads fail once ctx is done. Writes still work, so that an error can be sent to
+// the peer. The returned function removes the binding.
 func (s *Stream) BindReads(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = s.conn.SetReadDeadline(time.Unix(1, 0)) })
 }
 
-// BindContext makes reads and writes fail once ctx is done. The returned
-// function undoes the binding.
+// BindContext makes reads and writes fail once ctx is done. The returned function removes the
+// binding.
 func (s *Stream) BindContext(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() { _ = s.conn.SetDeadline(time.Unix(1, 0)) })
 }
 
-// Close ends the stream.
+// Close closes the stream.
 func (s *Stream) Close() error { return s.conn.Close() }
 
-// Meter counts the bytes of messages by kind. Implementations are safe for
-// concurrent use.
+// Meter counts transferred bytes by message kind and locality, and rejected input.
+// Implementations are safe for concurrent use.
 type Meter interface {
-	Sent(kind peerpb.Kind, place Locality, bytes int)
-	Received(kind peerpb.Kind, place Locality, bytes int)
-	// Rejected counts input that was refused.
+	// Sent adds the size of sent messages.
+	Sent(kind peerpb.Kind, locality Locality, bytes int)
+	// Received adds the size of a received message.
+	Received(kind peerpb.Kind, locality Locality, bytes int)
+	// Rejected counts one rejected input.
 	Rejected(reason RejectReason)
 }
 
-// RejectReason is why input from a peer was refused.
+// RejectReason is the reason why input from a peer was rejected. It is a label value in metrics.
 type RejectReason string
 
-// The reasons.
+// Reject reasons.
 const (
 	RejectHead     RejectReason = "bad_head"
 	RejectKind     RejectReason = "unknown_kind"
@@ -176,11 +178,11 @@
 	RejectSessions RejectReason = "too_many_sessions"
 	RejectStreams  RejectReason = "too_many_streams"
 	RejectSession  RejectReason = "session_broken"
-	// RejectSilent counts sessions given up since a ping was not answered.
+	// RejectSilent counts sessions closed because a ping was not answered.
 	RejectSilent RejectReason = "session_silent"
 )
 
-// NoMeter counts nothing.
+// NoMeter is a Meter that counts nothing.
 type NoMeter struct{}
 
 // Sent does nothing.
--- a/peer/watch.go
+++ b/peer/watch.go
@@ -9,22 +9,21 @@
 )
 
 const (
-	// checkInterval is how often sessions with streams are checked, and how long one must
-	// have brought nothing to be pinged. With pingTimeout it bounds the time until a
-	// connection that went silent is given up: 1.4 s after its last byte.
+	// checkInterval is how often sessions with streams are checked, and how long such a session
+	// must have received nothing before it is pinged. Together with pingTimeout it bounds the
+	// time until an unresponsive connection is closed: 1.4 s after its last received byte.
 	checkInterval = 250 * time.Millisecond
-	// pingTimeout is far above a round trip between regions and a scheduler's
-	// delay under load, and leaves the kernel the time to notice first that a host
-	// is gone.
+	// pingTimeout is far above a round trip between regions and the scheduling delay under load.
+	// It also gives the kernel time to detect first that a host is gone.
 	pingTimeout = 900 * time.Millisecond
-	// idleCheckInterval is how often idle sessions are looked for.
+	// idleCheckInterval is how often idle sessions are closed.
 	idleCheckInterval = 10 * time.Second
 )
 
-// Run watches the sessions until ctx is done: those that carry streams must
-// answer pings, those without streams are closed after a while. A connection
-// whose ends have lost each other brings no error by itself; without the
-// watch, every exchange on it would wait for its own time to be up.
+// Run monitors the sessions until ctx is done. It closes sessions with streams that do not answer
+// pings, and sessions that have been without streams for IdleTimeout. A connection on which
+// packets are silently lost returns no error by itself; without this check, each exchange on it
+// would wait until its own timeout.
 func (p *Pool) Run(ctx context.Context) error {
 	watch := time.NewTicker(checkInterval)
 	defer watch.Stop()
@@ -42,7 +41,8 @@
 	}
 }
 
-// pingActive pings each session that carries streams, in the background.
+// pingActive pings, in the background, each session that has streams and has received no data
+// recently.
 func (p *Pool) pingActive(ctx context.Context) {
 	p.sessions.Range(func(k, v any) bool {
 		s := v.(*sessionEntry)
@@ -53,8 +53,8 @@
 	})
 }
 
-// pingSession closes a session that does not answer in time. Its streams then fail
-// at once.
+// pingSession closes a session that does not answer a ping within pingTimeout. Its streams then
+// fail immediately.
 func (p *Pool) pingSession(ctx context.Context, addr netip.AddrPort, s *sessionEntry, sess *yamux.Session) {
 	defer s.pinging.Store(false)
 	answered := make(chan error, 1)
@@ -77,8 +77,8 @@
 	p.drop(addr, sess)
 }
 
-// sessionToPing returns the slot's session if it carries streams, has brought nothing of late and no
-// ping is out.
+// sessionToPing returns the entry's session if it has streams, has received nothing for
+// checkInterval and has no ping outstanding, and otherwise nil. It marks a ping as outstanding.
 func (s *sessionEntry) sessionToPing() *yamux.Session {
 	sess := s.sess.Load()
 	if sess == nil || sess.IsClosed() || sess.NumStreams() == 0 {
--- a/peer/watch_test.go
+++ b/peer/watch_test.go
@@ -10,10 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// A call takes a while, and its session carries answers all the time. Each ping woke both
-// daemons twice, and pings were 7% of their processor on narrow hosts under load; bytes that
-// come tell as much. Once nothing comes any more the session is pinged, so that one whose
-// ends have lost each other is still given up.
+// A session that keeps receiving data is not pinged: received data shows as much as a ping, and
+// each ping wakes both daemons twice, which took 7% of their CPU time on small hosts under load.
+// Once nothing is received any more the session is pinged, so that a broken one is still closed.
 func TestSessionEntry_ReceivingSessionIsNotPinged(t *testing.T) {
 	near, far := net.Pipe()
 	server, err := yamux.Server(far, sessionConfig())
@@ -34,10 +33,10 @@
 	must.Nil(t, s.sessionToPing())
 	silent(checkInterval)
 	must.NotNil(t, s.sessionToPing())
-	must.Nil(t, s.sessionToPing(), must.Sprint("a ping is out"))
+	must.Nil(t, s.sessionToPing(), must.Sprint("a ping is outstanding"))
 }
 
-// What a read brings counts as heard.
+// Any data read updates the time of the last receipt.
 func TestFrameConn_ReadUpdatesLastRead(t *testing.T) {
 	near, far := net.Pipe()
 	defer near.Close()
