--- a/peer/pool.go
+++ b/peer/pool.go
@@ -53,7 +53,7 @@
 // use. Opening a stream on an existing session takes no lock of the pool.
 type Pool struct {
 	opts     PoolOptions
-	sessions sync.Map // netip.AddrPort to *slot
+	sessions sync.Map // netip.AddrPort to *sessionEntry
 	closed   atomic.Bool
 }
 
@@ -88,8 +88,8 @@
 // NewPool returns a pool without sessions.
 func NewPool(opts PoolOptions) *Pool { return &Pool{opts: opts} }
 
-// Open starts an exchange with a peer. Nothing about the exchange is transmitted but the opening
-// of the stream before the first Send. The error is ErrUnreachable if no stream could be opened.
+// Open starts an exchange with a peer. The peer does not receive the kind of the exchange before
+// the first Send. The error is ErrUnreachable if no stream could be opened.
 func (p *Pool) Open(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind) (*Stream, error) {
 	sess, remote, err := p.session(ctx, addr)
 	if err != nil {
--- a/pipeline/conn.go
+++ b/pipeline/conn.go
@@ -14,7 +14,7 @@
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 16 << 10
 	// lingerTimeout is how long input is still read and discarded after the last response.
-	// Closing a connection with unread input resets it, and the caller could lose the response.
+	// Closing a connection with unread input resets it, and the caller would lose the response.
 	lingerTimeout = 500 * time.Millisecond
 	// writeTimeout bounds one write to a caller that does not read.
 	writeTimeout = 30 * time.Second
@@ -199,8 +199,6 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.queue) == 0 && !c.reading {
-		// A caller that always has another request queued behind the one being answered would
-		// otherwise keep the connection open forever.
 		c.closing = true
 		_ = c.nc.SetReadDeadline(time.Unix(1, 0))
 	}
@@ -228,8 +226,8 @@
 	defer c.mu.Unlock()
 	c.reading = false
 	if c.srv.draining.Load() && len(c.queue) > 0 {
-		// A caller that always has a request behind the one that is answered would
-		// keep the connection for good.
+		// A caller that always has another request queued behind the one being answered would
+		// otherwise keep the connection open forever.
 		c.closing = true
 	}
 	if c.closing {
