--- a/pipeline/pipeline_test.go
+++ b/pipeline/pipeline_test.go
@@ -63,7 +63,8 @@
 	return resp, string(b)
 }
 
-// Three pipelined requests run concurrently and the responses arrive in request order.
+// A caller pipelines three requests. All three run concurrently, since each handler waits for the
+// others to start, and the responses arrive in request order.
 func TestPipelinedRequestsRunConcurrentlyAndRespondInOrder(t *testing.T) {
 	var all sync.WaitGroup
 	all.Add(3)
@@ -165,14 +166,14 @@
 // Guards against treating a caller as disconnected because the read deadline of an earlier body
 // has passed.
 func TestBodyReadDeadlineDoesNotCancelLaterRequests(t *testing.T) {
-	for _, maxHeld := range []int64{2, 1 << 20} {
-		t.Run(fmt.Sprint("held up to ", maxHeld), func(t *testing.T) {
+	for _, maxBuffered := range []int64{2, 1 << 20} {
+		t.Run(fmt.Sprint("buffered up to ", maxBuffered), func(t *testing.T) {
 			_, dial := start(t, func(w http.ResponseWriter, r *http.Request) {
 				_, err := io.Copy(io.Discard, r.Body)
 				must.NoError(t, err)
 				must.NoError(t, http.NewResponseController(w).SetReadDeadline(time.Unix(1, 0)))
 				fmt.Fprint(w, r.Context().Err())
-			}, func(o *Options) { o.MaxBufferedBody = maxHeld })
+			}, func(o *Options) { o.MaxBufferedBody = maxBuffered })
 			nc := dial()
 			br := bufio.NewReader(nc)
 			for range 3 {
