--- a/peer/locality.go
+++ b/peer/locality.go
@@ -21,8 +21,8 @@
 )
 
 // String returns the label value used in metrics.
-func (p Locality) String() string {
-	switch p {
+func (l Locality) String() string {
+	switch l {
 	case SameZone:
 		return "same_zone"
 	case OtherZone:
--- a/transit/transit.go
+++ b/transit/transit.go
@@ -15,9 +15,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// baselineWindow is the minimum time for which the lowest difference of a sender counts; the
-// maximum is twice as long. If no message of a sender crossed the link unqueued within that time,
-// the lowest delay seen is taken for the normal one.
+// baselineWindow is the minimum time for which the lowest difference of a sender counts. While
+// messages arrive, the maximum is twice as long. If no message of a sender crossed the link
+// unqueued within that time, the lowest delay seen is taken for the normal one.
 const baselineWindow = 15 * time.Second
 
 // Sender identifies one run of a sending process. A restarted process may use another clock.
@@ -76,8 +76,8 @@
 	return time.Duration(offset-lowest) * time.Microsecond
 }
 
-// rotate discards the previous window and starts a new one once the current window is over. The
-// caller holds mu.
+// rotate starts a new window once the current one is over. The current window replaces the
+// previous one, whose values are discarded. The caller holds mu.
 func (e *Estimator) rotate(now int64) {
 	if now-e.rotatedAt < baselineWindow.Microseconds() {
 		return
