--- a/internal/cli/contractcmd/history.go
+++ b/internal/cli/contractcmd/history.go
@@ -62,7 +62,7 @@
 }
 
 func verdict(it history.Item) string {
-	if it.Verdict == history.Repeated {
+	if it.Verdict == history.Duplicate {
 		return fmt.Sprintf("repeat of %d", it.RepeatOf)
 	}
 	return string(it.Verdict)
--- a/internal/cli/draincmd/drain.go
+++ b/internal/cli/draincmd/drain.go
@@ -63,7 +63,7 @@
 	return "draining"
 }
 
-func countFailed(a *operator.DrainAnswer) int {
+func countFailed(a *operator.DrainResponse) int {
 	n := 0
 	for _, d := range a.Daemons {
 		if d.Error != "" {
--- a/internal/cli/explaincmd/explain.go
+++ b/internal/cli/explaincmd/explain.go
@@ -59,7 +59,7 @@
 	}
 	own, calls := explain.Split(request, lines)
 	own = explain.Order(own)
-	out := explanation{Request: request, Verdict: explain.Verdict(own), LostCalls: explain.LostCalls(calls)}
+	out := explanation{Request: request, Verdict: explain.Verdict(own), LostCalls: explain.FailedCalls(calls)}
 	for _, l := range own {
 		out.Lines = append(out.Lines, l.Raw)
 	}
--- a/internal/daemon/address.go
+++ b/internal/daemon/address.go
@@ -38,6 +38,6 @@
 		if err != nil {
 			return nil, err
 		}
-		return netopt.Late(conn), nil
+		return netopt.DelayClose(conn), nil
 	}
 }
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -155,9 +155,9 @@
 	"too_large":         "the caller's body is larger than allowed",
 }
 
-// LostCalls says of each call that a run may have made and that failed what became of it.
+// FailedCalls says of each call that a run may have made and that failed what became of it.
 // A run fails with a call that it needs, and its answer does not tell.
-func LostCalls(calls []Line) []string {
+func FailedCalls(calls []Line) []string {
 	var lost []string
 	for _, l := range calls {
 		if !l.ended() || l.Kind == "" {
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -25,14 +25,14 @@
 	own, calls := Split("p1", lines)
 	must.Len(t, 1, own)
 	must.StrContains(t, Verdict(Order(own)), "status 500")
-	lost := LostCalls(calls)
+	lost := FailedCalls(calls)
 	must.Len(t, 1, lost)
 	must.StrContains(t, lost[0], "c1 to desk, ended as overloaded at host-1")
 	must.StrContains(t, lost[0], "1 other request")
 	lines, err = Read(strings.NewReader(chainLog), "p3")
 	must.NoError(t, err)
 	_, calls = Split("p3", lines)
-	must.SliceEmpty(t, LostCalls(calls))
+	must.SliceEmpty(t, FailedCalls(calls))
 }
 
 func TestSummary(t *testing.T) {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -20,15 +20,15 @@
 // Verdict is what became of a record.
 type Verdict string
 
-// The verdicts. Repeated records carry the publish id of an earlier one, whose
-// verdict stands. Forgotten ones are older than what the fold remembers.
+// The verdicts. Duplicate records carry the publish id of an earlier one, whose
+// verdict stands. Evicted ones are older than what the fold remembers.
 const (
 	Accepted   Verdict = "accepted"
 	Rejected   Verdict = "rejected"
-	Repeated   Verdict = "repeated"
+	Duplicate   Verdict = "repeated"
 	Unreadable Verdict = "unreadable"
 	Undecided  Verdict = "undecided"
-	Forgotten  Verdict = "forgotten"
+	Evicted  Verdict = "forgotten"
 )
 
 // Item is one record.
@@ -138,9 +138,9 @@
 		it.Verdict = Rejected
 		it.Reasons = []string{"the record names no publish id"}
 	case !ok:
-		it.Verdict = Forgotten
+		it.Verdict = Evicted
 	case v.Offset < it.Offset:
-		it.Verdict, it.RepeatOf = Repeated, v.Offset
+		it.Verdict, it.RepeatOf = Duplicate, v.Offset
 	case v.Accepted:
 		it.Verdict = Accepted
 	default:
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -46,7 +46,7 @@
 		verdicts = append(verdicts, it.Verdict)
 	}
 	must.Eq(t, []history.Verdict{
-		history.Accepted, history.Repeated, history.Rejected, history.Unreadable,
+		history.Accepted, history.Duplicate, history.Rejected, history.Unreadable,
 		history.Rejected, history.Accepted, history.Undecided,
 	}, verdicts)
 	must.Eq(t, 1, items[1].RepeatOf)
--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -35,12 +35,12 @@
 // peer has taken what was sent.
 const lateClose = 2 * time.Second
 
-// Late returns conn with a Close that does not wait for the peer: the connection fails at
+// DelayClose returns conn with a Close that does not wait for the peer: the connection fails at
 // once for the program and is closed a little later. On the users' platform closing a
 // session to a frozen host keeps the process from running, and the calls of callers that
 // leave meanwhile are run. The peer learns of it later, which suits sessions on which only
 // this end begins exchanges.
-func Late(conn net.Conn) net.Conn {
+func DelayClose(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return conn
@@ -83,7 +83,7 @@
 			_ = l.control("", "", raw)
 		}
 	}
-	return Late(conn), nil
+	return DelayClose(conn), nil
 }
 
 // Input is what a read of a connection would find.
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -47,7 +47,7 @@
 	defer ln.Close()
 	dialed, err := net.Dial("tcp", ln.Addr().String())
 	must.NoError(t, err)
-	conn := Late(dialed)
+	conn := DelayClose(dialed)
 	read := make(chan error)
 	go func() {
 		_, err := conn.Read(make([]byte, 1))
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -113,8 +113,8 @@
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainAnswer is the answer of /v1/drain.
-type DrainAnswer struct {
+// DrainResponse is the answer of /v1/drain.
+type DrainResponse struct {
 	Daemons []DrainedDaemon `json:"daemons"`
 }
 
@@ -179,8 +179,8 @@
 	return a
 }
 
-func newDrainAnswer(results []fleet.DrainResult) DrainAnswer {
-	a := DrainAnswer{Daemons: make([]DrainedDaemon, 0, len(results))}
+func newDrainAnswer(results []fleet.DrainResult) DrainResponse {
+	a := DrainResponse{Daemons: make([]DrainedDaemon, 0, len(results))}
 	for _, r := range results {
 		d := DrainedDaemon{Host: r.Host}
 		if r.Err != nil {
--- a/internal/operator/client.go
+++ b/internal/operator/client.go
@@ -86,7 +86,7 @@
 }
 
 // Drain asks daemons to begin a graceful shutdown.
-func (c *Client) Drain(ctx context.Context, ask DrainRequest) (*DrainAnswer, error) {
+func (c *Client) Drain(ctx context.Context, ask DrainRequest) (*DrainResponse, error) {
 	body, err := json.Marshal(ask)
 	if err != nil {
 		return nil, errors.Wrap(err, "encode request")
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	a := &DrainAnswer{}
+	a := &DrainResponse{}
 	return a, errors.Wrapf(json.Unmarshal(b, a), "answer of %s", c.base)
 }
 
