--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -25,10 +25,10 @@
 const (
 	Accepted   Verdict = "accepted"
 	Rejected   Verdict = "rejected"
-	Duplicate   Verdict = "repeated"
+	Duplicate  Verdict = "repeated"
 	Unreadable Verdict = "unreadable"
 	Undecided  Verdict = "undecided"
-	Evicted  Verdict = "forgotten"
+	Evicted    Verdict = "forgotten"
 )
 
 // Item is one record.
