--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain finds what became of one request in the logs of several daemons and
-// puts the lines in the order in which things happened.
+// Package explain extracts the lines of a request from the logs of several daemons, sorts them by
+// cause and effect, and describes how the request ended.
 package explain
 
 import (
@@ -11,72 +11,81 @@
 	"strings"
 )
 
-// maxLineBytes bounds a line that is looked at.
+// maxLineBytes is the maximum length of a log line. A longer line is an error.
 const maxLineBytes = 1 << 20
 
-// Line is one log line of a request.
+// Line is a log line about a request, or about one of its attempts.
 type Line struct {
-	// Host of the daemon that wrote it.
+	// Host is the host of the daemon that wrote the line.
 	Host string `json:"host"`
-	// Message begins with the part of the daemon that wrote it.
+	// Message begins with the part of the daemon that wrote the line: "outbound:" at the daemon
+	// that received the request from its caller, "inbound:" at the gate that an attempt was sent
+	// to.
 	Message string `json:"msg"`
+	// Request is the ID of the request.
 	Request string `json:"request"`
-	// To is the host that an attempt went to, set by outbound.
+	// To is the host that an attempt was sent to. Lines of outbound have it.
 	To string `json:"to"`
-	// Attempt is the attempt's number, from 1.
-	Attempt int    `json:"attempt"`
-	Kind    string `json:"kind"`
-	Error   string `json:"error"`
-	Reason  string `json:"reason"`
-	Status  int    `json:"status"`
-	// Refusals and Attempts are counted over the whole request.
+	// Attempt is the number of the attempt, starting at 1.
+	Attempt int `json:"attempt"`
+	// Kind is the kind of the error, empty if there was none.
+	Kind   string `json:"kind"`
+	Error  string `json:"error"`
+	Reason string `json:"reason"`
+	// Status is the HTTP status of the backend server's response.
+	Status int `json:"status"`
+	// Refusals and Attempts are totals of the request: the attempts that gates refused, and all
+	// attempts.
 	Refusals int    `json:"refusals"`
 	Attempts int    `json:"attempts"`
 	Service  string `json:"service"`
-	// Nested is whether a service made the call for a request that it worked on, MadeFor the
-	// requests of which one may be that.
-	Nested  bool     `json:"nested"`
-	MadeFor []string `json:"made_for"`
-	// Raw is the line as it was written.
+	// Nested is whether the call was made by a service that was processing another request.
+	// PossibleParents holds the IDs of the requests that it may have been processing.
+	Nested          bool     `json:"nested"`
+	PossibleParents []string `json:"made_for"`
+	// Raw is the JSON of the line as it was written.
 	Raw string `json:"-"`
 }
 
-func (l Line) inbound() bool { return strings.HasPrefix(l.Message, "inbound:") }
+// fromGate reports whether the line was written by the gate that an attempt was sent to.
+func (l Line) fromGate() bool { return strings.HasPrefix(l.Message, "inbound:") }
 
-// ends are the messages of the last line of a request.
-var ends = []string{"outbound: request ended", "outbound: request not admitted", "outbound: request not begun"}
+// finalMessages are the messages of the line that is logged at the end of a request.
+var finalMessages = []string{"outbound: request ended", "outbound: request not admitted", "outbound: request not begun"}
 
-// ended reports whether the line is the last of its request.
-func (l Line) ended() bool {
-	return slices.Contains(ends, l.Message)
+// isFinal reports whether the line was logged at the end of its request.
+func (l Line) isFinal() bool {
+	return slices.Contains(finalMessages, l.Message)
 }
 
-// of reports whether the line is of a request, or of a call that its run may have made.
-func (l Line) of(request string) bool {
-	return l.Request == request || slices.Contains(l.MadeFor, request)
+// concerns reports whether the line is about the request, or about a nested call that may have been
+// made while the request was processed.
+func (l Line) concerns(request string) bool {
+	return l.Request == request || slices.Contains(l.PossibleParents, request)
 }
 
-// Read returns the lines of a request in a log, and of the calls that its run may have
-// made, in the order of the log. Text before the JSON of a line, such as another program's
-// time stamp, is passed over, and so are lines that are no JSON.
+// Read returns the lines of a log about a request, and about the nested calls that may have been
+// made while it was processed, in the order of the log. Text before the JSON of a line, such as the
+// timestamp of another program, is skipped, and so are lines without valid JSON.
 func Read(r io.Reader, request string) ([]Line, error) {
 	var lines []Line
 	err := scan(r, func(text string) bool { return strings.Contains(text, request) }, func(l Line) {
-		if l.of(request) {
+		if l.concerns(request) {
 			lines = append(lines, l)
 		}
 	})
 	return lines, err
 }
 
-// scan passes on the log lines whose text may be of interest.
-func scan(r io.Reader, may func(text string) bool, take func(Line)) error {
+// scan calls handle with each log line whose text satisfies mayMatch. mayMatch avoids decoding most
+// of the other lines.
+func scan(r io.Reader, mayMatch func(text string) bool, handle func(Line)) error {
 	in := bufio.NewScanner(r)
 	in.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for in.Scan() {
 		text := in.Text()
 		start := strings.IndexByte(text, '{')
-		if start < 0 || !may(text) {
+		if start < 0 || !mayMatch(text) {
 			continue
 		}
 		var l Line
@@ -84,12 +93,13 @@
 			continue
 		}
 		l.Raw = text[start:]
-		take(l)
+		handle(l)
 	}
 	return in.Err()
 }
 
-// Split parts the lines of a request from those of calls that its run may have made.
+// Split separates the lines about a request from those about the nested calls that may have been
+// made while it was processed.
 func Split(request string, lines []Line) (own, calls []Line) {
 	for _, l := range lines {
 		if l.Request == request {
@@ -101,95 +111,98 @@
 	return own, calls
 }
 
-// Order puts lines of one request, of any number of logs, in the order in which things
-// happened. Wall clocks of hosts differ, so times do not count: what a gate wrote of an
-// attempt comes before what the daemon that made it wrote of its end. Lines of one
-// daemon keep their order.
+// Order sorts the lines of one request, from any number of logs, by cause and effect. It ignores
+// timestamps, because the clocks of hosts differ: the lines of a gate about an attempt precede the
+// line that the sending daemon logged at the end of the attempt. Lines of the same daemon keep
+// their order.
 func Order(lines []Line) []Line {
-	var ordered, gate []Line
+	var ordered, gateLines []Line
 	for _, l := range lines {
-		if l.inbound() {
-			gate = append(gate, l)
+		if l.fromGate() {
+			gateLines = append(gateLines, l)
 		}
 	}
-	take := func(match func(Line) bool) {
-		kept := gate[:0]
-		for _, g := range gate {
+	appendMatching := func(match func(Line) bool) {
+		remaining := gateLines[:0]
+		for _, g := range gateLines {
 			if match(g) {
 				ordered = append(ordered, g)
 			} else {
-				kept = append(kept, g)
+				remaining = append(remaining, g)
 			}
 		}
-		gate = kept
+		gateLines = remaining
 	}
 	for _, l := range lines {
 		switch {
-		case l.inbound():
+		case l.fromGate():
 			continue
-		case l.ended():
-			take(func(Line) bool { return true })
+		case l.isFinal():
+			appendMatching(func(Line) bool { return true })
 		default:
-			take(func(g Line) bool { return g.Host == l.To && g.Attempt == l.Attempt })
+			appendMatching(func(g Line) bool { return g.Host == l.To && g.Attempt == l.Attempt })
 		}
 		ordered = append(ordered, l)
 	}
-	return append(ordered, gate...)
+	return append(ordered, gateLines...)
 }
 
-// meanings tells what decided a request that ended with a kind, for people.
-var meanings = map[string]string{
-	"no_route":          "no route of the document in force matches its host and path",
+// kindDescriptions describes the cause of each error kind for people. "It" is the request.
+var kindDescriptions = map[string]string{
+	"no_route":          "no route of the configuration document in force matches its host and path",
 	"not_ready":         "the daemon had no configuration in force yet",
-	"no_backend":        "the daemon knew of no backend server that takes calls of the service",
+	"no_backend":        "the daemon knew of no backend server that accepts calls of the service",
 	"overloaded":        "the queues of the backend servers were too long for its latency objective; it has not run",
-	"shed":              "the backend servers turned it away themselves; it has not run",
-	"draining":          "the backend servers that were tried leave; it has not run",
+	"shed":              "the backend servers themselves rejected it; it has not run",
+	"draining":          "the backend servers that were tried are draining; it has not run",
 	"unreachable":       "the backend servers that were tried could not be reached; it has not run",
 	"deadline_not_run":  "too little time was left to run it",
-	"deadline_exceeded": "its time, or its route's timeout, was over before the answer came",
-	"outcome_unknown":   "the link to the backend server's host broke, and nobody can tell whether it ran",
-	"backend_failed":    "the backend server broke off, or gave no answer that can be passed on",
-	"canceled":          "the caller went away before the answer",
-	"bad_request":       "the caller's request cannot be served as it is",
-	"too_large":         "the caller's body is larger than allowed",
+	"deadline_exceeded": "its deadline or the timeout of its route passed before the response arrived",
+	"outcome_unknown":   "the connection to the backend server's host broke, and it is unknown whether it ran",
+	"backend_failed":    "the backend server aborted its response, or sent none that can be forwarded",
+	"canceled":          "the caller disconnected before the response",
+	"bad_request":       "the request is invalid",
+	"too_large":         "the request body is larger than the limit",
 }
 
-// FailedCalls says of each call that a run may have made and that failed what became of it.
-// A run fails with a call that it needs, and its answer does not tell.
+// FailedCalls describes each failed call among the nested calls that may have been made while a request
+// was processed. A request usually fails if a nested call that it needs fails, and the response
+// does not show that cause.
 func FailedCalls(calls []Line) []string {
-	var lost []string
+	var failed []string
 	for _, l := range calls {
-		if !l.ended() || l.Kind == "" {
+		if !l.isFinal() || l.Kind == "" {
 			continue
 		}
-		lost = append(lost, fmt.Sprintf("A call that its run may have made, %s to %s, ended as %s at %s: %s. It may also be of %d other requests.",
-			l.Request, l.Service, l.Kind, l.Host, meaningOf(l), len(l.MadeFor)-1))
+		failed = append(failed, fmt.Sprintf("A nested call that it may have made, %s to %s, ended as %s at %s: %s. The call may also belong to %d other requests.",
+			l.Request, l.Service, l.Kind, l.Host, describeKind(l), len(l.PossibleParents)-1))
 	}
-	return lost
+	return failed
 }
 
-func meaningOf(l Line) string {
-	if meaning, ok := meanings[l.Kind]; ok {
-		return meaning
+// describeKind describes the error kind of a line. For a kind without a description it returns the
+// error of the line.
+func describeKind(l Line) string {
+	if description, ok := kindDescriptions[l.Kind]; ok {
+		return description
 	}
 	return l.Error
 }
 
-// Verdict says in a sentence what decided a request, from its ordered lines.
+// Verdict describes in one sentence how a request ended, given its lines as sorted by Order.
 func Verdict(lines []Line) string {
 	for _, l := range lines {
-		if !l.ended() {
+		if !l.isFinal() {
 			continue
 		}
 		if l.Kind == "" {
-			return fmt.Sprintf("Answered by the backend server on %s with status %d, after %d attempts, %d of them refused by gates.",
+			return fmt.Sprintf("The backend server on %s responded with status %d after %d attempts, %d of them refused by gates.",
 				l.To, l.Status, l.Attempts, l.Refusals)
 		}
-		return fmt.Sprintf("Ended as %s at %s after %d attempts, %d of them refused by gates: %s.", l.Kind, l.Host, l.Attempts, l.Refusals, meaningOf(l))
+		return fmt.Sprintf("Ended as %s at %s after %d attempts, %d of them refused by gates: %s.", l.Kind, l.Host, l.Attempts, l.Refusals, describeKind(l))
 	}
 	if len(lines) == 0 {
-		return "No line tells of the request: it may have gone well among many, or the log of its daemon is missing."
+		return "No line is about the request: it may have succeeded without being logged, or the log of its daemon is missing."
 	}
-	return "The end of the request is not told: the log of the daemon that took it is missing, or that daemon ended."
+	return "The end of the request is not told: the log of the daemon that received it is missing, or that daemon stopped before the end."
 }
--- a/internal/explain/summary.go
+++ b/internal/explain/summary.go
@@ -8,47 +8,48 @@
 	"strings"
 )
 
-// End is one way in which requests ended.
-type End struct {
-	// Service that the requests were for, empty where none was chosen.
+// Outcome describes how a group of requests ended.
+type Outcome struct {
+	// Service is the service that the requests were for, empty if none had been chosen.
 	Service string `json:"service"`
-	// Nested is whether services made the requests for others that they worked on.
+	// Nested is whether the requests were made by services that were processing other requests.
 	Nested bool `json:"nested"`
-	// Kind of the error, empty for a backend server's answer; Status of that.
-	Kind   string `json:"kind,omitempty"`
-	Status int    `json:"status,omitempty"`
-	// Error is the reason that the daemon gave.
+	// Kind is the kind of the error. It is empty if a backend server responded.
+	Kind string `json:"kind,omitempty"`
+	// Status is the HTTP status of the backend server's response.
+	Status int `json:"status,omitempty"`
+	// Error is the error text that the daemon logged.
 	Error string `json:"error,omitempty"`
 }
 
-// Count is how often requests ended so.
+// Count is the number of requests with the same Outcome.
 type Count struct {
-	End
+	Outcome
 	Requests int `json:"requests"`
 }
 
-// Summary counts how the requests of logs ended. Requests that were answered well are in
-// the logs only in part, which the counts of those do not tell.
-type Summary struct{ ends map[End]int }
+// Summary counts the requests of logs by outcome. Daemons log only some of the requests that
+// succeed, so the counts of those are too low.
+type Summary struct{ outcomes map[Outcome]int }
 
-// Add takes in a log.
+// Add counts the requests of a log.
 func (s *Summary) Add(r io.Reader) error {
-	if s.ends == nil {
-		s.ends = make(map[End]int)
+	if s.outcomes == nil {
+		s.outcomes = make(map[Outcome]int)
 	}
-	isEnd := func(text string) bool { return strings.Contains(text, "\"outbound: request ") }
-	return scan(r, isEnd, func(l Line) {
-		if l.ended() {
-			s.ends[End{Service: l.Service, Nested: l.Nested, Kind: l.Kind, Status: l.Status, Error: l.Error}]++
+	isFinalLine := func(text string) bool { return strings.Contains(text, "\"outbound: request ") }
+	return scan(r, isFinalLine, func(l Line) {
+		if l.isFinal() {
+			s.outcomes[Outcome{Service: l.Service, Nested: l.Nested, Kind: l.Kind, Status: l.Status, Error: l.Error}]++
 		}
 	})
 }
 
-// Counts returns the ways by service, the most frequent first.
+// Counts returns the counts sorted by service, and for each service the most frequent outcome first.
 func (s *Summary) Counts() []Count {
 	var counts []Count
-	for _, e := range slices.Collect(maps.Keys(s.ends)) {
-		counts = append(counts, Count{e, s.ends[e]})
+	for _, o := range slices.Collect(maps.Keys(s.outcomes)) {
+		counts = append(counts, Count{o, s.outcomes[o]})
 	}
 	slices.SortFunc(counts, func(a, b Count) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(b.Requests, a.Requests), cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Error, b.Error))
--- a/internal/explain/summary_test.go
+++ b/internal/explain/summary_test.go
@@ -7,7 +7,8 @@
 	"github.com/shoenig/test/must"
 )
 
-const chainLog = `12.1 host-1 {"msg":"outbound: request ended","host":"host-1","request":"c1","service":"desk","nested":true,"made_for":["p1","p2"],"kind":"overloaded","error":"the queue is too long","attempts":3,"refusals":3}
+// nestedLog holds requests and nested calls of two hosts.
+const nestedLog = `12.1 host-1 {"msg":"outbound: request ended","host":"host-1","request":"c1","service":"desk","nested":true,"made_for":["p1","p2"],"kind":"overloaded","error":"the queue is too long","attempts":3,"refusals":3}
 {"msg":"outbound: request ended","host":"host-1","request":"c2","service":"desk","nested":true,"made_for":["p2"],"status":200}
 {"msg":"outbound: request ended","host":"host-2","request":"p1","service":"catalogue","status":500,"attempts":1,"to":"host-1"}
 {"msg":"outbound: request ended","host":"host-2","request":"p3","service":"catalogue","kind":"overloaded","error":"the queue is too long"}
@@ -16,20 +17,20 @@
 not JSON {
 `
 
-// A caller got the status 500 of a backend server whose run had failed: a call that it
-// needs was refused at another service. The request's own lines do not tell that; the
-// call's line names the requests for which it may have been made.
-func TestLostCallsOfARun(t *testing.T) {
-	lines, err := Read(strings.NewReader(chainLog), "p1")
+// A backend server responds with status 500 because a nested call that it needs was refused at
+// another service. The lines of the request do not show that cause; the line of the nested call
+// names the requests for which it may have been made.
+func TestFailedNestedCalls(t *testing.T) {
+	lines, err := Read(strings.NewReader(nestedLog), "p1")
 	must.NoError(t, err)
 	own, calls := Split("p1", lines)
 	must.Len(t, 1, own)
 	must.StrContains(t, Verdict(Order(own)), "status 500")
-	lost := FailedCalls(calls)
-	must.Len(t, 1, lost)
-	must.StrContains(t, lost[0], "c1 to desk, ended as overloaded at host-1")
-	must.StrContains(t, lost[0], "1 other request")
-	lines, err = Read(strings.NewReader(chainLog), "p3")
+	failed := FailedCalls(calls)
+	must.Len(t, 1, failed)
+	must.StrContains(t, failed[0], "c1 to desk, ended as overloaded at host-1")
+	must.StrContains(t, failed[0], "1 other request")
+	lines, err = Read(strings.NewReader(nestedLog), "p3")
 	must.NoError(t, err)
 	_, calls = Split("p3", lines)
 	must.SliceEmpty(t, FailedCalls(calls))
@@ -37,12 +38,12 @@
 
 func TestSummary(t *testing.T) {
 	var s Summary
-	must.NoError(t, s.Add(strings.NewReader(chainLog)))
+	must.NoError(t, s.Add(strings.NewReader(nestedLog)))
 	must.Eq(t, []Count{
-		{End{Kind: "not_ready", Error: "no configuration"}, 1},
-		{End{Service: "catalogue", Kind: "overloaded", Error: "the queue is too long"}, 2},
-		{End{Service: "catalogue", Status: 500}, 1},
-		{End{Service: "desk", Nested: true, Status: 200}, 1},
-		{End{Service: "desk", Nested: true, Kind: "overloaded", Error: "the queue is too long"}, 1},
+		{Outcome{Kind: "not_ready", Error: "no configuration"}, 1},
+		{Outcome{Service: "catalogue", Kind: "overloaded", Error: "the queue is too long"}, 2},
+		{Outcome{Service: "catalogue", Status: 500}, 1},
+		{Outcome{Service: "desk", Nested: true, Status: 200}, 1},
+		{Outcome{Service: "desk", Nested: true, Kind: "overloaded", Error: "the queue is too long"}, 1},
 	}, s.Counts())
 }
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -1,5 +1,5 @@
-// Package operator is the daemon's HTTP listener for operators and monitoring,
-// and its client.
+// Package operator implements the HTTP API of a daemon for operators and monitoring, and its
+// client.
 package operator
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// Paths of the listener.
+// Paths of the API.
 const (
 	pathStatus      = "/v1/status"
 	pathStatusSelf  = "/v1/status/self"
@@ -21,110 +21,124 @@
 	pathReadyz      = "/readyz"
 	pathProfiles    = "/debug/pprof"
 
-	// PathMetrics is the same on a listener for the metrics alone.
+	// PathMetrics is the path of the metrics. A listener that serves only metrics uses the same
+	// path.
 	PathMetrics = "/metrics"
 )
 
-// Bounds of what operators may ask.
+// Limits of requests to the API.
 const (
-	// DefaultWait is how long a question for convergence waits if it does not
-	// say.
+	// DefaultWait is how long a convergence request waits if it does not specify a wait.
 	DefaultWait = 4 * time.Second
-	// MaxWait is the longest such wait.
+	// MaxWait is the maximum wait of a convergence request.
 	MaxWait = time.Minute
-	// maxElapsed bounds how long ago a publish may have begun.
+	// maxElapsed is the maximum time since the start of the publish that a convergence request
+	// refers to.
 	maxElapsed = 24 * time.Hour
 
+	// maxDrainBytes is the maximum size of the body of a drain request.
 	maxDrainBytes = 4 << 10
-	// statusTimeout bounds a whole status; a region that does not answer would
-	// otherwise hold it up for a timeout per daemon.
+	// statusTimeout limits the time for collecting the status of the whole fleet. An unreachable
+	// region would otherwise delay the response by one timeout per daemon.
 	statusTimeout = 10 * time.Second
 )
 
-// FleetStatus is the answer of /v1/status.
+// FleetStatus is the response to GET /v1/status.
 type FleetStatus struct {
-	// Host of the daemon that answers.
+	// Host is the host of the daemon that responds.
 	Host string `json:"host"`
-	// HighestOffset is the highest version that any daemon knows of.
+	// HighestOffset is the latest configuration version that any daemon knows of.
 	HighestOffset uint64   `json:"highest_offset"`
 	Daemons       []Daemon `json:"daemons"`
 }
 
-// Daemon is one daemon's row in a status.
+// Daemon is the status of one daemon.
 type Daemon struct {
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availability_zone"`
 	Region           string `json:"region,omitempty"`
-	// Liveness as the answering daemon believes it.
+	// Liveness is the liveness of the daemon in the member table of the responding daemon.
 	Liveness string `json:"liveness"`
-	// Phase is joining, serving, draining or stopped; empty if the daemon did
-	// not answer.
+	// Phase is joining, serving, draining or stopped. It is empty if the daemon did not answer.
 	Phase    string `json:"phase,omitempty"`
 	Draining bool   `json:"draining"`
-	// Offset is the version in force.
+	// Offset is the configuration version that is in force at the daemon.
 	Offset uint64 `json:"offset"`
-	// Lag is how many versions the daemon is behind the highest known.
+	// Lag is the number of versions between Offset and HighestOffset.
 	Lag uint64 `json:"lag"`
-	// InForceAgeMs is the time since Offset came into force, in ms.
+	// InForceAgeMs is the time since Offset came into force, in milliseconds.
 	InForceAgeMs uint64 `json:"in_force_age_ms"`
-	// BehindMs is how long the daemon has known of a later version, in ms.
+	// BehindMs is how long the daemon has known of a later version, in milliseconds.
 	BehindMs uint64 `json:"behind_ms,omitempty"`
-	// Reason tells why the daemon lags or did not answer.
+	// Reason is why the daemon lags behind or did not answer.
 	Reason string `json:"reason,omitempty"`
-	// Reader is whether the daemon reads the platform's log.
+	// Reader is whether the daemon reads the platform log itself.
 	Reader         bool            `json:"reader"`
 	BackendServers []BackendServer `json:"backend_servers,omitempty"`
 	WithheldRoutes []string        `json:"withheld_routes,omitempty"`
 	Version        string          `json:"version,omitempty"`
 }
 
-// BackendServer is one backend server beside a daemon.
+// BackendServer is a backend server on the host of a daemon.
 type BackendServer struct {
-	Service  string `json:"service"`
-	Slots    int    `json:"slots"`
-	Draining bool   `json:"draining"`
+	Service string `json:"service"`
+	// Slots is the number of calls that the server processes concurrently.
+	Slots    int  `json:"slots"`
+	Draining bool `json:"draining"`
 }
 
-// Convergence is the answer of /v1/convergence.
+// Convergence is the response to GET /v1/convergence.
 type Convergence struct {
-	Offset    uint64 `json:"offset"`
-	Converged bool   `json:"converged"`
-	// ConvergenceMs is how long after the start the last daemon that has the
-	// version got it, in ms.
+	// Offset is the configuration version that was waited for.
+	Offset uint64 `json:"offset"`
+	// Converged is whether the version came into force at every live daemon before the wait ended.
+	Converged bool `json:"converged"`
+	// ConvergenceMs is the time from the start of the publish until the version came into force
+	// at the last of the daemons that have it, in milliseconds.
 	ConvergenceMs int64      `json:"convergence_ms"`
 	Daemons       []Progress `json:"daemons"`
 }
 
-// Progress is one daemon's part in a Convergence.
+// Progress is the state of one daemon in a Convergence.
 type Progress struct {
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availability_zone"`
-	Offset           uint64 `json:"offset"`
-	InForce          bool   `json:"in_force"`
-	AfterMs          int64  `json:"after_ms"`
-	Reason           string `json:"reason,omitempty"`
+	// Offset is the version that was in force at the daemon when it last answered.
+	Offset uint64 `json:"offset"`
+	// InForce is whether the version that was waited for, or a later one, is in force.
+	InForce bool `json:"in_force"`
+	// AfterMs is the time from the start of the publish until the version came into force, at
+	// most, in milliseconds. It is 0 if the version was in force before.
+	AfterMs int64 `json:"after_ms"`
+	// Reason is why the daemon is not known to have the version in force.
+	Reason string `json:"reason,omitempty"`
 }
 
-// DrainRequest is the body of /v1/drain. Without host and zone it drains the
-// daemon that is asked.
+// DrainRequest is the body of POST /v1/drain. Without a host and a zone, the daemon that
+// receives the request is drained.
 type DrainRequest struct {
-	Host   string `json:"host,omitempty"`
-	Zone   string `json:"zone,omitempty"`
+	Host string `json:"host,omitempty"`
+	// Zone is the availability zone whose daemons are drained.
+	Zone string `json:"zone,omitempty"`
+	// Reason is logged and reported by the drained daemons. The default names the address of
+	// the client.
 	Reason string `json:"reason,omitempty"`
 }
 
-// DrainResponse is the answer of /v1/drain.
+// DrainResponse is the response to POST /v1/drain.
 type DrainResponse struct {
 	Daemons []DrainedDaemon `json:"daemons"`
 }
 
-// DrainedDaemon tells whether one daemon took the request to drain.
+// DrainedDaemon is the result of a drain request for one daemon.
 type DrainedDaemon struct {
-	Host  string `json:"host"`
+	Host string `json:"host"`
+	// Error is why the daemon did not accept the request. It is empty if the daemon did.
 	Error string `json:"error,omitempty"`
 }
 
-// newFleetStatus joins the member table with what the daemons said.
+// newFleetStatus converts the reports on all members of the fleet. host is the host of this
+// daemon.
 func newFleetStatus(host string, reports []fleet.Report) FleetStatus {
 	s := FleetStatus{Host: host, Daemons: make([]Daemon, 0, len(reports))}
 	for _, r := range reports {
@@ -179,7 +193,7 @@
 	return a
 }
 
-func newDrainAnswer(results []fleet.DrainResult) DrainResponse {
+func newDrainResponse(results []fleet.DrainResult) DrainResponse {
 	a := DrainResponse{Daemons: make([]DrainedDaemon, 0, len(results))}
 	for _, r := range results {
 		d := DrainedDaemon{Host: r.Host}
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -20,36 +20,41 @@
 	"github.com/crocuscross/crocuscross/rollout"
 )
 
-// Fleet asks all daemons.
+// Fleet queries and drains the daemons of the fleet. See fleet.Fleet.
 type Fleet interface {
-	// Self returns this daemon's own status.
+	// Self returns the status of this daemon.
 	Self() *peerpb.StatusAnswer
+	// Status returns a report on each member of the fleet.
 	Status(ctx context.Context) []fleet.Report
+	// Converge waits until the version offset is in force everywhere or ctx is done. Times are
+	// measured from start.
 	Converge(ctx context.Context, offset uint64, start time.Time) fleet.Convergence
+	// Drain asks the target daemons to begin a graceful shutdown.
 	Drain(ctx context.Context, target fleet.Target, reason string) ([]fleet.DrainResult, error)
 }
 
-// Options holds what the listener needs.
+// Options holds the dependencies and settings of the handler.
 type Options struct {
 	Board *blackboard.Board
 	Fleet Fleet
-	// Metrics serves /metrics.
+	// Metrics serves PathMetrics.
 	Metrics http.Handler
 	Logger  *slog.Logger
-	// Quarantine holds the requests that are kept from backend servers.
+	// Quarantine tracks the requests that are not sent to backend servers.
 	Quarantine Quarantine
-	// Rollouts returns how the rollouts stand that this daemon decides about; nil where it
-	// decides about none.
+	// Rollouts returns the status of the rollouts that this daemon decides on. It is nil if the
+	// daemon does not decide on rollouts.
 	Rollouts func() []rollout.Status
-	// NeedDocument is whether a daemon is ready only with a document in force.
+	// NeedDocument is whether the daemon is ready only when a configuration document is in
+	// force.
 	NeedDocument bool
 }
 
-// New returns the listener's handler.
+// New returns the handler of the operator API.
 func New(opts Options) http.Handler {
 	h := &handler{opts: opts}
 	r := bunrouter.New(
-		bunrouter.Use(answerErrors(opts.Logger)),
+		bunrouter.Use(writeErrors(opts.Logger)),
 		bunrouter.WithNotFoundHandler(notFound),
 		bunrouter.WithMethodNotAllowedHandler(methodNotAllowed),
 	)
@@ -59,18 +64,18 @@
 	r.GET(pathConvergence, h.convergence)
 	r.POST(pathDrain, h.drain)
 	r.GET(pathRollouts, h.rollouts)
-	r.GET(pathQuarantine, h.quarantined)
-	r.DELETE(pathQuarantine+"/:"+paramIdentity, h.lift)
+	r.GET(pathQuarantine, h.listQuarantined)
+	r.DELETE(pathQuarantine+"/:"+paramIdentity, h.liftQuarantine)
 	r.GET(PathMetrics, bunrouter.HTTPHandler(opts.Metrics))
 	r.GET(pathHealthz, h.healthz)
 	r.GET(pathReadyz, h.readyz)
-	routeProfiles(r)
+	addProfileRoutes(r)
 	return r
 }
 
-// routeProfiles serves the Go runtime's profiles, for an operator who wants to
-// know what a daemon spends its time or memory on.
-func routeProfiles(r *bunrouter.Router) {
+// addProfileRoutes adds the routes of the profiles of the Go runtime, which show the CPU time and
+// memory that the daemon uses.
+func addProfileRoutes(r *bunrouter.Router) {
 	for path, serve := range map[string]http.HandlerFunc{
 		pathProfiles + "/profile": pprof.Profile,
 		pathProfiles + "/trace":   pprof.Trace,
@@ -87,8 +92,8 @@
 	opts Options
 }
 
-// answerErrors writes what a handler returns as an answer of the closed list.
-func answerErrors(logger *slog.Logger) bunrouter.MiddlewareFunc {
+// writeErrors returns a middleware that writes the error of a handler as an error response.
+func writeErrors(logger *slog.Logger) bunrouter.MiddlewareFunc {
 	return func(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 		return func(w http.ResponseWriter, req bunrouter.Request) error {
 			err := next(w, req)
@@ -105,11 +110,11 @@
 }
 
 func notFound(_ http.ResponseWriter, req bunrouter.Request) error {
-	return errkind.Newf(errkind.NoRoute, "the operators' listener has no %s", req.URL.Path)
+	return errkind.Newf(errkind.NoRoute, "the operator API has no path %s", req.URL.Path)
 }
 
 func methodNotAllowed(_ http.ResponseWriter, req bunrouter.Request) error {
-	return errkind.Newf(errkind.BadRequest, "%s does not take %s", req.URL.Path, req.Method)
+	return errkind.Newf(errkind.BadRequest, "%s does not support method %s", req.URL.Path, req.Method)
 }
 
 func (h *handler) status(w http.ResponseWriter, req bunrouter.Request) error {
@@ -123,7 +128,7 @@
 	return writeMessage(w, h.opts.Fleet.Self())
 }
 
-// state answers with the folded configuration.
+// state responds with the state that the daemon has folded from the configuration records.
 func (h *handler) state(w http.ResponseWriter, _ bunrouter.Request) error {
 	st := h.opts.Board.State.Load()
 	if st == nil {
@@ -132,13 +137,13 @@
 	return writeMessage(w, st.Encode())
 }
 
-// convergence waits for a version to be in force everywhere. A wait that ends
-// too early is an answer, not an error.
+// convergence waits until a version is in force everywhere. If the wait ends earlier, it responds
+// with the progress so far, not with an error.
 func (h *handler) convergence(w http.ResponseWriter, req bunrouter.Request) error {
 	q := req.URL.Query()
 	offset, err := strconv.ParseUint(q.Get("offset"), 10, 64)
 	if err != nil || offset == 0 {
-		return errkind.New(errkind.BadRequest, "offset must be a version, a whole number above 0")
+		return errkind.New(errkind.BadRequest, "offset must be a configuration version, an integer greater than 0")
 	}
 	wait, err := durationParam(q.Get("wait"), DefaultWait, MaxWait)
 	if err != nil {
@@ -154,6 +159,7 @@
 	return writeJSON(w, newConvergence(c))
 }
 
+// durationParam parses a duration from 0 to limit. An empty s yields def.
 func durationParam(s string, def, limit time.Duration) (time.Duration, error) {
 	if s == "" {
 		return def, nil
@@ -166,14 +172,14 @@
 }
 
 func (h *handler) drain(w http.ResponseWriter, req bunrouter.Request) error {
-	var ask DrainRequest
+	var drainReq DrainRequest
 	dec := json.NewDecoder(http.MaxBytesReader(w, req.Body, maxDrainBytes))
 	dec.DisallowUnknownFields()
-	if err := dec.Decode(&ask); err != nil {
-		return errkind.Wrap(bodyErrorKind(err), err, "drain request")
+	if err := dec.Decode(&drainReq); err != nil {
+		return errkind.Wrap(bodyErrorKind(err), err, "decode drain request")
 	}
-	target := fleet.Target{Host: ask.Host, AvailabilityZone: ask.Zone}
-	reason := ask.Reason
+	target := fleet.Target{Host: drainReq.Host, AvailabilityZone: drainReq.Zone}
+	reason := drainReq.Reason
 	if reason == "" {
 		reason = "operator at " + req.RemoteAddr
 	}
@@ -182,9 +188,10 @@
 	if err != nil {
 		return err
 	}
-	return writeJSON(w, newDrainAnswer(results))
+	return writeJSON(w, newDrainResponse(results))
 }
 
+// bodyErrorKind returns the kind of an error from decoding a request body.
 func bodyErrorKind(err error) errkind.Kind {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -193,21 +200,22 @@
 	return errkind.BadRequest
 }
 
-// healthz tells that the process runs; readyz tells whether it serves calls.
+// healthz reports that the process is running.
 func (h *handler) healthz(w http.ResponseWriter, _ bunrouter.Request) error {
 	_, err := w.Write([]byte("ok\n"))
 	return err
 }
 
+// readyz reports whether the daemon serves calls.
 func (h *handler) readyz(w http.ResponseWriter, _ bunrouter.Request) error {
 	l := h.opts.Board.Lifecycle.Load()
 	switch {
 	case l != nil && l.Phase >= blackboard.Draining:
-		return errkind.New(errkind.Draining, "this daemon drains: "+l.Reason)
+		return errkind.New(errkind.Draining, "this daemon is draining: "+l.Reason)
 	case l == nil || l.Phase < blackboard.Serving:
-		return errkind.New(errkind.NotReady, "this daemon is joining the others")
+		return errkind.New(errkind.NotReady, "this daemon has not joined the fleet yet")
 	case h.opts.Board.Snapshot.Load() == nil:
-		return errkind.New(errkind.NotReady, h.notInForce())
+		return errkind.New(errkind.NotReady, h.notInForceReason())
 	case h.opts.NeedDocument && h.opts.Board.Snapshot.Load().Document() == nil:
 		return errkind.New(errkind.NotReady, "no document is in force yet")
 	}
@@ -215,7 +223,8 @@
 	return err
 }
 
-func (h *handler) notInForce() string {
+// notInForceReason describes why no configuration is in force.
+func (h *handler) notInForceReason() string {
 	if f := h.opts.Board.Floor.Load(); f != nil && f.Reason != "" {
 		return "no configuration is in force: " + f.Reason
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -25,16 +25,17 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// oneFleet answers for a fleet of three daemons, one of which is unreachable.
-type oneFleet struct {
+// fakeFleet is a fleet of three daemons: one that answers, one that is suspect and unreachable, and
+// one that is dead. It records the arguments of the last Converge and Drain.
+type fakeFleet struct {
 	target fleet.Target
 	wait   time.Duration
 	offset uint64
 }
 
-func (f *oneFleet) Self() *peerpb.StatusAnswer { return &peerpb.StatusAnswer{Host: "a", Offset: 5} }
+func (f *fakeFleet) Self() *peerpb.StatusAnswer { return &peerpb.StatusAnswer{Host: "a", Offset: 5} }
 
-func (f *oneFleet) Status(context.Context) []fleet.Report {
+func (f *fakeFleet) Status(context.Context) []fleet.Report {
 	return []fleet.Report{
 		{Member: &membership.Member{Host: "a", Liveness: membership.Alive, Announcements: []membership.Announcement{{Service: "sign-feed", Slots: 10}}},
 			Status: &peerpb.StatusAnswer{Offset: 5, KnownOffset: 7, BehindMs: 1200, StuckReason: "unknown rule"}},
@@ -43,14 +44,14 @@
 	}
 }
 
-func (f *oneFleet) Converge(ctx context.Context, offset uint64, start time.Time) fleet.Convergence {
+func (f *fakeFleet) Converge(ctx context.Context, offset uint64, start time.Time) fleet.Convergence {
 	deadline, _ := ctx.Deadline()
 	f.offset, f.wait = offset, deadline.Sub(start).Round(time.Second)
 	return fleet.Convergence{Offset: offset, Converged: true, Time: 80 * time.Millisecond,
 		Daemons: []fleet.Progress{{Host: "a", InForce: true, After: 80 * time.Millisecond}}}
 }
 
-func (f *oneFleet) Drain(_ context.Context, target fleet.Target, _ string) ([]fleet.DrainResult, error) {
+func (f *fakeFleet) Drain(_ context.Context, target fleet.Target, _ string) ([]fleet.DrainResult, error) {
 	f.target = target
 	if target.Host == "x" {
 		return nil, errkind.New(errkind.BadRequest, "no live daemon on host x")
@@ -58,8 +59,9 @@
 	return []fleet.DrainResult{{Host: "a"}, {Host: "b", Err: errors.New("timeout")}}, nil
 }
 
-func start(t *testing.T) (*oneFleet, *blackboard.Board, *httptest.Server) {
-	f, board := &oneFleet{}, &blackboard.Board{}
+// start serves the operator API of a daemon with a fakeFleet and an empty blackboard.
+func start(t *testing.T) (*fakeFleet, *blackboard.Board, *httptest.Server) {
+	f, board := &fakeFleet{}, &blackboard.Board{}
 	srv := httptest.NewServer(operator.New(operator.Options{
 		Board: board, Fleet: f, Logger: slog.New(slog.DiscardHandler),
 		Metrics: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "up 1\n") }),
@@ -68,7 +70,7 @@
 	return f, board, srv
 }
 
-func TestClientReadsWhatTheListenerWrites(t *testing.T) {
+func TestClientDecodesListenerResponses(t *testing.T) {
 	f, board, srv := start(t)
 	c := operator.NewClient(strings.TrimPrefix(srv.URL, "http://"))
 
@@ -108,7 +110,7 @@
 	must.Eq(t, errkind.Unreachable, errkind.Of(err))
 }
 
-func TestBadInputIsAnsweredByKind(t *testing.T) {
+func TestBadInputErrorKinds(t *testing.T) {
 	_, _, srv := start(t)
 	for _, c := range []struct {
 		method, path, body string
@@ -159,11 +161,12 @@
 	expect("/healthz", 200, errkind.None)
 }
 
-// An operator sees which request is kept from backend servers and lets it in again.
-func TestQuarantineIsListedAndLifted(t *testing.T) {
+// A quarantined request is listed. After it is lifted, it is neither listed nor quarantined, and a
+// second lift fails.
+func TestListAndLiftQuarantine(t *testing.T) {
 	ledger := quarantine.New(quarantine.DefaultOptions())
 	srv := httptest.NewServer(operator.New(operator.Options{
-		Board: &blackboard.Board{}, Fleet: &oneFleet{}, Logger: slog.New(slog.DiscardHandler),
+		Board: &blackboard.Board{}, Fleet: &fakeFleet{}, Logger: slog.New(slog.DiscardHandler),
 		Metrics: http.NotFoundHandler(), Quarantine: ledger,
 	}))
 	t.Cleanup(srv.Close)
--- a/internal/operator/quarantine.go
+++ b/internal/operator/quarantine.go
@@ -15,30 +15,35 @@
 
 const (
 	pathQuarantine = "/v1/quarantine"
-	paramIdentity  = "identity"
+	// paramIdentity is the path parameter with the identity of a request.
+	paramIdentity = "identity"
 )
 
-// Quarantine is the part of quarantine.Tracker that operators see.
+// Quarantine is the part of quarantine.Tracker that operators use.
 type Quarantine interface {
+	// Verdicts returns the verdicts in force.
 	Verdicts() []quarantine.Verdict
-	// Lift lets a request in again at all daemons, and reports whether anything was held
-	// against it.
+	// Lift clears the crashes and the verdict of a request at all daemons, and reports whether
+	// this daemon had recorded any.
 	Lift(quarantine.Identity) bool
 }
 
-// QuarantineList is the answer of /v1/quarantine.
+// QuarantineList is the response to GET /v1/quarantine.
 type QuarantineList struct {
 	Requests []QuarantinedRequest `json:"requests"`
 }
 
-// QuarantinedRequest is a request that is kept from backend servers.
+// QuarantinedRequest is a request that daemons do not send to backend servers.
 type QuarantinedRequest struct {
-	// Identity is the one in the log lines about the servers that ended.
-	Identity string    `json:"identity"`
-	Until    time.Time `json:"until"`
+	// Identity is the hash that also identifies the request in the log lines about crashed
+	// backend servers, in hexadecimal digits.
+	Identity string `json:"identity"`
+	// Until is the end of the quarantine, truncated to seconds.
+	Until time.Time `json:"until"`
 }
 
-func (h *handler) quarantined(w http.ResponseWriter, _ bunrouter.Request) error {
+// listQuarantined responds with the requests in quarantine, the first to be released first.
+func (h *handler) listQuarantined(w http.ResponseWriter, _ bunrouter.Request) error {
 	verdicts := h.opts.Quarantine.Verdicts()
 	slices.SortFunc(verdicts, func(a, b quarantine.Verdict) int { return a.Until.Compare(b.Until) })
 	list := QuarantineList{Requests: make([]QuarantinedRequest, 0, len(verdicts))}
@@ -48,25 +53,26 @@
 	return writeJSON(w, list)
 }
 
-func (h *handler) lift(w http.ResponseWriter, req bunrouter.Request) error {
+// liftQuarantine releases a request from quarantine at all daemons.
+func (h *handler) liftQuarantine(w http.ResponseWriter, req bunrouter.Request) error {
 	id, ok := quarantine.ParseIdentity(req.Param(paramIdentity))
 	if !ok {
-		return errkind.Newf(errkind.BadRequest, "an identity has %d hexadecimal digits", 2*len(id))
+		return errkind.Newf(errkind.BadRequest, "the identity of a request must have %d hexadecimal digits", 2*len(id))
 	}
 	if !h.opts.Quarantine.Lift(id) {
-		return errkind.Newf(errkind.BadRequest, "nothing is held against request %s here", id)
+		return errkind.Newf(errkind.BadRequest, "this daemon has recorded no crash and no quarantine of request %s", id)
 	}
 	h.opts.Logger.Info("operator: quarantine lifted", "identity", id.String(), "by", req.RemoteAddr)
 	return writeJSON(w, struct{}{})
 }
 
-// Quarantine returns the requests that the daemon keeps from backend servers.
+// Quarantine returns the requests that the daemon does not send to backend servers.
 func (c *Client) Quarantine(ctx context.Context) (*QuarantineList, error) {
 	list := &QuarantineList{}
 	return list, c.getJSON(ctx, pathQuarantine, nil, 0, list)
 }
 
-// LiftQuarantine lets a request in again at all daemons.
+// LiftQuarantine releases the request with the given identity from quarantine at all daemons.
 func (c *Client) LiftQuarantine(ctx context.Context, identity string) error {
 	_, err := c.do(ctx, http.MethodDelete, pathQuarantine+"/"+url.PathEscape(identity), nil, nil, 0)
 	return err
--- a/internal/operator/rollouts.go
+++ b/internal/operator/rollouts.go
@@ -12,9 +12,9 @@
 
 const pathRollouts = "/v1/rollouts"
 
-// RolloutList is the answer of /v1/rollouts.
+// RolloutList is the response to GET /v1/rollouts.
 type RolloutList struct {
-	// Rollouts are those that the daemon asked decides about.
+	// Rollouts holds the rollouts that the responding daemon decides on, sorted by service.
 	Rollouts []rollout.Status `json:"rollouts"`
 }
 
