--- a/internal/answer/answer.go
+++ b/internal/answer/answer.go
@@ -1,6 +1,5 @@
-// Package answer writes an error of the closed list as an HTTP answer, and
-// reads such an answer back. All listeners that speak HTTP use it, so a kind
-// looks the same wherever it comes from.
+// Package answer encodes errors of package errkind as HTTP responses and decodes such responses. All
+// HTTP listeners of a daemon use it, so that each error kind has the same form everywhere.
 package answer
 
 import (
@@ -15,47 +14,46 @@
 	"github.com/crocuscross/crocuscross/errkind"
 )
 
-// Header fields of an answer that crocuscross gives in place of the backend
-// server. A caller tells the two apart by HeaderError.
+// Header fields of a response that crocuscross sends instead of a response of the backend server.
 const (
+	// HeaderError is the error kind. Callers recognize responses of crocuscross by it.
 	HeaderError = "Crocuscross-Error"
-	// HeaderRun is "no" where the call has not run and never will, or
-	// "unknown".
+	// HeaderRun is "no" if the call has not run and never will, or "unknown".
 	HeaderRun = "Crocuscross-Run"
 )
 
 const (
 	headerRetryAfter = "Retry-After"
-	// maxBodyBytes bounds the body that FromResponse reads.
+	// maxBodyBytes is the maximum size of the body that FromResponse reads.
 	maxBodyBytes = 64 << 10
-	// internalText stands in for the text of an error without a kind, which may
-	// hold addresses and other things that are not a caller's business. The
-	// text itself belongs in the log.
+	// internalText replaces the text of an error without a kind, which may contain addresses and
+	// other details that callers must not see. The text itself belongs in the log.
 	internalText = "internal error"
 )
 
-// Body is the JSON body of an answer.
+// Body is the JSON body of an error response.
 type Body struct {
 	Error Detail `json:"error"`
 }
 
-// Detail is what the body tells of the error.
+// Detail describes the error in a Body.
 type Detail struct {
 	Kind errkind.Kind `json:"kind"`
-	// Text is for people.
-	Text string      `json:"text"`
-	Run  errkind.Run `json:"run"`
+	// Text is a description for people.
+	Text string `json:"text"`
+	// Run is the value of HeaderRun.
+	Run errkind.Run `json:"run"`
 }
 
-// Write answers with the row of the error's kind: status, header fields and a
-// short JSON body. It must come before any other write to w; header fields
-// that describe another body are removed.
+// Write sends the response for the kind of err: status, header fields and a short JSON body.
+// It must be called before any other write to w. It removes header fields that describe another
+// body. Retry-After is in seconds, rounded up.
 func Write(w http.ResponseWriter, err error) { WriteAs(w, err, wholeSeconds) }
 
-// WriteAs is Write for callers that take Retry-After in another form.
+// WriteAs is like Write, but formats the value of Retry-After with the given function.
 func WriteAs(w http.ResponseWriter, err error, retryAfter func(time.Duration) string) {
 	kind := errkind.Of(err)
-	a := kind.Response()
+	response := kind.Response()
 	body, _ := json.Marshal(Body{Error: Detail{Kind: kind, Text: textOf(err), Run: errkind.RunOf(err)}})
 	body = append(body, '\n')
 
@@ -71,13 +69,13 @@
 	if after := errkind.RetryAfterOf(err); after > 0 {
 		h.Set(headerRetryAfter, retryAfter(after))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(response.Status)
 	_, _ = w.Write(body)
 }
 
-// FromResponse returns the error that an answer of Write stands for, and nil
-// for an answer that is not one of Write's. It reads the body of the former
-// only, and closes none.
+// FromResponse returns the error that a response of Write encodes, and nil for any other response.
+// It reads the body only of a response of Write, and never closes it. A Retry-After that is not a
+// number of seconds is ignored.
 func FromResponse(resp *http.Response) error {
 	kind := errkind.Kind(resp.Header.Get(HeaderError))
 	if kind == errkind.None {
@@ -96,11 +94,12 @@
 	return e
 }
 
-// wholeSeconds rounds up: a caller that comes back too early is refused again.
+// wholeSeconds formats d in seconds, rounded up: a caller that retries too early is refused again.
 func wholeSeconds(d time.Duration) string {
 	return strconv.FormatInt(int64((d+time.Second-1)/time.Second), 10)
 }
 
+// textOf returns the text of err that callers may see.
 func textOf(err error) string {
 	var e *errkind.Error
 	if errors.As(err, &e) {
--- a/internal/answer/answer_test.go
+++ b/internal/answer/answer_test.go
@@ -15,7 +15,8 @@
 	"github.com/crocuscross/crocuscross/internal/answer"
 )
 
-func write(err error) *http.Response {
+// writeError returns the response of Write to which a Content-Length was set before.
+func writeError(err error) *http.Response {
 	rec := httptest.NewRecorder()
 	rec.Header().Set("Content-Length", "99")
 	answer.Write(rec, err)
@@ -25,7 +26,7 @@
 func TestWriteEveryKind(t *testing.T) {
 	for _, kind := range errkind.Kinds() {
 		t.Run(string(kind), func(t *testing.T) {
-			resp := write(errkind.New(kind, "some text"))
+			resp := writeError(errkind.New(kind, "some text"))
 			want := kind.Response()
 			must.Eq(t, want.Status, resp.StatusCode)
 			must.Eq(t, string(kind), resp.Header.Get(answer.HeaderError))
@@ -43,24 +44,23 @@
 	for after, want := range map[time.Duration]string{
 		time.Millisecond: "1", time.Second: "1", 1001 * time.Millisecond: "2", time.Minute: "60",
 	} {
-		resp := write(errkind.New(errkind.RateLimited, "slow down").WithRetryAfter(after))
+		resp := writeError(errkind.New(errkind.RateLimited, "slow down").WithRetryAfter(after))
 		must.Eq(t, want, resp.Header.Get("Retry-After"))
 	}
 }
 
-// The caller sees a plain "internal error": an error without a kind comes from
-// a fault of our own, and its text may name hosts that are not the caller's
-// business.
-func TestTextOfAnUnkindedErrorIsNotShown(t *testing.T) {
-	resp := write(errors.New("dial 10.0.0.7:7001: refused"))
+// An error without a kind results from a bug in the daemon, and its text may contain addresses of
+// hosts. The caller sees only "internal error".
+func TestErrorWithoutKindHidesText(t *testing.T) {
+	resp := writeError(errors.New("dial 10.0.0.7:7001: refused"))
 	must.Eq(t, http.StatusInternalServerError, resp.StatusCode)
 	err := answer.FromResponse(resp)
 	must.Eq(t, errkind.Internal, errkind.Of(err))
 	must.EqError(t, err, "internal error")
 }
 
-func TestFromResponseReadsWrite(t *testing.T) {
-	err := answer.FromResponse(write(errors.Wrap(errkind.New(errkind.Overloaded, "no slot").WithRetryAfter(3*time.Second), "gate")))
+func TestFromResponseDecodesWrite(t *testing.T) {
+	err := answer.FromResponse(writeError(errors.Wrap(errkind.New(errkind.Overloaded, "no slot").WithRetryAfter(3*time.Second), "gate")))
 	must.Eq(t, errkind.Overloaded, errkind.Of(err))
 	must.Eq(t, 3*time.Second, errkind.RetryAfterOf(err))
 	must.EqError(t, err, "gate: no slot")
--- a/internal/configlog/reader_test.go
+++ b/internal/configlog/reader_test.go
@@ -14,8 +14,8 @@
 	"github.com/crocuscross/crocuscross/internal/configlog"
 )
 
-// fill appends records and returns the state after each, the empty one first.
-func fill(t *testing.T, log eventlog.Log, n int) []*fold.State {
+// appendRecords appends n records and returns the empty state, followed by the state after each record.
+func appendRecords(t *testing.T, log eventlog.Log, n int) []*fold.State {
 	states := []*fold.State{fold.Empty()}
 	for i := range n {
 		data, err := fold.EncodeRecord(&configpb.Bundle{PublishId: string(rune('a' + i)), Changes: []*configpb.Change{{
@@ -31,43 +31,44 @@
 	return states
 }
 
-func from(st *fold.State) configlog.Checkpoint {
+// fixedCheckpoint returns a Checkpoint function that returns st.
+func fixedCheckpoint(st *fold.State) configlog.Checkpoint {
 	return func(context.Context) (*fold.State, error) { return st, nil }
 }
 
 func TestLoadFoldsCheckpointAndTail(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions()).Stream("config")
-	states := fill(t, log, 6)
+	states := appendRecords(t, log, 6)
 	log.TruncateBefore(4)
 	for _, start := range []uint64{3, 4, 6} {
-		st, err := (&configlog.Reader{Log: log, Checkpoint: from(states[start])}).Load(t.Context())
+		st, err := (&configlog.Reader{Log: log, Checkpoint: fixedCheckpoint(states[start])}).Load(t.Context())
 		must.NoError(t, err)
 		must.Eq(t, states[6].Chain, st.Chain)
 	}
 }
 
-// A publisher holds a state while records expire behind it. Folding on would
-// fail for good; it starts anew from the checkpoint. Without one that reaches
-// the retained records the error says so.
+// The records after a state expire while a publisher holds the state. Each further read would fail,
+// so Advance starts again from the checkpoint. If the checkpoint is too old as well, Advance
+// returns a TruncatedError.
 func TestAdvanceAfterRecordsExpired(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions()).Stream("config")
-	states := fill(t, log, 6)
+	states := appendRecords(t, log, 6)
 	log.TruncateBefore(5)
-	st, err := (&configlog.Reader{Log: log, Checkpoint: from(states[5])}).Advance(t.Context(), states[1])
+	st, err := (&configlog.Reader{Log: log, Checkpoint: fixedCheckpoint(states[5])}).Advance(t.Context(), states[1])
 	must.NoError(t, err)
 	must.Eq(t, states[6].Chain, st.Chain)
 
-	_, err = (&configlog.Reader{Log: log, Checkpoint: from(states[0])}).Advance(t.Context(), states[1])
+	_, err = (&configlog.Reader{Log: log, Checkpoint: fixedCheckpoint(states[0])}).Advance(t.Context(), states[1])
 	var truncated *eventlog.TruncatedError
 	must.True(t, errors.As(err, &truncated))
 }
 
-// The log comes back with a shorter end. A state from the records that were
-// lost must not be taken for the current one.
-func TestShorterLogIsTold(t *testing.T) {
+// The log has lost its latest records. A state that was folded from these must not be returned as
+// the current one.
+func TestShorterLogReturnsErrShrunk(t *testing.T) {
 	log := memlog.New(memlog.DefaultOptions()).Stream("config")
-	states := fill(t, log, 6)
+	states := appendRecords(t, log, 6)
 	log.TruncateEnd(4)
-	_, err := (&configlog.Reader{Log: log, Checkpoint: from(states[6])}).Load(t.Context())
+	_, err := (&configlog.Reader{Log: log, Checkpoint: fixedCheckpoint(states[6])}).Load(t.Context())
 	must.True(t, errors.Is(err, configlog.ErrShrunk))
 }
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history tells who changed what: the records that the platform's log
-// still retains, with the verdict on each.
+// Package history lists the configuration records that the platform log retains, with the author, the
+// changes and the verdict of each.
 package history
 
 import (
@@ -14,64 +14,72 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// batch is how many records are read at once.
-const batch = 256
+// batchSize is the maximum number of records that are read at once.
+const batchSize = 256
 
-// Verdict is what became of a record.
+// Verdict is the result of applying a record to the configuration.
 type Verdict string
 
-// The verdicts. Duplicate records carry the publish id of an earlier one, whose
-// verdict stands. Evicted ones are older than what the fold remembers.
+// The verdicts.
 const (
-	Accepted   Verdict = "accepted"
-	Rejected   Verdict = "rejected"
-	Duplicate  Verdict = "repeated"
+	// Accepted means that the changes of the record were applied.
+	Accepted Verdict = "accepted"
+	// Rejected means that the record was not applied.
+	Rejected Verdict = "rejected"
+	// Duplicate means that the record has the publish ID of an earlier record, whose verdict
+	// applies.
+	Duplicate Verdict = "repeated"
+	// Unreadable means that the record cannot be decoded.
 	Unreadable Verdict = "unreadable"
-	Undecided  Verdict = "undecided"
-	Evicted    Verdict = "forgotten"
+	// Undecided means that the record is later than the state that the verdicts are taken from.
+	Undecided Verdict = "undecided"
+	// Evicted means that the record is so old that the state no longer holds its verdict.
+	Evicted Verdict = "forgotten"
 )
 
-// Item is one record.
+// Item describes one record.
 type Item struct {
-	Offset    uint64    `json:"offset"`
-	PublishID string    `json:"publish_id,omitempty"`
-	Author    string    `json:"author,omitempty"`
+	Offset    uint64 `json:"offset"`
+	PublishID string `json:"publish_id,omitempty"`
+	Author    string `json:"author,omitempty"`
+	// Published is the time of the publish according to the publisher's clock.
 	Published time.Time `json:"published"`
 	Verdict   Verdict   `json:"verdict"`
-	// RepeatOf is the offset whose verdict stands.
-	RepeatOf uint64   `json:"repeat_of,omitempty"`
-	Reasons  []string `json:"reasons,omitempty"`
-	Changes  []Change `json:"changes,omitempty"`
+	// RepeatOf is, for a Duplicate, the offset of the earlier record with the same publish ID.
+	RepeatOf uint64 `json:"repeat_of,omitempty"`
+	// Reasons is why the record was rejected.
+	Reasons []string `json:"reasons,omitempty"`
+	Changes []Change `json:"changes,omitempty"`
 }
 
-// Change is one change of a record.
+// Change describes the change of one resource.
 type Change struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// From is the revision replaced, 0 for none; To is the new one, 0 for a
-	// resource deleted.
+	// From is the revision that the change replaces, 0 if the resource is new. To is the new
+	// revision, 0 if the resource is deleted.
 	From uint64 `json:"from"`
 	To   uint64 `json:"to"`
 }
 
-// Filter narrows a history.
+// Filter selects the items that Read returns.
 type Filter struct {
-	// Name of a resource; empty takes all.
+	// Name selects the records that change the resource of this name, or all records if empty.
 	Name string
-	// Limit keeps the latest items; 0 keeps all.
+	// Limit is the maximum number of items, of which the latest are kept. 0 means no limit.
 	Limit int
 }
 
-// Read returns the records that the log retains, oldest first. The verdicts come
-// from a state that was folded to the log's end.
+// Read returns the records that the log retains and f selects, the oldest first. The verdicts are
+// taken from st, a state that was folded up to the end of the log.
 func Read(ctx context.Context, log eventlog.Log, st *fold.State, f Filter) ([]Item, error) {
 	bounds, err := log.Bounds(ctx)
 	if err != nil {
-		return nil, errors.Wrap(err, "read the log's bounds")
+		return nil, errors.Wrap(err, "read the bounds of the log")
 	}
 	var items []Item
 	for next := max(bounds.First, 1); next < bounds.End; {
-		records, err := log.Read(ctx, next, batch, 0)
+		records, err := log.Read(ctx, next, batchSize, 0)
 		var truncated *eventlog.TruncatedError
 		switch {
 		case errors.As(err, &truncated):
@@ -79,21 +87,22 @@
 			next = max(truncated.First, next+1)
 			continue
 		case err != nil:
-			return nil, errors.Wrapf(err, "read the log from %d", next)
+			return nil, errors.Wrapf(err, "read the log from offset %d", next)
 		case len(records) == 0:
-			return f.last(items), nil
+			return f.latest(items), nil
 		}
 		for _, rec := range records {
 			next = rec.Offset + 1
-			if it := itemOf(rec, st); f.takes(it) {
+			if it := newItem(rec, st); f.matches(it) {
 				items = append(items, it)
 			}
 		}
 	}
-	return f.last(items), nil
+	return f.latest(items), nil
 }
 
-func (f Filter) takes(it Item) bool {
+// matches reports whether the record changes a resource that the filter selects.
+func (f Filter) matches(it Item) bool {
 	if f.Name == "" {
 		return true
 	}
@@ -105,14 +114,16 @@
 	return false
 }
 
-func (f Filter) last(items []Item) []Item {
+// latest returns the latest items, up to the limit of the filter.
+func (f Filter) latest(items []Item) []Item {
 	if f.Limit > 0 && len(items) > f.Limit {
 		return items[len(items)-f.Limit:]
 	}
 	return items
 }
 
-func itemOf(rec eventlog.Record, st *fold.State) Item {
+// newItem describes a record, with its verdict from st.
+func newItem(rec eventlog.Record, st *fold.State) Item {
 	var r configpb.Record
 	if err := proto.Unmarshal(rec.Data, &r); err != nil {
 		return Item{Offset: rec.Offset, Verdict: Unreadable}
@@ -122,21 +133,22 @@
 		Offset: rec.Offset, PublishID: b.GetPublishId(), Author: b.GetAuthor(),
 		Published: time.UnixMilli(b.GetPublishedUnixMs()).UTC(),
 	}
-	it.decide(st)
+	it.setVerdict(st)
 	for _, c := range b.GetChanges() {
-		it.Changes = append(it.Changes, changeOf(c, rec.Offset))
+		it.Changes = append(it.Changes, newChange(c, rec.Offset))
 	}
 	return it
 }
 
-func (it *Item) decide(st *fold.State) {
+// setVerdict sets the verdict of the item from st.
+func (it *Item) setVerdict(st *fold.State) {
 	v, ok := st.Verdict(it.PublishID)
 	switch {
 	case it.Offset > st.Offset:
 		it.Verdict = Undecided
 	case !ok && it.PublishID == "":
 		it.Verdict = Rejected
-		it.Reasons = []string{"the record names no publish id"}
+		it.Reasons = []string{"the record has no publish ID"}
 	case !ok:
 		it.Verdict = Evicted
 	case v.Offset < it.Offset:
@@ -148,7 +160,8 @@
 	}
 }
 
-func changeOf(c *configpb.Change, offset uint64) Change {
+// newChange describes a change of the record at offset.
+func newChange(c *configpb.Change, offset uint64) Change {
 	k, _ := fold.KeyOf(c.GetResource())
 	change := Change{Kind: k.Kind.String(), Name: k.Name, From: c.GetReplaces(), To: offset}
 	if c.GetDelete() {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -11,6 +11,7 @@
 	"github.com/crocuscross/crocuscross/internal/history"
 )
 
+// record encodes a record that changes or removes a service.
 func record(t *testing.T, id, author, service string, replaces uint64, remove bool) []byte {
 	data, err := fold.EncodeRecord(&configpb.Bundle{PublishId: id, Author: author, Changes: []*configpb.Change{{
 		Replaces: replaces, Delete: remove,
@@ -57,7 +58,7 @@
 	must.NoError(t, err)
 	must.Eq(t, []uint64{3, 6}, []uint64{items[0].Offset, items[1].Offset})
 
-	// The records before the retention's cut are gone; the rest is still told.
+	// Records that the log no longer retains are left out. The others are still listed.
 	log.TruncateBefore(6)
 	items, err = history.Read(t.Context(), log, st, history.Filter{})
 	must.NoError(t, err)
--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -1,4 +1,5 @@
-// Package netopt sets socket options that the standard library has no names for.
+// Package netopt provides options and operations of TCP sockets that the net package does not
+// support.
 package netopt
 
 import (
@@ -11,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// UserTimeout returns a net.Dialer's Control that bounds how long sent bytes may stay
-// unacknowledged before the kernel gives the connection up. A host that loses power
-// answers nothing, and the kernel would go on sending for a quarter of an hour.
+// UserTimeout returns a function for net.Dialer.Control that limits how long sent data may stay
+// unacknowledged before the kernel aborts the connection (TCP_USER_TIMEOUT). A host that loses power
+// acknowledges nothing, and by default the kernel retransmits for about 15 minutes.
 //
-// Waiting for the program to give such a connection up is no substitute: on the users'
-// platform closing one with unacknowledged bytes keeps a process from running, but not where
-// the kernel has given it up first.
+// A timeout after which the program closes the connection is no substitute: on the platform that
+// daemons run on, closing a connection with unacknowledged data stalls the whole process, unless the
+// kernel has aborted the connection before.
 func UserTimeout(d time.Duration) func(network, address string, conn syscall.RawConn) error {
 	return func(_, _ string, conn syscall.RawConn) error {
 		var serr error
@@ -30,40 +31,42 @@
 	return errors.Wrap(unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(d.Milliseconds())), "set TCP_USER_TIMEOUT")
 }
 
-// lateClose is how long a connection is kept after its Close. It is above the timeouts
-// that UserTimeout is used with: by then the kernel has given the connection up, or the
-// peer has taken what was sent.
-const lateClose = 2 * time.Second
+// closeDelay is the time between the Close of a delayedCloseConn and the close of its socket. It is
+// greater than all timeouts that are passed to UserTimeout: by then, either the kernel has aborted
+// the connection or the peer has acknowledged the data.
+const closeDelay = 2 * time.Second
 
-// DelayClose returns conn with a Close that does not wait for the peer: the connection fails at
-// once for the program and is closed a little later. On the users' platform closing a
-// session to a frozen host keeps the process from running, and the calls of callers that
-// leave meanwhile are run. The peer learns of it later, which suits sessions on which only
-// this end begins exchanges.
+// DelayClose returns conn with a Close that does not wait for the peer: reads and writes fail at
+// once, and the socket is closed after closeDelay. On the platform that daemons run on, closing a
+// connection to an unresponsive host stalls the whole process; calls whose callers disconnect
+// meanwhile are run all the same. The peer sees the close late, which is acceptable for sessions on
+// which only this end begins exchanges. A conn that is not a *net.TCPConn is returned unchanged.
 func DelayClose(conn net.Conn) net.Conn {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
 		return conn
 	}
-	return &lateConn{TCPConn: tcp}
+	return &delayedCloseConn{TCPConn: tcp}
 }
 
-type lateConn struct {
+// delayedCloseConn is a TCP connection with a delayed close.
+type delayedCloseConn struct {
 	*net.TCPConn
 	closed atomic.Bool
 }
 
-// Close implements net.Conn.
-func (l *lateConn) Close() error {
+// Close implements net.Conn. It sets a deadline in the past, which makes reads and writes fail, and
+// schedules the close of the socket.
+func (l *delayedCloseConn) Close() error {
 	if l.closed.Swap(true) {
 		return net.ErrClosed
 	}
-	time.AfterFunc(lateClose, func() { _ = l.TCPConn.Close() })
+	time.AfterFunc(closeDelay, func() { _ = l.TCPConn.Close() })
 	return l.SetDeadline(time.Unix(1, 0))
 }
 
-// Listener returns ln with the timeout on each connection that it accepts, and the Close
-// of Late.
+// Listener returns a listener that sets UserTimeout(d) on each connection that ln accepts and wraps
+// the connection with Late.
 func Listener(ln net.Listener, d time.Duration) net.Listener { return &listener{ln, UserTimeout(d)} }
 
 type listener struct {
@@ -71,8 +74,8 @@
 	control func(network, address string, conn syscall.RawConn) error
 }
 
-// Accept implements net.Listener. A connection on which the timeout cannot be set is
-// handed out all the same: it works, and only notices later that its peer is gone.
+// Accept implements net.Listener. A connection on which the timeout cannot be set is returned all
+// the same: it works, and only detects the loss of its peer later.
 func (l *listener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -86,23 +89,24 @@
 	return DelayClose(conn), nil
 }
 
-// Input is what a read of a connection would find.
+// Input is the state of the receive side of a connection.
 type Input uint8
 
-// What a read would find.
+// Results of Peek.
 const (
-	// InputUnknown is that of a connection without a socket of its own.
+	// InputUnknown means that the connection gives no access to a socket.
 	InputUnknown Input = iota
-	// NoInput means that a read would wait.
+	// NoInput means that a read would block.
 	NoInput
-	// MoreInput means that there are bytes to read.
+	// MoreInput means that there is data to read.
 	MoreInput
-	// InputEnded means that the peer has closed or reset the connection.
+	// InputEnded means that the peer has closed or reset the connection and all data has been
+	// read, or that the connection is closed at this end.
 	InputEnded
 )
 
-// Peek tells what a read of a connection would find. It takes nothing from the connection,
-// does not wait, and may be called while another goroutine reads.
+// Peek reports what a read of the connection would return. It consumes no data, does not block, and
+// may be called while another goroutine reads.
 func Peek(conn net.Conn) Input {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -113,13 +117,14 @@
 		return InputEnded
 	}
 	found := InputEnded
-	// Not RawConn.Read, which waits for a reader to return.
+	// RawConn.Read would block until a concurrent read returns.
 	if err := raw.Control(func(fd uintptr) { found = peek(int(fd)) }); err != nil {
 		return InputEnded
 	}
 	return found
 }
 
+// peek implements Peek for the socket fd.
 func peek(fd int) Input {
 	var b [1]byte
 	n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
--- a/internal/netopt/netopt_test.go
+++ b/internal/netopt/netopt_test.go
@@ -10,6 +10,7 @@
 	"golang.org/x/sys/unix"
 )
 
+// userTimeoutOf returns the TCP_USER_TIMEOUT of a connection, in milliseconds.
 func userTimeoutOf(t *testing.T, conn net.Conn) int {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
@@ -22,7 +23,7 @@
 	return got
 }
 
-// Both ends of a connection give it up after the time.
+// The dialer and the listener each set their timeout on the connection.
 func TestUserTimeoutOnBothEnds(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -39,9 +40,9 @@
 	must.Eq(t, 700, userTimeoutOf(t, accepted))
 }
 
-// A session to a host that does not read is closed. Whoever uses the connection is told at
-// once; the close itself, which may wait for the host, comes later.
-func TestLateCloseFailsAtOnce(t *testing.T) {
+// Close interrupts a blocked read and makes writes fail at once, but leaves the socket open: closing
+// the socket may block while the peer's host is unresponsive.
+func TestDelayCloseFailsAtOnce(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	defer ln.Close()
@@ -60,5 +61,5 @@
 	must.ErrorIs(t, conn.Close(), net.ErrClosed)
 	_, err = dialed.(*net.TCPConn).SyscallConn()
 	must.NoError(t, err)
-	must.NoError(t, dialed.Close(), must.Sprint("the kernel's connection is still there"))
+	must.NoError(t, dialed.Close(), must.Sprint("the socket is still open"))
 }
--- a/internal/netopt/peek_test.go
+++ b/internal/netopt/peek_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// connect returns both ends of a connection on loopback.
+// connect returns both ends of a loopback connection.
 func connect(tb testing.TB) (dialed, accepted net.Conn) {
 	tb.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,7 +25,7 @@
 	return dialed, accepted
 }
 
-// eventually waits for what the kernel will show; it decides nothing.
+// eventually waits until Peek returns want, since the kernel delivers data and resets asynchronously.
 func eventually(t *testing.T, want Input, conn net.Conn) {
 	t.Helper()
 	for range 1000 {
@@ -63,7 +63,7 @@
 	must.Eq(t, InputUnknown, Peek(one))
 }
 
-// Guards against waiting for the goroutine that reads the connection.
+// Peek must not block while another goroutine is blocked in a read of the connection.
 func TestPeekWhileAnotherReads(t *testing.T) {
 	dialed, accepted := connect(t)
 	read := make(chan error)
@@ -79,7 +79,7 @@
 	must.NoError(t, <-read)
 }
 
-// Each request is preceded by a look: 0 before, one system call now.
+// Peek is called for each request. It costs one system call.
 func BenchmarkPeek(b *testing.B) {
 	_, accepted := connect(b)
 	b.ReportAllocs()
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -72,7 +72,7 @@
 	BehindMs uint64 `json:"behind_ms,omitempty"`
 	// Reason is why the daemon lags behind or did not answer.
 	Reason string `json:"reason,omitempty"`
-	// Reader is whether the daemon reads the platform log itself.
+	// Reader is whether the daemon reads the platform log on behalf of its availability zone.
 	Reader         bool            `json:"reader"`
 	BackendServers []BackendServer `json:"backend_servers,omitempty"`
 	WithheldRoutes []string        `json:"withheld_routes,omitempty"`
