--- a/internal/configlog/reader.go
+++ b/internal/configlog/reader.go
@@ -14,8 +14,8 @@
 // batchSize is the maximum number of records that are read at once.
 const batchSize = 256
 
-// ErrShrunk means that the log ends before the offset of a state that was folded from it, so that the
-// log has lost records.
+// ErrShrunk means that the log ends before the offset of a state that was folded from it: the log has
+// lost records.
 var ErrShrunk = errors.New("the platform log ends before records that were read earlier")
 
 // Checkpoint returns the state of the latest checkpoint, or the empty state if there is none.
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -29,8 +29,9 @@
 	// Attempt is the number of the attempt, starting at 1.
 	Attempt int `json:"attempt"`
 	// Kind is the kind of the error, empty if there was none.
-	Kind   string `json:"kind"`
-	Error  string `json:"error"`
+	Kind  string `json:"kind"`
+	Error string `json:"error"`
+	// Reason is why a failed attempt was retried or not.
 	Reason string `json:"reason"`
 	// Status is the HTTP status of the backend server's response.
 	Status int `json:"status"`
@@ -165,9 +166,9 @@
 	"too_large":         "the request body is larger than the limit",
 }
 
-// FailedCalls describes each failed call among the nested calls that may have been made while a request
-// was processed. A request usually fails if a nested call that it needs fails, and the response
-// does not show that cause.
+// FailedCalls describes each failed call among the nested calls that may have been made while a
+// request was processed. A request fails if a nested call that it needs fails, and its response does
+// not show that cause.
 func FailedCalls(calls []Line) []string {
 	var failed []string
 	for _, l := range calls {
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,5 +1,5 @@
-// Package history lists the configuration records that the platform log retains, with the author, the
-// changes and the verdict of each.
+// Package history lists the configuration records that the platform log retains, with the author,
+// the changes and the verdict of each.
 package history
 
 import (
@@ -71,7 +71,8 @@
 }
 
 // Read returns the records that the log retains and f selects, the oldest first. The verdicts are
-// taken from st, a state that was folded up to the end of the log.
+// taken from st, a state that was folded up to the end of the log. Records that were appended since
+// are Undecided.
 func Read(ctx context.Context, log eventlog.Log, st *fold.State, f Filter) ([]Item, error) {
 	bounds, err := log.Bounds(ctx)
 	if err != nil {
--- a/internal/netopt/netopt.go
+++ b/internal/netopt/netopt.go
@@ -66,9 +66,10 @@
 }
 
 // Listener returns a listener that sets UserTimeout(d) on each connection that ln accepts and wraps
-// the connection with Late.
+// the connection with DelayClose.
 func Listener(ln net.Listener, d time.Duration) net.Listener { return &listener{ln, UserTimeout(d)} }
 
+// listener is the listener that Listener returns. Its control sets the timeout.
 type listener struct {
 	net.Listener
 	control func(network, address string, conn syscall.RawConn) error
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -75,8 +75,11 @@
 	// Reader is whether the daemon reads the platform log on behalf of its availability zone.
 	Reader         bool            `json:"reader"`
 	BackendServers []BackendServer `json:"backend_servers,omitempty"`
-	WithheldRoutes []string        `json:"withheld_routes,omitempty"`
-	Version        string          `json:"version,omitempty"`
+	// WithheldRoutes holds the names of the routes that are not in force yet because they wait
+	// for a backend server.
+	WithheldRoutes []string `json:"withheld_routes,omitempty"`
+	// Version is the version of the daemon program.
+	Version string `json:"version,omitempty"`
 }
 
 // BackendServer is a backend server on the host of a daemon.
--- a/internal/operator/handler.go
+++ b/internal/operator/handler.go
@@ -92,7 +92,8 @@
 	opts Options
 }
 
-// writeErrors returns a middleware that writes the error of a handler as an error response.
+// writeErrors returns a middleware that writes the error of a handler as an error response and logs
+// it if it is internal.
 func writeErrors(logger *slog.Logger) bunrouter.MiddlewareFunc {
 	return func(next bunrouter.HandlerFunc) bunrouter.HandlerFunc {
 		return func(w http.ResponseWriter, req bunrouter.Request) error {
