--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -75,8 +75,8 @@
 	// Reader is whether the daemon reads the platform log on behalf of its availability zone.
 	Reader         bool            `json:"reader"`
 	BackendServers []BackendServer `json:"backend_servers,omitempty"`
-	// WithheldRoutes holds the names of the routes that are not in force yet because they wait
-	// for a backend server.
+	// WithheldRoutes holds the names of the routes whose latest revision is not in force yet,
+	// because its service has no backend server that accepts new calls.
 	WithheldRoutes []string `json:"withheld_routes,omitempty"`
 	// Version is the version of the daemon program.
 	Version string `json:"version,omitempty"`
