--- a/internal/daemon/address.go
+++ b/internal/daemon/address.go
@@ -9,7 +9,8 @@
 	"github.com/crocuscross/crocuscross/internal/netopt"
 )
 
-// peerAddr is the address that the other daemons are told.
+// peerAddr returns the address that is announced to the other daemons: the configured address, or
+// that of the listener if none is configured.
 func (d *Daemon) peerAddr() netip.AddrPort {
 	if a, err := netip.ParseAddrPort(d.settings.Listen.AdvertisePeers); err == nil {
 		return a
@@ -17,18 +18,17 @@
 	return addrOf(d.ln.peers)
 }
 
-// peerUserTimeout is how long another daemon's host may leave bytes unacknowledged. It
-// is far above a round trip between regions, and below the time after which peer gives
-// up a session whose pings are not answered.
+// peerUserTimeout is how long the host of another daemon may leave sent bytes unacknowledged before
+// the kernel closes the connection. It is far above a round trip between regions, and below the
+// time after which package peer closes a session whose pings are not answered.
 const peerUserTimeout = 600 * time.Millisecond
 
-// dialFunc connects a session to another daemon.
+// dialFunc opens a connection to another daemon.
 type dialFunc = func(context.Context, netip.AddrPort) (net.Conn, error)
 
-// dialFrom returns how sessions to other daemons are connected: from the address
-// that this one listens on for them. A host with several addresses would else
-// be seen under one of the kernel's choice, which filters in between may not
-// know.
+// dialFrom returns a dialFunc that connects from ip, the address on which this daemon listens for
+// other daemons. On a host with several addresses, the kernel would otherwise choose one, which
+// packet filters between the hosts may not admit.
 func dialFrom(ip netip.Addr) dialFunc {
 	d := net.Dialer{
 		LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(ip, 0)), Control: netopt.UserTimeout(peerUserTimeout),
--- a/internal/daemon/address_test.go
+++ b/internal/daemon/address_test.go
@@ -23,8 +23,8 @@
 	must.Eq(t, "10.9.2.3:7400", d.peerAddr().String())
 }
 
-// A host has two addresses. Without a fixed local address the kernel takes the
-// first, and the other end sees a host that it does not know.
+// On a host with two addresses, the kernel would choose the first one as the source address, which
+// the other daemon may not know.
 func TestDialFromOwnAddress(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.2:0")
 	must.NoError(t, err)
--- a/internal/daemon/caller_left_test.go
+++ b/internal/daemon/caller_disconnect_test.go
@@ -12,12 +12,12 @@
 	"github.com/crocuscross/crocuscross/internal/proxy/body"
 )
 
-// Guards against running requests whose callers had left before they were handled.
-func TestDaemon_RequestOfACallerThatHasLeftIsNotRun(t *testing.T) {
+// Guards against running requests whose callers disconnected before the requests were handled.
+func TestDaemon_DoesNotRunRequestOfDisconnectedCaller(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		t.Run(method, func(t *testing.T) {
 			var runs atomic.Int64
-			f := setUp(t, 2, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
+			f := newFleetWithBackend(t, 2, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { runs.Add(1) }))
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
 			left := httptest.NewRequestWithContext(ctx, method, "/signs/1", nil)
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -22,51 +22,53 @@
 	"github.com/crocuscross/crocuscross/retry"
 )
 
-// buildCalls makes what a call passes through.
-func (p *parts) buildCalls(d *Daemon) error {
+// buildCalls builds the components that a call passes through.
+func (p *components) buildCalls(d *Daemon) error {
 	metrics := telemetry.NewCalls(d.registry)
-	attempts := once.DefaultAttemptTableOptions(d.boot)
-	attempts.Bounds.MaxRecords, attempts.Bounds.MaxBytes = keptRecords, keptBytes
-	p.attempts = once.NewAttemptTable(attempts)
+	attemptOptions := once.DefaultAttemptTableOptions(d.boot)
+	attemptOptions.Bounds.MaxRecords, attemptOptions.Bounds.MaxBytes = maxCallRecords, maxResponseBytes
+	p.attempts = once.NewAttemptTable(attemptOptions)
 	runs, callees := admission.NewRuns(time.Now()), &admission.CalleeStats{}
 	p.inbound = inbound.NewHandler(inbound.Options{
 		LinkMbps: d.settings.LinkMbps, Runs: runs, CalleeStats: callees, HostShare: d.hostShare,
 		Local: &d.board.Local, NewGate: d.newGate,
-		MergeRoutes: d.without(settings.WithoutRoutes), IgnoreObjective: d.without(settings.WithoutObjective),
+		MergeRoutes: d.isDisabled(settings.WithoutRoutes), IgnoreObjective: d.isDisabled(settings.WithoutObjective),
 		Attempts: p.attempts, Dialect: d.dialect(), OnServerMismatch: p.announce.HandleServerMismatch,
 		Quarantine: p.quarantine, Rollout: p.rolloutGate, Tracer: d.tracer, Metrics: metrics, Logger: d.logger,
 	})
-	balancing := balance.DefaultOptions()
-	balancing.AvailabilityZone, balancing.Region = d.settings.AvailabilityZone, d.settings.Region
-	balancing.ZoneCost = time.Duration(d.settings.Requests.ZoneCost)
-	balancing.SlowStart = time.Duration(d.settings.Requests.SlowStart)
-	balancing.DisableSlowEjection = d.settings.Requests.SlowServers == settings.SlowKeep
-	p.picker = balance.New(balancing)
+	balanceOptions := balance.DefaultOptions()
+	balanceOptions.AvailabilityZone, balanceOptions.Region = d.settings.AvailabilityZone, d.settings.Region
+	balanceOptions.ZoneCost = time.Duration(d.settings.Requests.ZoneCost)
+	balanceOptions.SlowStart = time.Duration(d.settings.Requests.SlowStart)
+	balanceOptions.DisableSlowEjection = d.settings.Requests.SlowServers == settings.SlowKeep
+	p.picker = balance.New(balanceOptions)
 	p.backends = &backends.Controller{Board: d.board, OnChange: func(s *backend.Set) { p.picker.Prune(s) }}
-	quotas := quota.DefaultOptions()
-	quotas.Host = d.settings.Host
-	quotas.Peers = quotaPeers{p.control}
-	quotas.Logger = d.logger
-	p.quota = quota.New(quotas)
-	p.budgets = retry.NewBudgets(retry.BudgetOptions{Ratio: budgetShare * d.settings.Retries.Ratio, Burst: d.settings.Retries.Extra})
+	quotaOptions := quota.DefaultOptions()
+	quotaOptions.Host = d.settings.Host
+	quotaOptions.Peers = quotaPeers{p.controlPool}
+	quotaOptions.Logger = d.logger
+	p.quota = quota.New(quotaOptions)
+	p.budgets = retry.NewBudgets(retry.BudgetOptions{Ratio: retryBudgetShare * d.settings.Retries.Ratio, Burst: d.settings.Retries.Extra})
+	// buildKeys builds the tables of idempotency keys. Keys chosen by callers require the
+	// platform's log and are disabled unless the settings enable them.
 	if err := p.buildKeys(d); err != nil {
 		return err
 	}
 	p.outbound = outbound.NewHandler(outbound.Options{
-		Board: d.board, Pool: p.calls, Picker: p.picker, Quota: p.quota,
+		Board: d.board, Pool: p.callPool, Picker: p.picker, Quota: p.quota,
 		Budgets: p.budgets,
 		Keys:    p.keys, OwnKeys: p.ownKeys, Tracer: d.tracer, Metrics: metrics, Logger: d.logger,
 		Host: d.settings.Host, Boot: d.boot,
 		MaxBody: d.settings.Requests.MaxBodyBytes, MaxCalls: d.settings.Requests.MaxInFlight,
 		Dialect: d.dialect(), Anonymous: d.settings.Requests.Customers == settings.CustomersOptional,
-		AlwaysSendSmallBodies: d.without(settings.WithoutQuestions), IgnoreCallerRetries: d.without(settings.WithoutReturns),
-		TryBusyGates:  d.without(settings.WithoutBusy),
+		AlwaysSendSmallBodies: d.isDisabled(settings.WithoutQuestions), IgnoreCallerRetries: d.isDisabled(settings.WithoutReturns),
+		TryBusyGates:  d.isDisabled(settings.WithoutBusy),
 		CallerService: d.localService, Runs: runs, NestedRoutes: &admission.NestedRoutes{},
 		CalleeStats: callees, CallGraph: &admission.CallGraph{},
 		KilobyteCost: d.kilobyteCost, Quarantine: p.quarantine,
 	})
 	p.lifecycle = &drain.Controller{
-		Board: d.board, Logger: d.logger, GracePeriod: quiet, PeerNotice: d.notice(),
+		Board: d.board, Logger: d.logger, GracePeriod: gracePeriod, PeerNotice: d.peerNotice(),
 		Counters:       []drain.InFlightCounter{p.inbound, p.outbound},
 		RejectNewCalls: p.inbound.RejectNewCalls,
 	}
@@ -75,18 +77,18 @@
 
 // buildKeys makes the tables of idempotency keys. Keys of callers' own making
 // need the platform's log and are off unless the settings ask for them.
-func (p *parts) buildKeys(d *Daemon) error {
+func (p *components) buildKeys(d *Daemon) error {
 	o := once.DefaultKeyStoreOptions(d.settings.Host, d.boot)
-	o.Bounds.MaxRecords, o.Bounds.MaxBytes, o.MaxKeys = keptRecords, keptBytes, keysOut
+	o.Bounds.MaxRecords, o.Bounds.MaxBytes, o.MaxKeys = maxCallRecords, maxResponseBytes, maxIssuedKeys
 	p.keys = once.NewKeyStore(o)
 	p.ownKeys = once.IssuedKeysOnly{}
 	p.claimLoop = idle
 	if d.settings.Requests.OwnKeys != settings.On {
 		return nil
 	}
-	claiming := once.DefaultClaimResolverOptions(p.stream(once.StreamClaims), p.keys)
-	claiming.Logger = d.logger
-	claims, err := once.NewClaimResolver(claiming)
+	options := once.DefaultClaimResolverOptions(p.meteredStream(once.StreamClaims), p.keys)
+	options.Logger = d.logger
+	claims, err := once.NewClaimResolver(options)
 	if err != nil {
 		return err
 	}
@@ -94,17 +96,17 @@
 	return nil
 }
 
-// dialect returns the names of header fields on the platform.
+// dialect returns the header names that the platform uses.
 func (d *Daemon) dialect() dialect.Dialect {
-	if d.onStore() {
+	if d.usesMetadataStore() {
 		return platform.Dialect()
 	}
 	return dialect.Default()
 }
 
-// discover asks the backend server beside the daemon who it is, where the platform's
-// servers tell.
-func (d *Daemon) discover(ctx context.Context) error {
+// discoverBackend queries the backend server on this host for its ID. It does nothing on platforms
+// whose servers do not report an ID, or if no address is configured.
+func (d *Daemon) discoverBackend(ctx context.Context) error {
 	if d.dialect().ServerID == "" || d.settings.Backend.Address == "" {
 		return idle(ctx)
 	}
@@ -119,8 +121,8 @@
 	return a.Run(ctx)
 }
 
-// healthPath returns where the backend server beside the daemon tells of its health,
-// by the document in force.
+// healthPath returns the path of the health check of the backend server on this host according to
+// the document in force, and whether there is one.
 func (d *Daemon) healthPath() (string, bool) {
 	snap := d.board.Snapshot.Load()
 	if snap == nil || snap.Document() == nil {
@@ -129,16 +131,17 @@
 	return snap.Document().HealthPath(d.settings.Backend.Service)
 }
 
-// newGate returns the gate of a backend server. On the platform servers announce how
-// many calls they run at once and queue some more: a shed is no lack of slots.
+// newGate returns the gate of a backend server. With a metadata store, backend servers announce how
+// many calls they run concurrently and queue some more, so a shed call does not indicate a lack of
+// slots.
 func (d *Daemon) newGate() *gate.Gate {
 	o := gate.DefaultOptions()
-	o.FixedSlots = d.onStore()
-	o.RetryAfterIgnoresObjective = d.without(settings.WithoutTimelyReturns)
+	o.FixedSlots = d.usesMetadataStore()
+	o.RetryAfterIgnoresObjective = d.isDisabled(settings.WithoutTimelyReturns)
 	return gate.New(o)
 }
 
-// localService returns the service of the backend server beside the daemon.
+// localService returns the service of the backend server on this host, empty if it is not known.
 func (d *Daemon) localService() string {
 	if d.settings.Backend.Service != "" {
 		return d.settings.Backend.Service
@@ -149,41 +152,48 @@
 	return ""
 }
 
-// without reports whether a trial leaves a mechanism out.
-func (d *Daemon) without(mechanism string) bool { return d.settings.Trial.Without == mechanism }
+// isDisabled reports whether the settings disable a mechanism, which is used to measure its effect.
+func (d *Daemon) isDisabled(mechanism string) bool { return d.settings.Trial.Without == mechanism }
 
-func (d *Daemon) notice() time.Duration {
-	if d.without(settings.WithoutNotice) {
-		return quiet
+// peerNotice returns how long before the end of gracePeriod the drain of the backend server is
+// announced.
+func (d *Daemon) peerNotice() time.Duration {
+	if d.isDisabled(settings.WithoutNotice) {
+		return gracePeriod
 	}
-	return notice
+	return peerNotice
 }
 
+// kilobyteCost returns the cost of 1,000 bytes sent to another availability zone, as a duration.
 func (d *Daemon) kilobyteCost() time.Duration {
-	if d.without(settings.WithoutLocality) {
+	if d.isDisabled(settings.WithoutLocality) {
 		return 0
 	}
-	return time.Duration(d.live().Requests.KilobyteCost)
+	return time.Duration(d.currentSettings().Requests.KilobyteCost)
 }
 
-// hostShare returns the share of known hosts that are beside a server of the service.
+// hostShare returns the share of the hosts with a known backend server whose server belongs to the
+// service, 0 to 1.
 func (d *Daemon) hostShare(service string) float64 {
-	if d.without(settings.WithoutNested) {
-		// Where all hosts are beside the service, nothing tells its calls from callers'.
+	if d.isDisabled(settings.WithoutNested) {
+		// If every host has a server of the service, calls made by that service cannot be
+		// distinguished from requests of callers.
 		return 1
 	}
 	set := d.board.Backends.Load()
 	return float64(len(set.ForService(service))) / float64(max(set.Len(), 1))
 }
 
-// budgetShare is the part of the fleet's retries that the daemons hand out. A retry
-// that has calls of its own brings about as many again.
-const budgetShare = 0.7
+// retryBudgetShare is the part of the fleet's retry budget that is distributed to the daemons. The
+// rest is a reserve: a retried request that makes calls of its own causes about as many calls
+// again.
+const retryBudgetShare = 0.7
 
-// shareBudget keeps this daemon's part of what the fleet may send again at an equal
-// share. Daemons that are believed dead count: beyond a cut they use theirs.
-func (d *Daemon) shareBudget(ctx context.Context) error {
-	t := time.NewTicker(watchInterval)
+// updateRetryBudget keeps the retry burst of this daemon at an equal share of the fleet's burst.
+// Daemons that are considered dead count as well: on the other side of a network partition they use
+// their shares.
+func (d *Daemon) updateRetryBudget(ctx context.Context) error {
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
 	for {
 		view, changed := d.board.Members.Watch()
@@ -191,7 +201,7 @@
 		if view != nil {
 			members = max(len(view.Members), 1)
 		}
-		d.budgets.SetBurst(max(1, budgetShare*float64(d.live().Retries.Extra)/float64(members)))
+		d.budgets.SetBurst(max(1, retryBudgetShare*float64(d.currentSettings().Retries.Extra)/float64(members)))
 		select {
 		case <-changed:
 		case <-t.C:
--- a/internal/daemon/parts.go
+++ b/internal/daemon/components.go
@@ -42,28 +42,31 @@
 	"github.com/crocuscross/crocuscross/spread"
 )
 
-// Bounds on the answers kept for repeats and asks. Together with the rest they
-// keep a daemon below 64 MB.
+// Bounds on the tables of attempts and idempotency keys. Together with the rest of the memory in
+// use they keep a daemon below 64 MB.
 const (
-	keptRecords = 16 << 10
-	keptBytes   = 6 << 20
-	keysOut     = 1 << 20
+	// maxCallRecords bounds the calls that each table keeps records of.
+	maxCallRecords = 16 << 10
+	// maxResponseBytes bounds, for each table, the memory of the responses kept for repeated calls
+	// and queries.
+	maxResponseBytes = 6 << 20
+	// maxIssuedKeys bounds the idempotency keys issued within two key lifetimes.
+	maxIssuedKeys = 1 << 20
 )
 
-// refusedAnnouncementLines is how many log lines a second tell of announcements that were
-// refused: other writers may send any number of them.
-const refusedAnnouncementLines = 5
+// maxAnnouncementLogLines is the maximum number of log lines per second about rejected
+// announcements. Other processes may send any number of them.
+const maxAnnouncementLogLines = 5
 
-// parts are the pieces of a daemon, in the order in which they depend on each
-// other.
-type parts struct {
-	calls, control *peer.Pool
-	server         *peer.Server
-	log            *httplog.Client
-	// adapter is set where the platform has a metadata store in place of the log.
-	adapter *platform.Adapter
-	appends *telemetry.AppendMeter
-	meter   *telemetry.PeerMeter
+// components are the parts of a daemon, in the order in which they depend on each other.
+type components struct {
+	callPool, controlPool *peer.Pool
+	peerServer            *peer.Server
+	log                   *httplog.Client
+	// adapter is set if the platform has a metadata store in place of the log.
+	adapter     *platform.Adapter
+	appendMeter *telemetry.AppendMeter
+	peerMeter   *telemetry.PeerMeter
 
 	membership *membership.Membership
 	spreader   *spread.Spreader
@@ -87,7 +90,7 @@
 	announce    *announce.Controller
 	distribute  *distribute.Controller
 	checkpoints *checkpoints.Controller
-	// checkpointLoop writes checkpoints, or does nothing.
+	// checkpointLoop writes checkpoints. It does nothing if the platform has a metadata store.
 	checkpointLoop loop.Func
 	contacts       *contacts.Controller
 	quarantines    *quarantines.Controller
@@ -96,10 +99,10 @@
 	lifecycle      *drain.Controller
 }
 
-// build makes all parts.
-func (d *Daemon) build() (*parts, error) {
-	p := &parts{}
-	p.meter = telemetry.NewPeerMeter(d.registry)
+// build builds all components.
+func (d *Daemon) build() (*components, error) {
+	p := &components{}
+	p.peerMeter = telemetry.NewPeerMeter(d.registry)
 	p.buildPeers(d)
 	if err := p.buildMembership(d); err != nil {
 		return nil, err
@@ -109,39 +112,40 @@
 		return nil, err
 	}
 	p.buildOperators(d)
-	p.handle()
+	p.registerHandlers()
 	d.registry.MustRegister(telemetry.NewBoardCollector(d.board),
 		telemetry.NewGateCollector(p.inbound.Load), telemetry.NewQuotaCollector(p.quota.Stats),
 		telemetry.NewQuarantineCollector(p.quarantine.Stats))
 	return p, nil
 }
 
-// buildPeers makes two pools: configuration must not wait behind a large
-// upload, and a drop of one session must not end the other's streams.
-func (p *parts) buildPeers(d *Daemon) {
+// buildPeers builds two session pools, one for calls and one for everything else. Configuration
+// must not wait behind a large upload, and the loss of a session of one pool must not end the
+// streams of the other.
+func (p *components) buildPeers(d *Daemon) {
 	opts := peer.DefaultPoolOptions()
-	opts.Meter = p.meter
-	opts.LocalityOf = d.placeOf
+	opts.Meter = p.peerMeter
+	opts.LocalityOf = d.localityOf
 	opts.Dial = d.dialCalls
-	p.calls = peer.NewPool(opts)
+	p.callPool = peer.NewPool(opts)
 	opts.Dial = dialFrom(addrOf(d.ln.peers).Addr())
-	p.control = peer.NewPool(opts)
+	p.controlPool = peer.NewPool(opts)
 	server := peer.DefaultServerOptions()
-	server.Meter = p.meter
-	server.LocalityOf = d.placeOf
+	server.Meter = p.peerMeter
+	server.LocalityOf = d.localityOf
 	server.Logger = d.logger
-	p.server = peer.NewServer(server)
+	p.peerServer = peer.NewServer(server)
 	log := httplog.DefaultOptions(d.settings.Platform.URL)
 	log.AppendTimeout = time.Duration(d.settings.Platform.AppendTimeout)
 	p.log = httplog.New(log)
-	p.appends = telemetry.NewAppendMeter(d.registry)
-	if d.onStore() {
+	p.appendMeter = telemetry.NewAppendMeter(d.registry)
+	if d.usesMetadataStore() {
 		p.adapter = platform.New(strings.TrimPrefix(d.settings.Platform.URL, "http://"), d.logger, telemetry.NewStoreMeter(d.registry))
 	}
 }
 
-// placeOf returns where the daemon at an IP address is.
-func (d *Daemon) placeOf(ip netip.Addr) peer.Locality {
+// localityOf returns the locality of the daemon with an IP address.
+func (d *Daemon) localityOf(ip netip.Addr) peer.Locality {
 	view := d.board.Members.Load()
 	if view == nil {
 		return peer.UnknownLocality
@@ -158,28 +162,29 @@
 	return peer.UnknownLocality
 }
 
-// onStore reports whether the platform has a metadata store, which its operator
-// writes documents to.
-func (d *Daemon) onStore() bool { return d.settings.Platform.Protocol == settings.ProtocolStore }
+// usesMetadataStore reports whether the platform has a metadata store, to which its operator writes
+// documents.
+func (d *Daemon) usesMetadataStore() bool {
+	return d.settings.Platform.Protocol == settings.ProtocolStore
+}
 
 // configLog returns the log of configuration records.
-func (p *parts) configLog() eventlog.Log {
+func (p *components) configLog() eventlog.Log {
 	if p.adapter != nil {
 		return p.adapter.Config
 	}
 	return p.log.Stream(eventlog.StreamConfig)
 }
 
-// latestState returns the newest state that the platform keeps beside the log's
-// records.
-func (p *parts) latestState(ctx context.Context) (*fold.State, error) {
+// latestState returns the newest state that the platform stores besides the records of the log.
+func (p *components) latestState(ctx context.Context) (*fold.State, error) {
 	if p.adapter != nil {
 		return p.adapter.Config.LatestState(ctx)
 	}
 	return checkpoint.Latest(ctx, p.log.Stream(eventlog.StreamCheckpoints))
 }
 
-func (p *parts) buildMembership(d *Daemon) error {
+func (p *components) buildMembership(d *Daemon) error {
 	s := d.settings
 	o := membership.DefaultOptions()
 	o.Host = s.Host
@@ -194,7 +199,7 @@
 	o.SuspicionTimeout = time.Duration(s.Membership.SuspicionTimeout)
 	o.HealInterval = time.Duration(s.Membership.HealInterval)
 	o.Packets = d.ln.packets
-	o.Sync = memberSync{p.control}
+	o.Sync = memberSync{p.controlPool}
 	o.Meter = telemetry.NewMemberMeter(d.registry)
 	o.Logger = d.logger
 	m, err := membership.New(o)
@@ -202,7 +207,7 @@
 	return err
 }
 
-func (p *parts) buildConfiguration(d *Daemon) {
+func (p *components) buildConfiguration(d *Daemon) {
 	p.distribute = &distribute.Controller{Board: d.board}
 	s := d.settings.Spread
 	o := spread.DefaultOptions()
@@ -210,10 +215,10 @@
 	o.AvailabilityZone = d.settings.AvailabilityZone
 	o.Log = p.configLog()
 	o.LogReportsRestores = p.adapter != nil
-	o.Peers = spread.NewPoolPeers(p.control)
+	o.Peers = spread.NewPoolPeers(p.controlPool)
 	o.ReadersPerZone = s.ReadersPerZone
 	o.FanOut = s.FanOut
-	// The settings have let in known names only.
+	// The settings are validated and contain only known names.
 	_ = o.Mode.UnmarshalText([]byte(s.Mode))
 	_ = o.Redundancy.UnmarshalText([]byte(s.Redundancy))
 	o.OwnReadAfter = time.Duration(s.OwnReadAfter)
@@ -233,27 +238,26 @@
 	p.announce = &announce.Controller{
 		Board: d.board, Logger: d.logger, Now: time.Now,
 		Address: d.settings.Backend.Address, ServerTTL: time.Duration(d.settings.Backend.Expires),
-		Service: d.settings.Backend.Service, RejectionLogLimit: telemetry.NewLineLimit(refusedAnnouncementLines),
+		Service: d.settings.Backend.Service, RejectionLogLimit: telemetry.NewLineLimit(maxAnnouncementLogLines),
 	}
 }
 
-// stream returns a stream that this daemon appends to.
-func (p *parts) stream(name string) eventlog.Log {
-	return p.appends.Stream(name, p.log.Stream(name))
+// meteredStream returns a stream that this daemon appends to, with metrics of its appends.
+func (p *components) meteredStream(name string) eventlog.Log {
+	return p.appendMeter.Stream(name, p.log.Stream(name))
 }
 
-// buildStreams makes the parts that keep streams of the project's own in the
-// platform's log.
-func (p *parts) buildStreams(d *Daemon) {
-	keeping := checkpoint.DefaultCheckpointerOptions(time.Duration(d.settings.Platform.Retention))
-	keeping.Logger = d.logger
+// buildStreams builds the components that have streams of their own in the platform's log.
+func (p *components) buildStreams(d *Daemon) {
+	options := checkpoint.DefaultCheckpointerOptions(time.Duration(d.settings.Platform.Retention))
+	options.Logger = d.logger
 	p.checkpoints = &checkpoints.Controller{
 		Board: d.board, Logger: d.logger,
 		Checkpointer: checkpoint.NewCheckpointer(d.settings.Host, p.log.Stream(eventlog.StreamConfig),
-			p.stream(eventlog.StreamCheckpoints), keeping),
+			p.meteredStream(eventlog.StreamCheckpoints), options),
 	}
 	p.checkpointLoop = p.checkpoints.Run
-	directory := eventlog.Directory(eventlog.TailDirectory{Log: p.stream(eventlog.StreamContacts), MaxRecords: contacts.TailRecords})
+	directory := eventlog.Directory(eventlog.TailDirectory{Log: p.meteredStream(eventlog.StreamContacts), MaxRecords: contacts.TailRecords})
 	if p.adapter != nil {
 		directory = p.adapter.Contacts
 		// The store itself keeps the newest document.
@@ -264,52 +268,53 @@
 	p.contacts = contacts.New(contacts.Options{
 		Board: d.board, Directory: directory, DirectoryPersists: p.adapter != nil, Host: d.settings.Host,
 		AvailabilityZone: d.settings.AvailabilityZone, PeerAddr: d.peerAddr(),
-		OnEntries: p.takeEntries, Logger: d.logger, Now: time.Now,
+		OnEntries: p.addEntries, Logger: d.logger, Now: time.Now,
 	})
 }
 
-// idle is a loop with nothing to do.
+// idle is a loop that does nothing until ctx is done.
 func idle(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
 
-func (p *parts) buildOperators(d *Daemon) {
+func (p *components) buildOperators(d *Daemon) {
 	p.self = fleet.NewSelf(fleet.SelfOptions{
 		Board: d.board, Host: d.settings.Host, AvailabilityZone: d.settings.AvailabilityZone,
 		Version: buildinfo.Get().String(), Now: time.Now,
 	})
 	o := fleet.DefaultOptions()
-	o.Board, o.Self, o.Peers, o.Drain, o.Logger = d.board, p.self, operatorPeers{p.control}, p.lifecycle.Drain, d.logger
+	o.Board, o.Self, o.Peers, o.Drain, o.Logger = d.board, p.self, operatorPeers{p.controlPool}, p.lifecycle.Drain, d.logger
 	f := fleet.New(o)
-	p.server.Handle(peerpb.Kind_KIND_STATUS, p.self)
-	p.server.Handle(peerpb.Kind_KIND_DRAIN, peer.HandlerFunc(f.ServeDrain))
+	p.peerServer.Handle(peerpb.Kind_KIND_STATUS, p.self)
+	p.peerServer.Handle(peerpb.Kind_KIND_DRAIN, peer.HandlerFunc(f.ServeDrain))
 	p.operatorAPI = operator.New(operator.Options{
 		Board: d.board, Fleet: f, Logger: d.logger,
 		NeedDocument: d.settings.Requests.Customers == settings.CustomersOptional,
-		Metrics:      d.exposition(), Quarantine: p.quarantine, Rollouts: p.rollouts.Status,
+		Metrics:      d.metricsHandler(), Quarantine: p.quarantine, Rollouts: p.rollouts.Status,
 	})
 }
 
-// loops returns what runs for the daemon's whole life.
+// loops returns the loops that run for the lifetime of the daemon.
 func (d *Daemon) loops() []loop.Func {
 	return []loop.Func{
-		func(context.Context) error { return d.server.Serve(d.ln.peers) },
+		func(context.Context) error { return d.peerServer.Serve(d.ln.peers) },
 		func(context.Context) error { return serve(d.operators, d.ln.operators) },
 		d.serveMetrics,
 		func(context.Context) error { return serve(d.backend, d.ln.backend) },
 		d.serveCallers,
-		d.joinFleet, d.recoverConfiguration, d.calls.Run, d.control.Run,
+		d.joinFleet, d.recoverConfiguration, d.callPool.Run, d.controlPool.Run,
 		d.membership.Run, d.members.Run, d.backends.Run,
 		d.distribute.Run, d.apply.Run, d.announce.Run,
 		d.checkpointLoop, d.contacts.Run, d.quarantines.Run, d.rollouts.Run, d.claimLoop,
-		d.quota.Run, d.followQuota, d.inbound.Run, d.shareBudget, d.followSettings, d.discover,
+		d.quota.Run, d.updateQuota, d.inbound.Run, d.updateRetryBudget, d.watchSettings, d.discoverBackend,
 		d.self.Run, d.lifecycle.Run,
 	}
 }
 
-// followQuota tells the quota of the fleet and of the contracts in force.
-func (d *Daemon) followQuota(ctx context.Context) error {
+// updateQuota passes the members of the fleet and the contracts in force to the quota manager
+// whenever they change.
+func (d *Daemon) updateQuota(ctx context.Context) error {
 	for {
 		view, viewChanged := d.board.Members.Watch()
 		snap, snapChanged := d.board.Snapshot.Watch()
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -16,44 +16,45 @@
 	"github.com/crocuscross/crocuscross/quarantine"
 )
 
-// deadlyPath is the path of requests that end the server which begins to run them.
-const deadlyPath = "/get/deadly"
+// crashPath is the path of requests that crash each server that begins to run them.
+const crashPath = "/get/deadly"
 
-// allowedAfter is how many times a request may reach a server after it has ended three.
-const allowedAfter = 3
+// maxArrivalsAfterCrashes is how many times a request may reach a server after it has crashed
+// three.
+const maxArrivalsAfterCrashes = 3
 
-// crashServer is a backend server that ends under requests of deadlyPath, and that starts
-// again at its address with another id.
+// crashServer is a backend server that crashes when it receives a request for crashPath. After a
+// restart it has the same address and another ID.
 type crashServer struct {
 	f      *storeFleet
-	beside *testDaemon
+	daemon *testDaemon
 	number int
 	addr   string
-	// arrivals counts the deadly requests of all servers of a test.
+	// arrivals counts the requests for crashPath at all servers of a test.
 	arrivals *atomic.Int64
 
-	mu     sync.Mutex
-	starts int
-	http   *http.Server
-	ended  bool
+	mu      sync.Mutex
+	starts  int
+	http    *http.Server
+	crashed bool
 }
 
-// newCrashServers starts a server beside each daemon.
+// newCrashServers starts a server on the host of each daemon.
 func newCrashServers(f *storeFleet) ([]*crashServer, *atomic.Int64) {
 	var servers []*crashServer
 	arrivals := new(atomic.Int64)
 	for i, d := range f.daemons {
-		s := &crashServer{f: f, beside: d, number: i, addr: "127.0.0.1:0", arrivals: arrivals}
+		s := &crashServer{f: f, daemon: d, number: i, addr: "127.0.0.1:0", arrivals: arrivals}
 		s.start()
 		servers = append(servers, s)
 	}
-	f.knowAll(servers)
+	f.waitServersKnown(servers)
 	return servers, arrivals
 }
 
 func (s *crashServer) id() string { return fmt.Sprintf("i-%d-%d", s.number, s.starts) }
 
-// start starts the server, for the first time or after a crash, and announces it.
+// start starts the server, initially or after a crash, and announces it.
 func (s *crashServer) start() {
 	s.f.t.Helper()
 	var ln net.Listener
@@ -63,7 +64,7 @@
 		return err == nil
 	})
 	s.mu.Lock()
-	s.addr, s.ended = ln.Addr().String(), false
+	s.addr, s.crashed = ln.Addr().String(), false
 	s.starts++
 	s.http = &http.Server{Handler: http.HandlerFunc(s.serve)}
 	srv := s.http
@@ -71,12 +72,12 @@
 	go func() { _ = srv.Serve(ln) }()
 	s.f.t.Cleanup(func() { _ = srv.Close() })
 	body := fmt.Sprintf(`{"service":"signs","address":%q,"availability_zone":"z","version":"v1","slots":4,"state":"ready","warm_up_ms":0,"sequence":1}`, s.addr)
-	must.Eq(s.f.t, http.StatusOK, s.f.backendCall(s.beside, http.MethodPut, "/v1/backend-servers/"+s.id(), body))
+	must.Eq(s.f.t, http.StatusOK, s.f.backendCall(s.daemon, http.MethodPut, "/v1/backend-servers/"+s.id(), body))
 }
 
 func (s *crashServer) serve(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
-	if r.URL.Path == deadlyPath {
+	if r.URL.Path == crashPath {
 		s.arrivals.Add(1)
 		s.crash()
 		return
@@ -89,30 +90,30 @@
 func (s *crashServer) crash() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.crashed = true
 	_ = s.http.Close()
 }
 
-func (s *crashServer) hasEnded() bool {
+func (s *crashServer) hasCrashed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.ended
+	return s.crashed
 }
 
-// restart starts the servers that have ended, and waits until all daemons know the new
-// lives.
-func (f *storeFleet) restart(servers []*crashServer) {
+// restartCrashed restarts the servers that have crashed, and waits until all daemons know their new
+// instances.
+func (f *storeFleet) restartCrashed(servers []*crashServer) {
 	f.t.Helper()
 	for _, s := range servers {
-		if s.hasEnded() {
+		if s.hasCrashed() {
 			s.start()
 		}
 	}
-	f.knowAll(servers)
+	f.waitServersKnown(servers)
 }
 
-// knowAll waits until all daemons know of the servers, in the lives in which these are.
-func (f *storeFleet) knowAll(servers []*crashServer) {
+// waitServersKnown waits until all daemons know the current instances of the servers.
+func (f *storeFleet) waitServersKnown(servers []*crashServer) {
 	f.t.Helper()
 	f.eventually("all servers are known", func() bool {
 		for _, d := range f.daemons {
@@ -121,7 +122,7 @@
 				return false
 			}
 			for _, b := range set {
-				if b.Instance != f.ownLife(b.Host, servers) {
+				if b.Instance != f.currentInstance(b.Host, servers) {
 					return false
 				}
 			}
@@ -130,11 +131,11 @@
 	})
 }
 
-// ownLife returns the life of its server that a host tells of, 0 while it does not tell of
-// the server that runs.
-func (f *storeFleet) ownLife(host string, servers []*crashServer) uint32 {
+// currentInstance returns the instance of the running server that the daemon on the host announces,
+// 0 while it announces another one.
+func (f *storeFleet) currentInstance(host string, servers []*crashServer) uint32 {
 	for _, s := range servers {
-		d := s.beside
+		d := s.daemon
 		if d.settings.Host != host || d.board.Local.Load().ID != s.id() {
 			continue
 		}
@@ -145,48 +146,48 @@
 	return 0
 }
 
-// A caller's lookup ends each backend server that begins to run it, and comes again after
-// each failure, at another daemon each time. Every daemon took a repeat for a new request
-// and sent it to a server that was whole: 20 repeats ended 20 servers, and other callers were
-// refused while these were away. Nothing was remembered of what a server ended under, so no
-// bound within a call or a daemon counted what came back. The lines of the gates told it:
-// the same identity was in progress at the end of every server, and no other one was.
+// Guards against a request that crashes every backend server that runs it, and that its caller
+// repeats at another daemon after each failure. Without a record of the requests that were in
+// progress when a server ended, each daemon treats a repeat as a new request and sends it to a
+// healthy server: 20 repeats ended 20 servers, and requests of other callers were rejected while
+// these were down. The request is identified by its identity, the only one in progress at the end
+// of every server.
 func TestStore_RequestThatEndsItsServersIsStopped(t *testing.T) {
 	f := newStoreFleet(t, 6)
-	f.document(3)
+	f.putDocument(3)
 	servers, arrivals := newCrashServers(f)
-	const crashesUntilKnown, repeats = 3, 20
+	const crashesUntilQuarantine, repeats = 3, 20
 	for i := range repeats {
-		_, _ = f.call(f.daemons[i%len(f.daemons)], http.MethodGet, deadlyPath, "")
-		f.restart(servers)
+		_, _ = f.call(f.daemons[i%len(f.daemons)], http.MethodGet, crashPath, "")
+		f.restartCrashed(servers)
 	}
-	must.LessEq(t, crashesUntilKnown+allowedAfter, arrivals.Load())
+	must.LessEq(t, crashesUntilQuarantine+maxArrivalsAfterCrashes, arrivals.Load())
 	for _, d := range f.daemons {
 		resp, _ := f.call(d, http.MethodGet, "/get/other", "")
 		must.Eq(t, http.StatusOK, resp.StatusCode, must.Sprint("other requests are served"))
 	}
 }
 
-// A request is kept from the servers when all daemons lose power. They start anew, with
-// nothing but what the platform's store holds, and its caller still sends it: without the
-// verdict in the store it would end three servers more, as after each such loss.
+// Guards against losing a quarantine when all daemons lose power. They restart with nothing but the
+// contents of the platform's store while the caller still sends the request. Without the verdict in
+// the store, the request would crash three more servers after each power loss.
 func TestStore_QuarantineOutlivesAllDaemons(t *testing.T) {
 	f := newStoreFleet(t, 4)
-	f.document(3)
+	f.putDocument(3)
 	servers, arrivals := newCrashServers(f)
-	verdict := f.quarantineAtAll(servers, arrivals)
-	f.stored(verdict)
+	verdict := f.quarantineEverywhere(servers, arrivals)
+	f.waitStored(verdict)
 	f.stopAll()
 	for range 3 {
 		f.start()
 	}
-	f.document(5)
+	f.putDocument(5)
 	_, after := newCrashServers(f)
-	f.eventually("all have read the store", func() bool {
+	f.eventually("all daemons have read the store", func() bool {
 		return !slices.ContainsFunc(f.daemons, func(d *testDaemon) bool { return d.quarantine.QuarantinedFor(verdict.Identity) == 0 })
 	})
 	for _, d := range f.daemons {
-		resp, _ := f.call(d, http.MethodGet, deadlyPath, "")
+		resp, _ := f.call(d, http.MethodGet, crashPath, "")
 		must.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 		must.NotEq(t, "", resp.Header.Get("Retry-After"))
 		resp, _ = f.call(d, http.MethodGet, "/get/other", "")
@@ -195,22 +196,22 @@
 	must.Eq(t, 0, after.Load())
 }
 
-// quarantineAtAll calls until the request that ends its servers is kept away by all daemons,
-// and returns the verdict on it.
-func (f *storeFleet) quarantineAtAll(servers []*crashServer, arrivals *atomic.Int64) quarantine.Verdict {
+// quarantineEverywhere sends calls until all daemons have quarantined the request that crashes
+// servers, and returns its verdict.
+func (f *storeFleet) quarantineEverywhere(servers []*crashServer, arrivals *atomic.Int64) quarantine.Verdict {
 	f.t.Helper()
-	f.eventually("the request is kept away by all", func() bool {
+	f.eventually("all daemons have quarantined the request", func() bool {
 		if arrivals.Load() < 3 {
-			_, _ = f.call(f.daemons[0], http.MethodGet, deadlyPath, "")
-			f.restart(servers)
+			_, _ = f.call(f.daemons[0], http.MethodGet, crashPath, "")
+			f.restartCrashed(servers)
 		}
 		return !slices.ContainsFunc(f.daemons, func(d *testDaemon) bool { return len(d.quarantine.Verdicts()) == 0 })
 	})
 	return f.daemons[0].quarantine.Verdicts()[0]
 }
 
-// stored returns once a verdict is in the store.
-func (f *storeFleet) stored(verdict quarantine.Verdict) {
+// waitStored waits until a verdict is in the store.
+func (f *storeFleet) waitStored(verdict quarantine.Verdict) {
 	f.t.Helper()
 	f.eventually("the verdict is in the store", func() bool {
 		values, err := f.daemons[0].adapter.Contacts.List(f.t.Context())
@@ -221,17 +222,18 @@
 	})
 }
 
-// Guards against verdicts and addresses that are missing from the store after it lost its end.
-func TestStore_EntriesOutliveARestore(t *testing.T) {
+// Guards against verdicts and addresses that remain missing after the store has lost its latest
+// records.
+func TestStore_EntriesSurviveRestore(t *testing.T) {
 	f := newStoreFleet(t, 4)
 	older := f.store.Backup()
-	f.document(3)
+	f.putDocument(3)
 	servers, arrivals := newCrashServers(f)
-	verdict := f.quarantineAtAll(servers, arrivals)
-	f.stored(verdict)
+	verdict := f.quarantineEverywhere(servers, arrivals)
+	f.waitStored(verdict)
 	f.store.Restore(older)
-	f.document(5)
-	f.stored(verdict)
+	f.putDocument(5)
+	f.waitStored(verdict)
 	d := f.start()
 	f.eventually("a new daemon finds the others", func() bool {
 		view := d.board.Members.Load()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon wires the parts of one daemon together and owns its life:
-// start, serving, graceful shutdown.
+// Package daemon assembles the components of one daemon and runs it: startup, serving and graceful
+// shutdown.
 package daemon
 
 import (
@@ -26,57 +26,62 @@
 )
 
 const (
-	// quiet is how long a leaving daemon goes on taking calls, until all others
-	// know that it leaves.
-	quiet = 2 * time.Second
-	// notice is how long before the end of quiet the others learn that its backend server
-	// goes with it. Gossip takes some probe intervals of 0.5 s; whoever has not heard is
-	// refused by the gate, which costs a hop. Where all of 11 hosts restart in turn 0.10 of
-	// the requests were refused in place of 0.12 with a notice as long as quiet.
-	notice = 600 * time.Millisecond
-	// linger is how long callers' connections are served after the last one was
-	// let in.
+	// gracePeriod is how long a draining daemon keeps accepting calls, until all other daemons know
+	// of the drain.
+	gracePeriod = 2 * time.Second
+	// peerNotice is the last part of gracePeriod. At its start, the daemon announces that its
+	// backend server must receive no more calls. Gossip takes a few probe intervals of 0.5 s. A
+	// daemon that the announcement has not reached in time gets its call rejected by the gate,
+	// which costs a hop. In a rolling restart of all 11 hosts, 10% of the requests were rejected
+	// with this value, 12% with a notice as long as gracePeriod.
+	peerNotice = 600 * time.Millisecond
+	// linger is how long the connections of callers are still served after the last connection was
+	// accepted.
 	linger = 500 * time.Millisecond
-	// lingerPoll is how often it is looked whether any are left.
+	// lingerPoll is the interval at which the daemon checks whether any of these connections are
+	// left.
 	lingerPoll = 10 * time.Millisecond
-	// leaveTimeout bounds the goodbye to the other daemons.
+	// leaveTimeout bounds the announcement to the other daemons that this daemon leaves.
 	leaveTimeout = 300 * time.Millisecond
-	// lastAnswersTimeout bounds the answers to calls that are given up: an ask of a gate
-	// and a write to the caller.
-	lastAnswersTimeout = 300 * time.Millisecond
-	// closeTimeout bounds the end of what is left after the drain, at each listener.
+	// finalResponsesTimeout bounds the responses to calls that are canceled at the drain timeout: a
+	// query to a gate and a write to the caller.
+	finalResponsesTimeout = 300 * time.Millisecond
+	// closeTimeout bounds, for each listener, the end of the requests that are left after the
+	// drain.
 	closeTimeout = 150 * time.Millisecond
 )
 
-// Daemon is one daemon with all its parts.
+// Daemon is one daemon with all its components.
 type Daemon struct {
+	// settings are the settings that the daemon was started with.
 	settings *settings.Settings
-	// current is settings with what was reloaded since the start.
-	current  atomic.Pointer[settings.Settings]
-	reloads  ReloadOptions
-	level    *slog.LevelVar
-	lines    *telemetry.LineQueue
-	logger   *slog.Logger
-	tracer   trace.Tracer
-	flush    func(context.Context) error
-	registry *prometheus.Registry
-	boot     uint64
-	board    *blackboard.Board
-	ln       *listeners
-	// dialCalls connects the sessions that carry calls.
+	// current holds the settings in force: the initial settings with the values that were reloaded.
+	current     atomic.Pointer[settings.Settings]
+	reloads     ReloadOptions
+	level       *slog.LevelVar
+	logLines    *telemetry.LineQueue
+	logger      *slog.Logger
+	tracer      trace.Tracer
+	flushTraces func(context.Context) error
+	registry    *prometheus.Registry
+	// boot is a random number other than 0 that identifies this run of the daemon.
+	boot  uint64
+	board *blackboard.Board
+	ln    *listeners
+	// dialCalls opens the sessions that carry calls.
 	dialCalls dialFunc
-	// joined is closed once another daemon has answered.
+	// joined is closed once a join has reached another daemon.
 	joined     chan struct{}
 	joinedOnce sync.Once
-	*parts
+	*components
 
 	callers            *pipeline.Server
 	operators, backend *http.Server
-	// linger is the constant of this name; tests change it.
+	// linger is the constant of the same name; tests override it.
 	linger time.Duration
 }
 
-// Run runs a daemon until ctx is done and its graceful shutdown has ended.
+// Run runs a daemon until ctx is done and its graceful shutdown has completed.
 func Run(ctx context.Context, s *settings.Settings, reloads ReloadOptions) error {
 	d, err := New(ctx, s)
 	if err != nil {
@@ -86,7 +91,7 @@
 	return d.Run(ctx)
 }
 
-// New binds the listeners and builds the parts; nothing runs yet.
+// New binds the listeners and builds the components. It does not start them.
 func New(ctx context.Context, s *settings.Settings) (*Daemon, error) {
 	ln, err := listen(s.Listen)
 	if err != nil {
@@ -100,8 +105,7 @@
 	return d, nil
 }
 
-// newDaemon builds a daemon on bound listeners; dial connects the sessions that
-// carry calls.
+// newDaemon builds a daemon on bound listeners. dial opens the sessions that carry calls.
 func newDaemon(ctx context.Context, s *settings.Settings, ln *listeners, dial dialFunc) (*Daemon, error) {
 	level := &slog.LevelVar{}
 	if err := level.UnmarshalText([]byte(s.Log.Level)); err != nil {
@@ -120,36 +124,36 @@
 		return nil, err
 	}
 	d := &Daemon{
-		dialCalls: dial,
-		settings:  s,
-		level:     level,
-		lines:     lines,
-		logger:    logger.With("host", s.Host),
-		tracer:    tracer,
-		flush:     flush,
-		registry:  telemetry.NewRegistry(),
-		boot:      rand.Uint64() | 1,
-		board:     &blackboard.Board{},
-		ln:        ln,
-		joined:    make(chan struct{}),
-		linger:    linger,
+		dialCalls:   dial,
+		settings:    s,
+		level:       level,
+		logLines:    lines,
+		logger:      logger.With("host", s.Host),
+		tracer:      tracer,
+		flushTraces: flush,
+		registry:    telemetry.NewRegistry(),
+		boot:        rand.Uint64() | 1,
+		board:       &blackboard.Board{},
+		ln:          ln,
+		joined:      make(chan struct{}),
+		linger:      linger,
 	}
 	d.current.Store(s)
-	d.parts, err = d.build()
+	d.components, err = d.build()
 	return d, err
 }
 
-// Run starts the parts, serves until ctx is done, and shuts down gracefully.
-// It returns early where a part fails.
+// Run starts the components, serves until ctx is done, and then shuts down gracefully. It returns
+// early if a component fails.
 func (d *Daemon) Run(ctx context.Context) error {
-	defer d.lines.Close()
-	// The parts outlive ctx: they are needed until the drain has ended.
-	life, stop := context.WithCancel(context.WithoutCancel(ctx))
+	defer d.logLines.Close()
+	// The components outlive ctx: they are needed until the drain has completed.
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	ended := make(chan error, 1)
-	d.serveHTTP()
+	d.buildServers()
 	d.lifecycle.Joining()
-	go func() { ended <- loop.Run(life, d.loops()...) }()
+	go func() { ended <- loop.Run(runCtx, d.loops()...) }()
 	d.logger.Info("daemon: started", "availability_zone", d.settings.AvailabilityZone, "boot", d.boot,
 		"callers", d.ln.callers.Addr(), "peers", d.ln.peers.Addr(), "operators", d.ln.operators.Addr())
 	var err error
@@ -164,31 +168,31 @@
 	}
 	flushCtx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
-	return errors.CombineErrors(err, d.flush(flushCtx))
+	return errors.CombineErrors(err, d.flushTraces(flushCtx))
 }
 
-// serveHTTP makes the servers of the HTTP listeners.
-func (d *Daemon) serveHTTP() {
+// buildServers builds the HTTP servers for callers, operators and backend servers.
+func (d *Daemon) buildServers() {
 	d.callers = d.callerServer()
 	d.operators = operatorServer(d.operatorAPI, d.logger)
 	d.backend = backendServer(d.announce.Handler(), d.logger)
-	watchInput(d.operators, "operators", d.meter, d.logger)
-	watchInput(d.backend, "backend", d.meter, d.logger)
+	monitorInput(d.operators, "operators", d.peerMeter, d.logger)
+	monitorInput(d.backend, "backend", d.peerMeter, d.logger)
 }
 
-// drain shuts down gracefully: the others are told first, then no more callers
-// are let in, then the work in flight ends. Callers that keep connections are
-// told to close them.
+// drain shuts down gracefully. It announces the drain to the other daemons, then stops accepting
+// connections from callers, and then waits for the requests in flight. Meanwhile, responses ask
+// callers to close their keep-alive connections.
 func (d *Daemon) drain(reason string) {
-	until, done := context.WithTimeout(context.Background(), drainTime(d.live().Drain))
+	until, done := context.WithTimeout(context.Background(), drainTimeout(d.currentSettings().Drain))
 	defer done()
 	d.lifecycle.Drain(reason)
 	d.callers.Drain()
 	d.lifecycle.WaitGracePeriod(until)
-	d.ln.callersDoor.Shut()
-	d.lingerOn()
+	d.ln.drainableCallers.StopAccepting()
+	d.waitLinger()
 	if d.callers.Shutdown(until) != nil {
-		d.answerTheRest()
+		d.cancelRemainingCalls()
 	}
 	left := d.lifecycle.Wait(until)
 	if left > 0 {
@@ -202,10 +206,11 @@
 	}
 }
 
-// answerTheRest has the calls answered for which there is no time left.
-func (d *Daemon) answerTheRest() {
+// cancelRemainingCalls cancels the calls that are in progress at the drain timeout, and waits until
+// their callers have received an error response.
+func (d *Daemon) cancelRemainingCalls() {
 	d.logger.Warn("daemon: calls given up by the drain timeout", "calls", d.outbound.InFlight(), "connections", d.callers.OpenConns())
-	ctx, cancel := context.WithTimeout(context.Background(), lastAnswersTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), finalResponsesTimeout)
 	defer cancel()
 	d.outbound.CancelCalls()
 	if d.callers.Shutdown(ctx) != nil {
@@ -213,32 +218,34 @@
 	}
 }
 
-// drainTime returns how long calls in flight may take in a drain. A sixth of the time
-// until the process is killed is left for the goodbye and the end: calls cut off by
-// the kill get no answer at all, and the other daemons would suspect the host first.
-func drainTime(s settings.Drain) time.Duration { return time.Duration(s.Timeout) * 5 / 6 }
+// drainTimeout returns how long calls in flight may take during a drain. A sixth of the time until
+// the process is killed is reserved for announcing that the daemon leaves and for closing the
+// listeners. Calls that the kill interrupts get no response at all, and the other daemons would
+// suspect the host before they know that it has left.
+func drainTimeout(s settings.Drain) time.Duration { return time.Duration(s.Timeout) * 5 / 6 }
 
-// lingerOn serves for a while the connections that were let in before the door
-// was shut. The HTTP server closes a connection on which no request has begun at
-// once, and cuts off a request that is just arriving on it.
-func (d *Daemon) lingerOn() {
+// waitLinger keeps serving for a while the connections that were accepted before the listener
+// stopped. Shutting down the server immediately would close a connection on which no request has
+// begun, and abort a request that is just arriving.
+func (d *Daemon) waitLinger() {
 	for end := time.Now().Add(d.linger); time.Now().Before(end) && d.callers.OpenConns() > 0; {
 		time.Sleep(lingerPoll)
 	}
 }
 
-// close ends what serves others.
+// close shuts down the servers and closes the sessions and the listeners.
 func (d *Daemon) close() {
 	d.shutdownCallers()
 	shutdown(d.operators, closeTimeout)
 	shutdown(d.backend, closeTimeout)
-	_ = d.server.Close()
-	_ = d.calls.Close()
-	_ = d.control.Close()
+	_ = d.peerServer.Close()
+	_ = d.callPool.Close()
+	_ = d.controlPool.Close()
 	d.ln.close()
 	d.logger.Info("daemon: stopped")
 }
 
+// parseContacts parses a list of IP addresses with ports.
 func parseContacts(list []string) ([]membership.Contact, error) {
 	contacts := make([]membership.Contact, 0, len(list))
 	for _, s := range list {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -28,24 +28,24 @@
 	"github.com/crocuscross/crocuscross/internal/standin/logserver"
 )
 
-// waitLimit bounds the waits for what must come; it decides nothing.
+// waitLimit bounds the waits for conditions that must become true. No result depends on its value.
 const waitLimit = 20 * time.Second
 
-// testQuiet is long enough for a drain to be known among a few daemons.
-const testQuiet = 300 * time.Millisecond
+// testGracePeriod is long enough for a few daemons to know of a drain.
+const testGracePeriod = 300 * time.Millisecond
 
-// testFleet is a few daemons in one process, each in an availability zone of its
-// own, with a platform log.
+// testFleet is a few daemons in one process with a platform log. The daemons are spread over four
+// availability zones.
 type testFleet struct {
-	t       *testing.T
-	log     *memlog.Service
-	logURL  string
-	daemons []*testDaemon
-	publish int
-	// dial connects the sessions that carry calls.
+	t         *testing.T
+	log       *memlog.Service
+	logURL    string
+	daemons   []*testDaemon
+	published int
+	// dial opens the sessions that carry calls.
 	dial dialFunc
-	// change alters the settings of the daemons that are built; it may be nil.
-	change func(*settings.Settings)
+	// adjustSettings changes the settings of each daemon before it is built; it may be nil.
+	adjustSettings func(*settings.Settings)
 }
 
 type testDaemon struct {
@@ -57,28 +57,27 @@
 
 func newFleet(t *testing.T, n int) *testFleet {
 	t.Helper()
-	f := emptyFleet(t)
+	f := newEmptyFleet(t)
 	srv := httptest.NewServer(logserver.New(f.log))
 	t.Cleanup(srv.Close)
 	f.logURL = srv.URL
 	for range n {
 		f.start()
 	}
-	f.joined()
+	f.waitJoined()
 	return f
 }
 
-func emptyFleet(t *testing.T) *testFleet {
+func newEmptyFleet(t *testing.T) *testFleet {
 	return &testFleet{t: t, log: memlog.New(memlog.DefaultOptions()), dial: dialFrom(netip.MustParseAddr("127.0.0.1"))}
 }
 
-// joined waits until all daemons know each other and have the empty
-// configuration in force. What is published after that is new to a fleet that is
-// whole, so that quota has nothing to settle: while owners move, a customer gets
-// a fiftieth of its rate for a few seconds (see package quota).
-func (f *testFleet) joined() {
+// waitJoined waits until all daemons know each other and have the empty configuration in force.
+// Quota owners then no longer change: while they do, a customer gets a fiftieth of its rate for a
+// few seconds (see package quota).
+func (f *testFleet) waitJoined() {
 	f.t.Helper()
-	f.eventually("every daemon knows all", func() bool {
+	f.eventually("every daemon knows all others", func() bool {
 		for _, d := range f.daemons {
 			v := d.board.Members.Load()
 			if v == nil || len(v.Live()) != len(f.daemons) || d.board.Snapshot.Load() == nil {
@@ -89,7 +88,7 @@
 	})
 }
 
-// start adds a daemon that joins by the first one.
+// start adds a daemon that joins through the first one and runs it.
 func (f *testFleet) start() *testDaemon {
 	f.t.Helper()
 	d := f.build()
@@ -97,7 +96,7 @@
 	return d
 }
 
-// build makes a daemon whose listeners are bound and that does not run yet.
+// build adds a daemon whose listeners are bound. The daemon does not run yet.
 func (f *testFleet) build() *testDaemon {
 	f.t.Helper()
 	s := settings.Default()
@@ -110,15 +109,15 @@
 	if len(f.daemons) > 0 {
 		s.Contacts = []string{f.daemons[0].ln.peers.Addr().String()}
 	}
-	if f.change != nil {
-		f.change(&s)
+	if f.adjustSettings != nil {
+		f.adjustSettings(&s)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ln, err := listen(s.Listen)
 	must.NoError(f.t, err)
 	d, err := newDaemon(ctx, &s, ln, f.dial)
 	must.NoError(f.t, err)
-	d.lifecycle.GracePeriod = testQuiet
+	d.lifecycle.GracePeriod = testGracePeriod
 	td := &testDaemon{Daemon: d, ctx: ctx, stop: stop, done: make(chan error, 1)}
 	f.daemons = append(f.daemons, td)
 	return td
@@ -132,7 +131,7 @@
 	})
 }
 
-// stopAll ends all daemons, which the fleet then has none of.
+// stopAll stops all daemons and removes them from the fleet.
 func (f *testFleet) stopAll() {
 	f.t.Helper()
 	for _, d := range f.daemons {
@@ -145,12 +144,12 @@
 	f.daemons = nil
 }
 
-// put publishes changes and returns the record's offset.
-func (f *testFleet) put(changes ...*configpb.Change) uint64 {
+// publish appends a record with the changes and returns its offset.
+func (f *testFleet) publish(changes ...*configpb.Change) uint64 {
 	f.t.Helper()
-	f.publish++
+	f.published++
 	data, err := fold.EncodeRecord(&configpb.Bundle{
-		PublishId: fmt.Sprintf("p%d", f.publish), Author: "test", Changes: changes,
+		PublishId: fmt.Sprintf("p%d", f.published), Author: "test", Changes: changes,
 	})
 	must.NoError(f.t, err)
 	offset, err := f.log.Stream(eventlog.StreamConfig).Append(f.t.Context(), data)
@@ -158,7 +157,7 @@
 	return offset
 }
 
-// eventually waits for a condition.
+// eventually waits until ok returns true and fails the test after waitLimit.
 func (f *testFleet) eventually(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(waitLimit); !ok(); time.Sleep(5 * time.Millisecond) {
@@ -168,9 +167,9 @@
 	}
 }
 
-// converged waits until all daemons have an offset in force with n backend
-// servers known.
-func (f *testFleet) converged(offset uint64, servers int) {
+// waitConverged waits until all daemons have the offset in force and know the given number of
+// backend servers.
+func (f *testFleet) waitConverged(offset uint64, servers int) {
 	f.t.Helper()
 	f.eventually(fmt.Sprintf("offset %d with %d backend servers is in force", offset, servers), func() bool {
 		for _, d := range f.daemons {
@@ -183,7 +182,7 @@
 	})
 }
 
-// announceBackend starts a backend server beside a daemon.
+// announceBackend starts a backend server and announces it to a daemon until the test ends.
 func (f *testFleet) announceBackend(d *testDaemon, service string, h http.Handler) {
 	f.t.Helper()
 	srv := httptest.NewServer(h)
@@ -214,7 +213,7 @@
 	}()
 }
 
-// call sends one request to a daemon.
+// call sends one request to a daemon, as the customer garage unless the header names another one.
 func (f *testFleet) call(d *testDaemon, method, path, payload string, header http.Header) *http.Response {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(f.t.Context(), method, "http://"+d.ln.callers.Addr().String()+path, strings.NewReader(payload))
@@ -255,29 +254,29 @@
 	}
 }
 
-func garage() *configpb.Contract {
+func garageContract() *configpb.Contract {
 	return &configpb.Contract{Customer: "garage", RatePerSecond: 1000, Burst: 1000, MaxWaitMs: 10_000}
 }
 
-// setUp is a fleet of n with one service whose only backend server is beside
-// the last daemon.
-func setUp(t *testing.T, n int, h http.Handler) *testFleet {
+// newFleetWithBackend returns a fleet of n daemons with one service, whose only backend server is
+// on the host of the last daemon.
+func newFleetWithBackend(t *testing.T, n int, h http.Handler) *testFleet {
 	t.Helper()
 	f := newFleet(t, n)
 	f.announceBackend(f.daemons[n-1], "sign-feed", h)
-	offset := f.put(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(garage(), 0))
-	f.converged(offset, 1)
+	offset := f.publish(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(garageContract(), 0))
+	f.waitConverged(offset, 1)
 	return f
 }
 
-func TestDaemon_CallGoesToAnotherHostAndBack(t *testing.T) {
+func TestDaemon_ForwardsCallToAnotherHost(t *testing.T) {
 	echo := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		w.Header().Set("X-Echo", r.Method+" "+r.URL.RequestURI())
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = w.Write(b)
 	})
-	f := setUp(t, 4, echo)
+	f := newFleetWithBackend(t, 4, echo)
 	for _, size := range []int{0, 1, 40 << 10, 300 << 10} {
 		payload := strings.Repeat("x", size)
 		resp := f.call(f.daemons[0], http.MethodPut, "/signs/7?full=1", payload, nil)
@@ -288,8 +287,8 @@
 	}
 }
 
-func TestDaemon_AnswersWithoutBody(t *testing.T) {
-	f := setUp(t, 2, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+func TestDaemon_ForwardsResponsesWithoutBody(t *testing.T) {
+	f := newFleetWithBackend(t, 2, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Length", "7")
 		if r.Method == http.MethodDelete {
 			w.Header().Del("Content-Length")
@@ -302,8 +301,8 @@
 	must.Eq(t, http.StatusNoContent, f.call(f.daemons[0], http.MethodDelete, "/signs/1", "", nil).StatusCode)
 }
 
-func TestDaemon_RefusalsNameTheirKind(t *testing.T) {
-	f := setUp(t, 2, http.NotFoundHandler())
+func TestDaemon_RejectionsNameTheirErrorKind(t *testing.T) {
+	f := newFleetWithBackend(t, 2, http.NotFoundHandler())
 	for name, tc := range map[string]struct {
 		path, customer, kind string
 		status               int
@@ -320,15 +319,15 @@
 	}
 }
 
-// A caller over its contract's rate is told when to come back, and a revision
-// that raises the rate takes effect on every host.
-func TestDaemon_ContractBindsAndIsRevised(t *testing.T) {
+// Requests above the contract's rate are rejected with Retry-After, and a revision that raises the
+// rate takes effect.
+func TestDaemon_ContractLimitsRateUntilRevised(t *testing.T) {
 	f := newFleet(t, 2)
 	f.announceBackend(f.daemons[1], "sign-feed", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {}))
-	small := garage()
+	small := garageContract()
 	small.RatePerSecond, small.Burst = 0.5, 1
-	first := f.put(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(small, 0))
-	f.converged(first, 1)
+	first := f.publish(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(small, 0))
+	f.waitConverged(first, 1)
 	refused := 0
 	for range 20 {
 		resp := f.call(f.daemons[0], http.MethodGet, "/signs/1", "", nil)
@@ -338,18 +337,18 @@
 		}
 	}
 	must.Positive(t, refused)
-	second := f.put(contract(garage(), first))
-	f.converged(second, 1)
+	second := f.publish(contract(garageContract(), first))
+	f.waitConverged(second, 1)
 	f.eventually("the raised rate is usable", func() bool {
 		return f.call(f.daemons[0], http.MethodGet, "/signs/1", "", nil).StatusCode == http.StatusOK
 	})
 }
 
-// A caller gives up; the backend server sees the request end. Without the
-// cancel chunk and the watch it would run on for nobody.
+// Guards against requests that keep running on the backend server after their caller has canceled
+// them.
 func TestDaemon_CancellationReachesTheBackendServer(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
-	f := setUp(t, 2, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	f := newFleetWithBackend(t, 2, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
@@ -369,32 +368,31 @@
 	select {
 	case <-ended:
 	case <-time.After(waitLimit):
-		t.Fatal("the backend server was not told")
+		t.Fatal("the request was not canceled at the backend server")
 	}
 }
 
-// A caller waits no longer than its contract allows and is told that the
-// outcome is open, since the call had started.
-func TestDaemon_ContractBoundsTheWait(t *testing.T) {
+// A caller waits no longer than its contract allows. Its error response reports the outcome as
+// unknown because the call had started.
+func TestDaemon_ContractLimitsWait(t *testing.T) {
 	f := newFleet(t, 2)
 	f.announceBackend(f.daemons[1], "sign-feed", http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		// The HTTP library looks for the end of the connection only once the
-		// body is read.
+		// Package net/http detects the end of the connection only after the body has been read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	}))
-	c := garage()
+	c := garageContract()
 	c.MaxWaitMs = 200
-	offset := f.put(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(c, 0))
-	f.converged(offset, 1)
+	offset := f.publish(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(c, 0))
+	f.waitConverged(offset, 1)
 	resp := f.call(f.daemons[0], http.MethodPost, "/signs/1", "hold", nil)
 	must.Eq(t, http.StatusGatewayTimeout, resp.StatusCode)
 	must.Eq(t, "deadline_exceeded", resp.Header.Get(answer.HeaderError))
 	must.Eq(t, "unknown", resp.Header.Get(answer.HeaderRun))
 }
 
-// Callers see no failure while the host that serves them is stopped: the
-// others learn of it first, and what is in flight ends.
+// No call fails while the host that serves it is stopped: the other daemons know of the drain
+// first, and the calls in flight complete.
 func TestDaemon_GracefulShutdownFailsNoCall(t *testing.T) {
 	slow := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(20 * time.Millisecond)
@@ -402,8 +400,8 @@
 	f := newFleet(t, 3)
 	f.announceBackend(f.daemons[1], "sign-feed", slow)
 	f.announceBackend(f.daemons[2], "sign-feed", slow)
-	offset := f.put(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(garage(), 0))
-	f.converged(offset, 2)
+	offset := f.publish(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(garageContract(), 0))
+	f.waitConverged(offset, 2)
 	leaving := f.daemons[2]
 	stopped := make(chan struct{})
 	var wg sync.WaitGroup
@@ -432,7 +430,7 @@
 	must.Eq(t, 0, len(failures))
 }
 
-// Input that is not HTTP is counted and ends nothing but its connection.
+// Input that is not HTTP is counted and affects only its own connection.
 func TestDaemon_MalformedInputIsCounted(t *testing.T) {
 	f := newFleet(t, 1)
 	d := f.daemons[0]
@@ -444,10 +442,11 @@
 		_, _ = io.Copy(io.Discard, conn)
 		_ = conn.Close()
 	}
-	f.eventually("all three are counted", func() bool { return counted(t, d) == 3 })
+	f.eventually("all three are counted", func() bool { return countRejectedInput(t, d) == 3 })
 }
 
-func counted(t *testing.T, d *testDaemon) int {
+// countRejectedInput returns the sum of the daemon's counters of rejected input.
+func countRejectedInput(t *testing.T, d *testDaemon) int {
 	t.Helper()
 	families, err := d.registry.Gather()
 	must.NoError(t, err)
@@ -463,10 +462,10 @@
 	return n
 }
 
-// All daemons of a fleet start at the same moment, each with the others as
-// contacts. The first exchanges find only empty tables, since nobody is a member
-// yet; status would show a part of the fleet for half a minute.
-func TestDaemon_FleetThatStartsAtOnceIsWhole(t *testing.T) {
+// All daemons of a fleet start at the same moment with each other as contacts. The first joins
+// return empty tables because nobody is a member yet. Guards against daemons that know only a part
+// of the fleet until the next heal interval, half a minute later.
+func TestDaemon_FleetThatStartsAtOnceJoinsCompletely(t *testing.T) {
 	f := newFleet(t, 0)
 	const size = 8
 	var addrs []string
@@ -477,20 +476,19 @@
 		d.settings.Contacts = addrs
 		f.run(d)
 	}
-	f.joined()
+	f.waitJoined()
 }
 
-// The first calls of a customer that was published a moment ago come in one go
-// to one host. They find the contract's burst, less what the other hosts keep
-// for themselves: the owner's pool of a new customer begins full. Where it was
-// filled from the first claim on, all ten got 429.
-func TestDaemon_NewCustomerHasItsBurst(t *testing.T) {
+// The first calls of a new customer arrive together at one host and find the contract's burst, less
+// the part that the other hosts hold. Guards against a quota owner whose pool for a new customer
+// starts empty and fills only from the first claim on: all ten calls got 429.
+func TestDaemon_NewCustomerGetsItsBurst(t *testing.T) {
 	f := newFleet(t, 4)
 	f.announceBackend(f.daemons[3], "sign-feed", http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	f.converged(f.put(service("sign-feed"), route("signs", "/signs", "sign-feed")), 1)
-	c := garage()
+	f.waitConverged(f.publish(service("sign-feed"), route("signs", "/signs", "sign-feed")), 1)
+	c := garageContract()
 	c.RatePerSecond, c.Burst = 5, 10
-	f.converged(f.put(contract(c, 0)), 1)
+	f.waitConverged(f.publish(contract(c, 0)), 1)
 	answered := 0
 	for range 10 {
 		if f.call(f.daemons[0], http.MethodGet, "/signs/1", "", nil).StatusCode == http.StatusOK {
--- a/internal/daemon/verdicts.go
+++ b/internal/daemon/decisions.go
@@ -10,10 +10,10 @@
 	"github.com/crocuscross/crocuscross/rollout"
 )
 
-// What this file builds decides about requests and versions, and keeps its verdicts in the
-// platform's directory, beside the daemons' addresses.
+// The components that this file builds decide on quarantines and rollouts. They store their
+// decisions in the platform's directory, next to the addresses of the daemons.
 
-func (p *parts) buildQuarantine(d *Daemon, directory eventlog.Directory) {
+func (p *components) buildQuarantine(d *Daemon, directory eventlog.Directory) {
 	o := quarantine.DefaultOptions()
 	o.Logger = d.logger
 	p.quarantine = quarantine.New(o)
@@ -23,13 +23,13 @@
 	})
 }
 
-func (p *parts) buildRollouts(d *Daemon, directory eventlog.Directory) {
+func (p *components) buildRollouts(d *Daemon, directory eventlog.Directory) {
 	o := rollout.DefaultOptions()
 	o.MaxShare, o.Slack = d.settings.Rollouts.MaxShare, d.settings.Rollouts.Slack
 	o.Logger = d.logger
 	p.rolloutGate = rollout.NewGate(time.Now)
 	c := rollouts.Options{
-		Board: d.board, Gate: p.rolloutGate, Decider: rollout.NewDecider(o), Peers: rolloutPeers{p.control},
+		Board: d.board, Gate: p.rolloutGate, Decider: rollout.NewDecider(o), Peers: rolloutPeers{p.controlPool},
 		Directory: directory, Host: d.settings.Host, Boot: d.boot, Logger: d.logger, Now: time.Now,
 	}
 	if p.adapter != nil {
@@ -38,8 +38,9 @@
 	p.rollouts = rollouts.New(c)
 }
 
-// takeEntries passes the directory's entries on to the parts whose they are.
-func (p *parts) takeEntries(values [][]byte) {
+// addEntries passes the directory's entries to both components. Each ignores the entries of the
+// other.
+func (p *components) addEntries(values [][]byte) {
 	p.quarantines.AddEntries(values)
 	p.rollouts.AddEntries(values)
 }
--- a/internal/daemon/door_test.go
+++ b/internal/daemon/drainable_listener_test.go
@@ -11,11 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A caller has just connected when the daemon ends: it sends its request when
-// nobody else is let in any more. It must get its answer. Closed with the
-// listener, the connection would be reset under the request.
-func TestDaemon_LastConnectionIsServed(t *testing.T) {
-	f := setUp(t, 2, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+// A caller connects just before the daemon stops accepting, and sends its request afterwards.
+// Guards against closing the connection with the listener, which would reset it under the request.
+func TestDaemon_ServesConnectionAcceptedBeforeDrain(t *testing.T) {
+	f := newFleetWithBackend(t, 2, http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	d := f.daemons[0]
 	d.linger = waitLimit
 	addr := d.ln.callers.Addr().String()
@@ -23,7 +22,7 @@
 	must.NoError(t, err)
 	defer conn.Close()
 	d.stop()
-	f.eventually("no more callers are let in", func() bool {
+	f.eventually("connections are no longer accepted", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			_ = c.Close()
@@ -39,11 +38,11 @@
 	must.True(t, resp.Close)
 }
 
-// A caller is still sending the header of its request when all else has ended at a
-// drain. Its request begins then, and takes longer than the listeners get to close: it
-// must be answered all the same. Cut off, it has reached its backend server for nothing.
+// A caller is still sending the header of its request when everything else has ended in a drain.
+// The request then takes longer than the listeners get to close. Guards against aborting it after
+// it has reached its backend server.
 func TestDaemon_RequestThatBeginsLastIsAnswered(t *testing.T) {
-	f := setUp(t, 2, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(4 * closeTimeout) }))
+	f := newFleetWithBackend(t, 2, http.HandlerFunc(func(http.ResponseWriter, *http.Request) { time.Sleep(4 * closeTimeout) }))
 	d := f.daemons[0]
 	d.linger = 0
 	addr := d.ln.callers.Addr().String()
@@ -53,7 +52,7 @@
 	_, err = fmt.Fprintf(conn, "GET /signs/1 HTTP/1.1\r\nHost: x\r\n")
 	must.NoError(t, err)
 	d.stop()
-	f.eventually("no more callers are let in", func() bool {
+	f.eventually("connections are no longer accepted", func() bool {
 		c, err := net.Dial("tcp", addr)
 		if err == nil {
 			_ = c.Close()
--- a/internal/daemon/input.go
+++ b/internal/daemon/input.go
@@ -9,39 +9,41 @@
 	"sync/atomic"
 )
 
-// reasonMalformed is input that never became an HTTP request: not HTTP, a
-// header too large, cut off or too slow.
+// reasonMalformed is the reason given for input that never became an HTTP request: it is not HTTP,
+// or its header is too large, truncated or too slow.
 const reasonMalformed = "malformed"
 
-// inputMeter counts refused input.
+// inputMeter counts rejected input.
 type inputMeter interface {
 	RejectedAt(listener, reason string)
 }
 
-// inputWatch counts the connections whose input never became a request. The
-// HTTP library answers and closes them without a word to the handler, so an
-// operator would not see a client that sends garbage.
-type inputWatch struct {
+// inputMonitor counts the connections of an HTTP server whose input never became a request. Package
+// net/http answers and closes them without calling the handler, so operators would not notice a
+// client that sends garbage.
+type inputMonitor struct {
 	listener string
 	meter    inputMeter
 	logger   *slog.Logger
-	conns    sync.Map // net.Conn to *connInput
+	conns    sync.Map // net.Conn -> *connRequests
 }
 
-// connInput counts a connection's requests by how far they came.
-type connInput struct {
-	begun, served atomic.Int64
+// connRequests counts the requests of a connection whose first byte arrived and those that reached
+// the handler.
+type connRequests struct {
+	started, handled atomic.Int64
 }
 
-type connInputKey struct{}
+type connRequestsKey struct{}
 
-// watchInput makes srv count what it refuses, and its open connections.
-func watchInput(srv *http.Server, listener string, meter inputMeter, logger *slog.Logger) *inputWatch {
-	w := &inputWatch{listener: listener, meter: meter, logger: logger}
+// monitorInput makes srv count and log connections with malformed input. It wraps the handler and
+// sets the connection hooks of srv.
+func monitorInput(srv *http.Server, listener string, meter inputMeter, logger *slog.Logger) *inputMonitor {
+	w := &inputMonitor{listener: listener, meter: meter, logger: logger}
 	next := srv.Handler
 	srv.Handler = http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		if in, ok := r.Context().Value(connInputKey{}).(*connInput); ok {
-			in.served.Add(1)
+		if in, ok := r.Context().Value(connRequestsKey{}).(*connRequests); ok {
+			in.handled.Add(1)
 		}
 		next.ServeHTTP(rw, r)
 	})
@@ -50,32 +52,33 @@
 	return w
 }
 
-func (w *inputWatch) connContext(ctx context.Context, conn net.Conn) context.Context {
-	in := &connInput{}
+func (w *inputMonitor) connContext(ctx context.Context, conn net.Conn) context.Context {
+	in := &connRequests{}
 	w.conns.Store(conn, in)
-	return context.WithValue(ctx, connInputKey{}, in)
+	return context.WithValue(ctx, connRequestsKey{}, in)
 }
 
-// connState sees a connection turn active with the first byte of a request
-// and, at its end, whether all of them reached the handler.
-func (w *inputWatch) connState(conn net.Conn, state http.ConnState) {
+// connState counts the requests that a connection starts: the connection becomes active with the
+// first byte of each. At the end of the connection it checks whether all of them reached the
+// handler.
+func (w *inputMonitor) connState(conn net.Conn, state http.ConnState) {
 	v, ok := w.conns.Load(conn)
 	if !ok {
 		return
 	}
-	in := v.(*connInput)
+	in := v.(*connRequests)
 	switch state {
 	case http.StateActive:
-		in.begun.Add(1)
+		in.started.Add(1)
 	case http.StateClosed, http.StateHijacked:
 		w.conns.Delete(conn)
-		if in.begun.Load() > in.served.Load() {
-			w.refused(conn)
+		if in.started.Load() > in.handled.Load() {
+			w.reportMalformed(conn)
 		}
 	}
 }
 
-func (w *inputWatch) refused(conn net.Conn) {
+func (w *inputMonitor) reportMalformed(conn net.Conn) {
 	w.meter.RejectedAt(w.listener, reasonMalformed)
-	w.logger.Warn("daemon: input refused", "listener", w.listener, "reason", reasonMalformed, "remote", conn.RemoteAddr())
+	w.logger.Warn("daemon: malformed input rejected", "listener", w.listener, "reason", reasonMalformed, "remote", conn.RemoteAddr())
 }
--- a/internal/daemon/keyed_test.go
+++ b/internal/daemon/keyed_test.go
@@ -13,14 +13,14 @@
 	"github.com/crocuscross/crocuscross/internal/proxy/outbound"
 )
 
-// counting answers each run with its number.
-func counting(runs *atomic.Int64) http.Handler {
+// countingHandler answers each request with its number.
+func countingHandler(runs *atomic.Int64) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = fmt.Fprintf(w, "hold %d", runs.Add(1))
 	})
 }
 
-// issueKey gets an idempotency key from a daemon.
+// issueKey returns a header with an idempotency key issued by a daemon.
 func (f *testFleet) issueKey(d *testDaemon) http.Header {
 	f.t.Helper()
 	resp := f.call(d, http.MethodPost, outbound.KeysPath, "", nil)
@@ -28,11 +28,11 @@
 	return http.Header{body.HeaderIdempotencyKey: {resp.Header.Get(body.HeaderIdempotencyKey)}}
 }
 
-// A driver's app repeats a permit hold through other hosts because the first
-// answer was lost. It gets the first answer again; the hold ran once.
+// A caller repeats a request under the same key through other hosts, as after a lost response. It
+// gets the first response again, and the request runs once.
 func TestKeyed_RepeatedHoldRunsOnce(t *testing.T) {
 	var runs atomic.Int64
-	f := setUp(t, 3, counting(&runs))
+	f := newFleetWithBackend(t, 3, countingHandler(&runs))
 	for name, key := range map[string]http.Header{
 		"issued": f.issueKey(f.daemons[0]),
 		"own":    {body.HeaderIdempotencyKey: {"4e1243bd-22c6-6e76"}},
@@ -53,15 +53,15 @@
 	must.Eq(t, 2, runs.Load())
 }
 
-// A hold has run and its repeat is refused, since the customer is over its rate by
-// now. The caller must not read "not run" out of that: the hold did run.
-func TestKeyed_RefusedRepeatIsNotToldNotRun(t *testing.T) {
+// A request has run, and its repeat is rejected because the customer exceeds its rate. The
+// rejection must not report "not run", since the request did run.
+func TestKeyed_RejectedRepeatReportsUnknown(t *testing.T) {
 	var runs atomic.Int64
 	f := newFleet(t, 2)
-	f.announceBackend(f.daemons[1], "sign-feed", counting(&runs))
-	c := garage()
+	f.announceBackend(f.daemons[1], "sign-feed", countingHandler(&runs))
+	c := garageContract()
 	c.RatePerSecond, c.Burst = 1, 1
-	f.converged(f.put(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(c, 0)), 1)
+	f.waitConverged(f.publish(service("sign-feed"), route("signs", "/signs", "sign-feed"), contract(c, 0)), 1)
 	key := f.issueKey(f.daemons[0])
 	f.eventually("the hold has run", func() bool {
 		return f.call(f.daemons[0], http.MethodPost, "/signs/hold", "space 12", key).StatusCode == http.StatusOK
@@ -78,11 +78,11 @@
 	must.Eq(t, 1, runs.Load())
 }
 
-// The daemon that issued a key has restarted. A request under the key is told
-// that the outcome is unknown, never that it was not run, and does not run.
-func TestKeyed_HolderGoneIsUnknown(t *testing.T) {
+// The daemon that issued a key has stopped. A request under the key reports an unknown outcome,
+// never that it was not run, and does not run.
+func TestKeyed_StoppedHolderReportsUnknown(t *testing.T) {
 	var runs atomic.Int64
-	f := setUp(t, 3, counting(&runs))
+	f := newFleetWithBackend(t, 3, countingHandler(&runs))
 	key := f.issueKey(f.daemons[1])
 	leaving := f.daemons[1]
 	leaving.stop()
@@ -98,12 +98,12 @@
 	must.Eq(t, 0, runs.Load())
 }
 
-// A backend server runs a hold and breaks its kept-alive connection before the
-// answer. The HTTP library would send such a request again by itself, since it
-// has no body and carries an Idempotency-Key: the hold would run twice.
-func TestKeyed_TransportDoesNotRepeat(t *testing.T) {
+// A backend server runs a request and closes its keep-alive connection before the response. Package
+// net/http would retry such a request itself, as it has no body and carries an Idempotency-Key, and
+// the request would run twice.
+func TestKeyed_TransportDoesNotRetry(t *testing.T) {
 	var runs atomic.Int64
-	f := setUp(t, 2, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	f := newFleetWithBackend(t, 2, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			return
 		}
@@ -112,7 +112,7 @@
 		must.NoError(t, err)
 		_ = conn.Close()
 	}))
-	// Leaves a kept-alive connection behind.
+	// Leaves a keep-alive connection to the backend server open.
 	must.Eq(t, http.StatusOK, f.call(f.daemons[0], http.MethodGet, "/signs/1", "", nil).StatusCode)
 	resp := f.call(f.daemons[0], http.MethodPost, "/signs/hold", "", f.issueKey(f.daemons[0]))
 	must.Eq(t, "unknown", resp.Header.Get(answer.HeaderRun))
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -21,27 +21,27 @@
 )
 
 const (
-	// operatorWriteTimeout is above the longest wait that an operator can ask
-	// for.
+	// operatorWriteTimeout is above the longest wait that an operator's request can ask for.
 	operatorWriteTimeout = 2 * time.Minute
 	callerIdleTimeout    = 2 * time.Minute
-	localTimeout         = 10 * time.Second
+	localRequestTimeout  = 10 * time.Second
 
-	// listenerCallers labels input from callers.
+	// listenerCallers is the listener label of input from callers.
 	listenerCallers = "callers"
 )
 
-// listeners are bound before anything else starts, so that a port that is
-// taken is told at once.
+// listeners are bound before anything else starts, so that a port that is in use is reported
+// immediately.
 type listeners struct {
 	callers, peers, operators, backend net.Listener
-	// metrics is nil where the settings name no such listener.
+	// metrics is nil if the settings name no separate listener for metrics.
 	metrics net.Listener
 	packets *net.UDPConn
-	// callersDoor is callers.
-	callersDoor *door
+	// drainableCallers is the same listener as callers.
+	drainableCallers *drainableListener
 }
 
+// listen binds all listeners. On an error it closes those that are already bound.
 func listen(s settings.Listen) (*listeners, error) {
 	l := &listeners{}
 	for _, b := range []struct {
@@ -55,7 +55,7 @@
 		{"listen.metrics", s.Metrics, &l.metrics},
 	} {
 		if b.addr == "" {
-			// The settings let no required one be empty.
+			// The settings are validated: only the address of an optional listener may be empty.
 			continue
 		}
 		ln, err := net.Listen("tcp", b.addr)
@@ -65,9 +65,9 @@
 		}
 		*b.ln = ln
 	}
-	l.callersDoor = newDoor(l.callers)
-	l.callers = l.callersDoor
-	// Probes use UDP on the same port as the sessions between daemons.
+	l.drainableCallers = newDrainableListener(l.callers)
+	l.callers = l.drainableCallers
+	// Membership probes use UDP on the port of the sessions between daemons.
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(addrOf(l.peers)))
 	if err != nil {
 		l.close()
@@ -93,8 +93,8 @@
 	return ln.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// callerServer serves callers. Bodies may take as long as their contract allows;
-// only the header has a time of its own.
+// callerServer returns the server for callers. Bodies may take as long as the contract of the
+// customer allows; only the header has a separate timeout.
 func (d *Daemon) callerServer() *pipeline.Server {
 	o := pipeline.DefaultOptions()
 	o.Handler = d.outbound
@@ -103,13 +103,14 @@
 	o.OnCallerDisconnected = d.outbound.RecordDisconnect
 	o.Logger = d.logger
 	o.OnMalformed = func(remote net.Addr, err error) {
-		d.meter.RejectedAt(listenerCallers, reasonMalformed)
-		d.logger.Warn("daemon: input refused", "listener", listenerCallers, "reason", reasonMalformed, "remote", remote, "error", err)
+		d.peerMeter.RejectedAt(listenerCallers, reasonMalformed)
+		d.logger.Warn("daemon: malformed input rejected", "listener", listenerCallers, "reason", reasonMalformed, "remote", remote, "error", err)
 	}
 	return pipeline.NewServer(o)
 }
 
-// callerLimits returns the settings' limits, or what the document in force says.
+// callerLimits returns the limits of the document in force. Limits that it does not set are those
+// of the settings.
 func (d *Daemon) callerLimits() pipeline.Limits {
 	r := d.settings.Requests
 	l := pipeline.Limits{
@@ -126,7 +127,8 @@
 	return l
 }
 
-// shutdownCallers lets requests in flight end within a time and then closes.
+// shutdownCallers waits up to closeTimeout for the requests in flight and then closes all
+// connections of callers.
 func (d *Daemon) shutdownCallers() {
 	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
@@ -135,7 +137,7 @@
 	}
 }
 
-// serveCallers accepts callers until the server is shut down.
+// serveCallers serves callers until the server is shut down.
 func (d *Daemon) serveCallers(context.Context) error {
 	if err := d.callers.Serve(d.ln.callers); !errors.Is(err, pipeline.ErrClosed) {
 		return err
@@ -146,8 +148,8 @@
 func operatorServer(h http.Handler, logger *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:           h,
-		ReadHeaderTimeout: localTimeout,
-		ReadTimeout:       localTimeout,
+		ReadHeaderTimeout: localRequestTimeout,
+		ReadTimeout:       localRequestTimeout,
 		WriteTimeout:      operatorWriteTimeout,
 		ErrorLog:          errorLog(logger, "operators"),
 	}
@@ -156,31 +158,32 @@
 func backendServer(h http.Handler, logger *slog.Logger) *http.Server {
 	return &http.Server{
 		Handler:      h,
-		ReadTimeout:  localTimeout,
-		WriteTimeout: localTimeout,
+		ReadTimeout:  localRequestTimeout,
+		WriteTimeout: localRequestTimeout,
 		ErrorLog:     errorLog(logger, "backend"),
 	}
 }
 
+// errorLog returns the logger for messages of package net/http, which are logged at debug level.
 func errorLog(logger *slog.Logger, listener string) *log.Logger {
 	return slog.NewLogLogger(logger.With("listener", listener).Handler(), slog.LevelDebug)
 }
 
-// serveMetrics serves the metrics on a listener of their own, if there is one.
+// serveMetrics serves the metrics on their separate listener, if there is one.
 func (d *Daemon) serveMetrics(ctx context.Context) error {
 	if d.ln.metrics == nil {
 		return idle(ctx)
 	}
 	router := bunrouter.New()
-	router.GET(operator.PathMetrics, bunrouter.HTTPHandler(d.exposition()))
+	router.GET(operator.PathMetrics, bunrouter.HTTPHandler(d.metricsHandler()))
 	srv := operatorServer(router, d.logger)
-	watchInput(srv, "metrics", d.meter, d.logger)
+	monitorInput(srv, "metrics", d.peerMeter, d.logger)
 	defer context.AfterFunc(ctx, func() { shutdown(srv, closeTimeout) })()
 	return serve(srv, d.ln.metrics)
 }
 
-// exposition returns the handler of the metrics.
-func (d *Daemon) exposition() http.Handler {
+// metricsHandler returns the handler that exposes the metrics.
+func (d *Daemon) metricsHandler() http.Handler {
 	return promhttp.HandlerFor(d.registry, promhttp.HandlerOpts{})
 }
 
@@ -192,7 +195,7 @@
 	return nil
 }
 
-// shutdown lets requests in flight end within the time and then closes.
+// shutdown waits up to timeout for the requests in flight and then closes all connections.
 func shutdown(srv *http.Server, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -9,12 +9,12 @@
 	"github.com/crocuscross/crocuscross/internal/settings"
 )
 
-// A scraper reaches the metrics on a listener of their own, and from there nothing else:
-// a drain is for operators.
-func TestDaemon_MetricsHaveAListener(t *testing.T) {
+// The separate listener for metrics serves nothing else: requests such as a drain are for operators
+// only.
+func TestDaemon_ServesMetricsOnSeparateListener(t *testing.T) {
 	f := newStoreFleet(t, 0)
-	change := f.change
-	f.change = func(s *settings.Settings) {
+	change := f.adjustSettings
+	f.adjustSettings = func(s *settings.Settings) {
 		change(s)
 		s.Listen.Metrics = "127.0.0.1:0"
 	}
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -20,48 +20,49 @@
 )
 
 const (
-	// joinRound is how long one set of contacts is tried before the contacts
-	// stream is read again.
-	joinRound = 15 * time.Second
-	// rejoinAfter is the mean wait before the next join.
-	rejoinAfter = 500 * time.Millisecond
-	// maxRejoinAfter bounds that wait. A daemon that found no contacts is not
-	// alone for that: the platform may have been away when it looked.
-	maxRejoinAfter = 3 * time.Second
-	// findTimeout bounds the read of the contacts stream.
-	findTimeout = 2 * time.Second
-	// storeTimeout bounds one read at the platform's store during a recovery. Its client
-	// ends a read on which nothing comes for 2 s; this bounds one that comes in for good.
-	// A document of 5,800 routes (1.6 MB as the store sends it) takes 2.8 s of an idle
-	// link of 5 Mbit/s, the largest that is taken 57 s of half of one. Hosts whose reads
-	// are ended sooner begin anew each time and serve nothing after a loss of power.
-	storeTimeout = 2 * time.Minute
-	// storeBackoff bounds the wait between two rounds of a recovery while neither
-	// the store nor enough daemons answer.
-	storeBackoff = time.Second
-	// askFanOut is how many daemons are asked for the floor in one round.
-	askFanOut = 6
-	// enoughAnswers is how many of them a start on the platform waits for. It is more than
-	// it takes to know the floor (recovery.Options.MinAnswers), so that one that has just
-	// started as well does not send it to the store.
-	enoughAnswers = 4
+	// joinTimeout bounds a join through one set of contacts. Afterwards the contacts stream is read
+	// again.
+	joinTimeout = 15 * time.Second
+	// rejoinDelay is the initial mean wait between two joins.
+	rejoinDelay = 500 * time.Millisecond
+	// maxRejoinDelay bounds the mean wait between two joins. A daemon that found no contacts is not
+	// necessarily the only one: the platform may have been unavailable when the contacts were read.
+	maxRejoinDelay = 3 * time.Second
+	// findContactsTimeout bounds a read of the contacts stream.
+	findContactsTimeout = 2 * time.Second
+	// storeReadTimeout bounds one read from the platform's store during a recovery. The client of
+	// the store aborts a read that receives nothing for 2 s; this timeout bounds a read that keeps
+	// receiving data. A document of 5,800 routes (1.6 MB as the store sends it) takes 2.8 s on an
+	// idle link of 5 Mbit/s, and the largest accepted document takes 57 s on half of such a link.
+	// Hosts whose reads are aborted earlier start over each time and serve nothing after a power
+	// loss.
+	storeReadTimeout = 2 * time.Minute
+	// maxStoreBackoff bounds the wait between two rounds of a recovery while neither the store nor
+	// enough daemons answer.
+	maxStoreBackoff = time.Second
+	// queryFanOut is the number of daemons that are queried for the floor in one round.
+	queryFanOut = 6
+	// sufficientAnswers is the number of answers that a start with a metadata store waits for. It
+	// is above the number needed to know the floor (recovery.Options.MinAnswers), so that an answer
+	// from one daemon that has just started as well does not make a read of the store necessary.
+	sufficientAnswers = 4
 )
 
-// joinFleet finds the other daemons, by the settings' contacts and those in
-// the platform's log. A fleet that starts all at once joins by contacts that
-// know nobody yet themselves, and a daemon that took their empty tables for the
-// fleet would be alone until the next heal. So each joins a second time a moment
-// later, when the contacts are members, and goes on while it is alone.
+// joinFleet joins the other daemons through the contacts in the settings and those in the
+// platform's log. If all daemons of a fleet start at once, their contacts know no other daemon yet.
+// A daemon that took the empty tables of its contacts for the complete fleet would be alone until
+// the next heal interval. Each daemon therefore joins a second time shortly after the first, when
+// the contacts are members, and keeps joining as long as it knows no other member.
 func (d *Daemon) joinFleet(ctx context.Context) error {
 	configured, err := parseContacts(d.settings.Contacts)
 	if err != nil {
 		return err
 	}
-	wait := rejoinAfter
+	wait := rejoinDelay
 	var known []membership.Contact
 	for joins := 0; ctx.Err() == nil; {
 		if len(known) == 0 {
-			known = d.withFound(ctx, configured)
+			known = d.withLogContacts(ctx, configured)
 		}
 		if err := d.joinOnce(ctx, known); err != nil {
 			d.logger.Warn("daemon: no contact answers", "error", err)
@@ -75,27 +76,28 @@
 			return nil
 		}
 		if alone {
-			// Others may have come into the log since.
+			// Other daemons may have put their addresses into the log in the meantime.
 			known = nil
 		}
 		loop.SleepJittered(ctx, wait)
 		if joins > 1 {
-			wait = min(2*wait, maxRejoinAfter)
+			wait = min(2*wait, maxRejoinDelay)
 		}
 	}
 	return nil
 }
 
 func (d *Daemon) joinOnce(ctx context.Context, contacts []membership.Contact) error {
-	ctx, cancel := context.WithTimeout(ctx, joinRound)
+	ctx, cancel := context.WithTimeout(ctx, joinTimeout)
 	defer cancel()
 	_, err := d.membership.Join(ctx, contacts)
 	return err
 }
 
-// withFound adds the contacts found in the platform's log.
-func (d *Daemon) withFound(ctx context.Context, configured []membership.Contact) []membership.Contact {
-	ctx, cancel := context.WithTimeout(ctx, findTimeout)
+// withLogContacts returns the contacts found in the platform's log, followed by the configured
+// ones.
+func (d *Daemon) withLogContacts(ctx context.Context, configured []membership.Contact) []membership.Contact {
+	ctx, cancel := context.WithTimeout(ctx, findContactsTimeout)
 	defer cancel()
 	found, err := d.contacts.Find(ctx)
 	if err != nil {
@@ -104,15 +106,15 @@
 	return append(found, configured...)
 }
 
-// recoverConfiguration learns what this host had in force before, gets a state that
-// is no older, and begins to serve.
+// recoverConfiguration determines the floor, which is the newest version that this host is known to
+// have had in force, obtains a state that is not older, and starts serving.
 func (d *Daemon) recoverConfiguration(ctx context.Context) error {
-	// The join itself goes on.
-	patience := time.NewTimer(time.Duration(d.settings.Membership.JoinPatience))
-	defer patience.Stop()
+	// The daemon keeps joining after this timeout.
+	joinTimer := time.NewTimer(time.Duration(d.settings.Membership.JoinPatience))
+	defer joinTimer.Stop()
 	select {
 	case <-d.joined:
-	case <-patience.C:
+	case <-joinTimer.C:
 	case <-ctx.Done():
 		return nil
 	}
@@ -131,7 +133,7 @@
 	return nil
 }
 
-// recoveryOptions returns how to recover from the log in use.
+// recoveryOptions returns the options for a recovery from the log in use.
 func (d *Daemon) recoveryOptions() recovery.Options {
 	o := recovery.DefaultOptions()
 	o.Host = d.settings.Host
@@ -139,10 +141,10 @@
 	o.Config = d.configLog()
 	if d.adapter != nil {
 		o.LoadCheckpoint = d.latestState
-		// The store answers all daemons of a fleet that starts at once, and callers
-		// wait for each of them.
-		o.Stagger, o.MaxBackoff = 0, storeBackoff
-		o.LogTimeout, o.FetchTimeout = storeTimeout, storeTimeout
+		// The store can answer all daemons of a fleet that starts at once, and callers wait for
+		// each daemon.
+		o.Stagger, o.MaxBackoff = 0, maxStoreBackoff
+		o.LogTimeout, o.FetchTimeout = storeReadTimeout, storeReadTimeout
 		o.PreferPeers = true
 	} else {
 		o.Checkpoints = d.log.Stream(eventlog.StreamCheckpoints)
@@ -152,25 +154,30 @@
 	return o
 }
 
+// reportRecovery publishes the floor and the problem after a round that found no state to serve.
 func (d *Daemon) reportRecovery(dec recovery.Decision) {
 	d.board.Floor.Store(&blackboard.Floor{Offset: dec.Floor, Reason: string(dec.Problem)})
 }
 
-// recoveryPeers asks other daemons on behalf of a recovery.
+// recoveryPeers sends the queries of a recovery to other daemons.
 type recoveryPeers struct{ d *Daemon }
 
-// Ask implements recovery.Peers with a few daemons, half of them neighbours: a state that
-// both have is then fetched within the availability zone.
+// Ask implements recovery.Peers. It queries a few daemons, half of them in the availability zone of
+// this daemon: a state that daemons of both halves hold is then fetched within the zone.
 func (p recoveryPeers) Ask(ctx context.Context) recovery.PeerAnswers {
-	others := p.others()
-	h := recovery.PeerAnswers{Known: len(others)}
-	asked := p.toAsk(others)
-	answers := make(chan *recovery.PeerAnswer, len(asked))
+	others := p.otherMembers()
+	result := recovery.PeerAnswers{Known: len(others)}
+	// selectPeers selects the daemons to query: half of them in the availability zone of this
+	// daemon, and in each half live members before others and fast links before slow ones, except
+	// for one member drawn at random. Hosts with fast links are the first to have a configuration
+	// after a power loss, and can send it to many others.
+	queried := p.selectPeers(others)
+	answers := make(chan *recovery.PeerAnswer, len(queried))
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	for _, m := range asked {
+	for _, m := range queried {
 		go func() {
-			a, err := p.askOne(ctx, m)
+			a, err := p.queryPosition(ctx, m)
 			if err != nil {
 				answers <- nil
 				return
@@ -178,45 +185,44 @@
 			answers <- &a
 		}()
 	}
-	for range asked {
+	for range queried {
 		a := <-answers
 		if a == nil {
 			continue
 		}
-		h.Answers = append(h.Answers, *a)
-		if p.d.onStore() && len(h.Answers) >= enoughAnswers {
-			// One that is silent must not hold up a start for as long as a question may
-			// take.
+		result.Answers = append(result.Answers, *a)
+		if p.d.usesMetadataStore() && len(result.Answers) >= sufficientAnswers {
+			// A daemon that does not answer must not delay the start until its query times out.
 			break
 		}
 	}
-	p.sortNear(h.Answers)
-	return h
+	p.sortByZone(result.Answers)
+	return result
 }
 
-// toAsk draws the daemons to ask: half of them neighbours, those that are alive first, and
+// selectPeers draws the daemons to ask: half of them neighbours, those that are alive first, and
 // most of either half with the widest links: they have a configuration first after a loss of
 // power, and bear to hand it to many.
-func (p recoveryPeers) toAsk(others []*membership.Member) []*membership.Member {
+func (p recoveryPeers) selectPeers(others []*membership.Member) []*membership.Member {
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	slices.SortStableFunc(others, func(a, b *membership.Member) int {
 		return cmp.Or(cmp.Compare(a.Liveness, b.Liveness), cmp.Compare(b.LinkMbps, a.LinkMbps))
 	})
-	var near, away []*membership.Member
+	var sameZone, otherZones []*membership.Member
 	for _, m := range others {
 		if m.AvailabilityZone == p.d.settings.AvailabilityZone {
-			near = append(near, m)
+			sameZone = append(sameZone, m)
 		} else {
-			away = append(away, m)
+			otherZones = append(otherZones, m)
 		}
 	}
-	n := min(len(near), max(askFanOut/2, askFanOut-len(away)))
-	return slices.Concat(firstAndAny(near, n), firstAndAny(away, min(askFanOut-n, len(away))))
+	n := min(len(sameZone), max(queryFanOut/2, queryFanOut-len(otherZones)))
+	return slices.Concat(firstAndRandom(sameZone, n), firstAndRandom(otherZones, min(queryFanOut-n, len(otherZones))))
 }
 
-// firstAndAny returns n of a list: the first ones, and one of the rest. Those with the widest
-// links may all have just started.
-func firstAndAny(list []*membership.Member, n int) []*membership.Member {
+// firstAndRandom returns n members of list: the first n-1 and a random one of the rest. The members
+// with the fastest links may all have just started. It reorders list.
+func firstAndRandom(list []*membership.Member, n int) []*membership.Member {
 	if n > 0 {
 		other := n - 1 + rand.IntN(len(list)-n+1)
 		list[n-1], list[other] = list[other], list[n-1]
@@ -224,21 +230,21 @@
 	return list[:n]
 }
 
-// sortNear puts the answers of neighbours first.
-func (p recoveryPeers) sortNear(answers []recovery.PeerAnswer) {
+// sortByZone moves the answers of daemons in the availability zone of this daemon to the front.
+func (p recoveryPeers) sortByZone(answers []recovery.PeerAnswer) {
 	view := p.d.membership.View()
-	away := func(a recovery.PeerAnswer) int {
+	zoneRank := func(a recovery.PeerAnswer) int {
 		if m := view.Find(a.Host); m != nil && m.AvailabilityZone == p.d.settings.AvailabilityZone {
 			return 0
 		}
 		return 1
 	}
-	slices.SortStableFunc(answers, func(a, b recovery.PeerAnswer) int { return away(a) - away(b) })
+	slices.SortStableFunc(answers, func(a, b recovery.PeerAnswer) int { return zoneRank(a) - zoneRank(b) })
 }
 
-// others are the daemons that have not left; those believed dead may be alive
-// beyond a cut.
-func (p recoveryPeers) others() []*membership.Member {
+// otherMembers returns the members on other hosts that have not left. Members that are considered
+// dead may be alive on the other side of a network partition.
+func (p recoveryPeers) otherMembers() []*membership.Member {
 	var others []*membership.Member
 	for _, m := range p.d.membership.View().Members {
 		if m.Host != p.d.settings.Host && m.Liveness != membership.Left {
@@ -248,7 +254,9 @@
 	return others
 }
 
-func (p recoveryPeers) askOne(ctx context.Context, m *membership.Member) (recovery.PeerAnswer, error) {
+// queryPosition requests the position of the version in force on another daemon and the floor that
+// it knows for this host.
+func (p recoveryPeers) queryPosition(ctx context.Context, m *membership.Member) (recovery.PeerAnswer, error) {
 	host := p.d.settings.Host
 	ans, err := p.pull(ctx, m, &peerpb.Pull{Host: host, FloorOnly: true})
 	if err != nil {
@@ -257,7 +265,7 @@
 	a := recovery.PeerAnswer{
 		Host:     m.Host,
 		Position: recovery.Position{Offset: ans.GetOffset()},
-		// What the tables told at the join counts as well.
+		// The floor from the membership tables received in the join counts as well.
 		Floor: max(ans.GetFloor(), p.d.membership.Floor(host)),
 	}
 	copy(a.Chain[:], ans.GetChain())
@@ -265,14 +273,14 @@
 }
 
 func (p recoveryPeers) pull(ctx context.Context, m *membership.Member, req *peerpb.Pull) (*peerpb.PullAnswer, error) {
-	return spread.NewPoolPeers(p.d.control).Pull(ctx, m.PeerAddr, req)
+	return spread.NewPoolPeers(p.d.controlPool).Pull(ctx, m.PeerAddr, req)
 }
 
 // State implements recovery.Peers.
 func (p recoveryPeers) State(ctx context.Context, host string) (*fold.State, error) {
 	m := p.d.membership.View().Find(host)
 	if m == nil {
-		return nil, errors.Newf("host %s is not known", host)
+		return nil, errors.Newf("host %s is not a known member", host)
 	}
 	ans, err := p.pull(ctx, m, &peerpb.Pull{Host: p.d.settings.Host, WholeState: true, TakesPacked: true})
 	if err != nil {
@@ -283,7 +291,7 @@
 		return nil, err
 	}
 	if state == nil {
-		return nil, errors.Newf("host %s gave no state", host)
+		return nil, errors.Newf("host %s returned no state", host)
 	}
 	return fold.Decode(state)
 }
--- a/internal/daemon/reload.go
+++ b/internal/daemon/reload.go
@@ -9,38 +9,39 @@
 	"github.com/crocuscross/crocuscross/internal/settings"
 )
 
-// watchInterval is how often the settings file is looked at. It may change without
-// a signal.
-const watchInterval = time.Second
+// pollInterval is how often the settings file is checked for changes, which may come without a
+// signal, and how often the retry burst is computed anew.
+const pollInterval = time.Second
 
-// ReloadOptions are what makes a daemon read its settings again.
+// ReloadOptions defines what makes a daemon reload its settings.
 type ReloadOptions struct {
-	// File of the settings, empty where they do not come from one.
+	// File is the path of the settings file, empty if the settings do not come from a file. An
+	// empty path disables reloads.
 	File string
-	// Signal asks for a reload; it may be nil.
+	// Signal requests a reload with each value; it may be nil.
 	Signal <-chan os.Signal
 }
 
-// live returns the settings in force. Those that bind listeners, name the host or
-// shape the parts hold from the start on.
-func (d *Daemon) live() *settings.Settings { return d.current.Load() }
+// currentSettings returns the settings in force. Settings that bind listeners, name the host or
+// configure components keep their initial values until the daemon restarts.
+func (d *Daemon) currentSettings() *settings.Settings { return d.current.Load() }
 
-// followSettings reads the settings again on a signal and whenever the file has
-// changed, until ctx is done.
-func (d *Daemon) followSettings(ctx context.Context) error {
+// watchSettings reloads the settings on each signal and whenever the file has changed, until ctx is
+// done.
+func (d *Daemon) watchSettings(ctx context.Context) error {
 	if d.reloads.File == "" {
 		return idle(ctx)
 	}
-	t := time.NewTicker(watchInterval)
+	t := time.NewTicker(pollInterval)
 	defer t.Stop()
-	seen := stamp(d.reloads.File)
+	seen := fileVersionOf(d.reloads.File)
 	for {
 		select {
 		case <-d.reloads.Signal:
-			seen = stamp(d.reloads.File)
+			seen = fileVersionOf(d.reloads.File)
 			d.reload("signal")
 		case <-t.C:
-			if now := stamp(d.reloads.File); now != seen {
+			if now := fileVersionOf(d.reloads.File); now != seen {
 				seen = now
 				d.reload("file changed")
 			}
@@ -50,38 +51,38 @@
 	}
 }
 
-// fileStamp tells versions of a file apart.
-type fileStamp struct {
+// fileVersion distinguishes versions of a file.
+type fileVersion struct {
 	modified time.Time
 	size     int64
 }
 
-// stamp returns the zero stamp for a file that cannot be looked at, as while it is
-// being replaced.
-func stamp(path string) fileStamp {
+// fileVersionOf returns the version of the file at path. It returns the zero value if the file is
+// not accessible, for example while it is being replaced.
+func fileVersionOf(path string) fileVersion {
 	info, err := os.Stat(path)
 	if err != nil {
-		return fileStamp{}
+		return fileVersion{}
 	}
-	return fileStamp{info.ModTime(), info.Size()}
+	return fileVersion{info.ModTime(), info.Size()}
 }
 
-// reload puts in force what may change while the daemon runs. Settings that are
-// wrong change nothing.
+// reload puts in force the reloaded values of those settings that may change while the daemon runs.
+// An invalid settings file changes nothing.
 func (d *Daemon) reload(reason string) {
 	next, err := settings.Load(d.reloads.File)
 	if err != nil {
 		d.logger.Error("daemon: settings not reloaded", "reason", reason, "error", err)
 		return
 	}
-	old := d.live()
-	kept := *old
-	kept.Retries, kept.Drain, kept.Log.Level = next.Retries, next.Drain, next.Log.Level
-	kept.Requests.KilobyteCost = next.Requests.KilobyteCost
-	d.current.Store(&kept)
-	if err := d.level.UnmarshalText([]byte(kept.Log.Level)); err != nil {
+	old := d.currentSettings()
+	merged := *old
+	merged.Retries, merged.Drain, merged.Log.Level = next.Retries, next.Drain, next.Log.Level
+	merged.Requests.KilobyteCost = next.Requests.KilobyteCost
+	d.current.Store(&merged)
+	if err := d.level.UnmarshalText([]byte(merged.Log.Level)); err != nil {
 		d.logger.Error("daemon: log level not set", "error", err)
 	}
 	d.logger.Info("daemon: settings reloaded", "reason", reason,
-		"changed", !reflect.DeepEqual(kept, *old), "needs_restart", !reflect.DeepEqual(kept, *next))
+		"changed", !reflect.DeepEqual(merged, *old), "needs_restart", !reflect.DeepEqual(merged, *next))
 }
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -13,8 +13,8 @@
 	"github.com/crocuscross/crocuscross/internal/settings"
 )
 
-// The settings file changes, and a signal says so; then it changes without one. What
-// may change while the daemon runs does, and a file with a mistake changes nothing.
+// The settings are reloaded after a signal and after a change of the file without a signal. Only
+// settings that may change at runtime change, and an invalid file changes nothing.
 func TestDaemon_ReloadsItsSettings(t *testing.T) {
 	f := newStoreFleet(t, 1)
 	d := f.daemons[0]
@@ -29,20 +29,20 @@
 	write("281")
 	signal := make(chan os.Signal, 1)
 	d.reloads = ReloadOptions{File: file, Signal: signal}
-	go func() { _ = d.followSettings(d.ctx) }()
+	go func() { _ = d.watchSettings(d.ctx) }()
 	signal <- syscall.SIGHUP
-	f.eventually("the signal is followed", func() bool { return d.live().Retries.Extra == 281 })
-	host := d.live().Host
+	f.eventually("the settings are reloaded after the signal", func() bool { return d.currentSettings().Retries.Extra == 281 })
+	host := d.currentSettings().Host
 	write("-1")
 	signal <- syscall.SIGHUP
 	write("1000")
-	f.eventually("the change is followed", func() bool { return d.live().Retries.Extra == 1000 })
-	must.Eq(t, host, d.live().Host, must.Sprint("a host's name holds for its life"))
-	must.Eq(t, 0.1, d.live().Retries.Ratio, must.Sprint("what the file does not set has its default"))
+	f.eventually("the settings are reloaded after the change", func() bool { return d.currentSettings().Retries.Extra == 1000 })
+	must.Eq(t, host, d.currentSettings().Host, must.Sprint("the host name does not change at runtime"))
+	must.Eq(t, 0.1, d.currentSettings().Retries.Ratio, must.Sprint("a setting that is missing from the file has its default"))
 }
 
-// The platform kills a stopping process after a time that the settings name. Calls
-// that are cut off by a kill have no answer, so a drain must be over before it.
+// The platform kills a stopping process after the drain timeout of the settings. Calls that the
+// kill interrupts get no response, so the drain must end earlier.
 func TestDaemon_DrainEndsBeforeTheKill(t *testing.T) {
-	must.Eq(t, 5*time.Second, drainTime(settings.Drain{Timeout: settings.Duration(6 * time.Second)}))
+	must.Eq(t, 5*time.Second, drainTimeout(settings.Drain{Timeout: settings.Duration(6 * time.Second)}))
 }
--- a/internal/daemon/restore_test.go
+++ b/internal/daemon/restore_test.go
@@ -11,14 +11,14 @@
 	"github.com/crocuscross/crocuscross/platform/storetest"
 )
 
-// config is a document with one route, as the operator writes it.
-func config(version int) string {
+// documentWithOneRoute returns a document with one route, as the operator writes it.
+func documentWithOneRoute(version int) string {
 	return fmt.Sprintf(`{"version":%d,"services":[{"name":"signs"}],"routes":[
 		{"name":"get","virtual_host":"h.example","path_prefix":"/get/","kind":"CALL_KIND_IDEMPOTENT","service":"signs"}]}`, version)
 }
 
-// awaitDocument returns once all daemons have a version in force.
-func (f *storeFleet) awaitDocument(version int) {
+// waitDocument waits until all daemons have a document version in force.
+func (f *storeFleet) waitDocument(version int) {
 	f.t.Helper()
 	f.eventually(fmt.Sprintf("version %d is in force", version), func() bool {
 		for _, d := range f.daemons {
@@ -30,8 +30,8 @@
 	})
 }
 
-// watchVersions fails the test where a daemon goes back to an older version. The returned
-// function ends the watch.
+// watchVersions fails the test if a daemon returns to an older document version, until stop is
+// called.
 func (f *storeFleet) watchVersions() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -42,7 +42,7 @@
 				if snap != nil {
 					v := snap.Document().VersionOrZero()
 					if v < highest {
-						f.t.Errorf("%s went back from version %d to %d", d.settings.Host, highest, v)
+						f.t.Errorf("%s returned from version %d to %d", d.settings.Host, highest, v)
 					}
 					highest = max(highest, v)
 				}
@@ -60,7 +60,8 @@
 	}
 }
 
-// Guards against versions that never come into force after the store came back from an older copy.
+// Guards against versions that never come into force after the store was restored from an older
+// copy.
 func TestStore_RestoredFromAnOlderCopy(t *testing.T) {
 	for name, written := range map[string][]int{
 		"shorter than the readers' offset": {13},
@@ -70,38 +71,39 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newStoreFleet(t, 3)
-			f.store.PutConfig(config(3))
-			f.awaitDocument(3)
+			f.store.PutConfig(documentWithOneRoute(3))
+			f.waitDocument(3)
 			older := f.store.Backup()
-			f.store.PutConfig(config(7))
-			f.store.PutConfig(config(9))
-			f.awaitDocument(9)
+			f.store.PutConfig(documentWithOneRoute(7))
+			f.store.PutConfig(documentWithOneRoute(9))
+			f.waitDocument(9)
 			defer f.watchVersions()()
 			f.store.SetFault(storetest.ConnectionReset)
 			f.store.Restore(older)
 			for _, version := range written {
-				f.store.PutConfig(config(version))
+				f.store.PutConfig(documentWithOneRoute(version))
 			}
 			f.store.SetFault(storetest.None)
-			f.awaitDocument(13)
+			f.waitDocument(13)
 		})
 	}
 }
 
-// Guards against an older version in force while the store lacks the newest one.
+// Guards against a daemon that starts with an older version in force while the store lacks the
+// newest one.
 func TestStore_StartsWhileTheStoreLacksTheNewest(t *testing.T) {
 	f := newStoreFleet(t, 2)
-	f.store.PutConfig(config(3))
-	f.awaitDocument(3)
+	f.store.PutConfig(documentWithOneRoute(3))
+	f.waitDocument(3)
 	older := f.store.Backup()
-	f.store.PutConfig(config(7))
-	f.awaitDocument(7)
+	f.store.PutConfig(documentWithOneRoute(7))
+	f.waitDocument(7)
 	f.store.Restore(older)
 	f.start()
-	f.awaitDocument(7)
+	f.waitDocument(7)
 	defer f.watchVersions()()
 	f.store.Restore(older)
-	f.store.PutConfig(config(11))
-	f.awaitDocument(11)
+	f.store.PutConfig(documentWithOneRoute(11))
+	f.waitDocument(11)
 	must.Len(t, 3, f.daemons)
 }
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -13,17 +13,17 @@
 	"github.com/shoenig/test/must"
 )
 
-// versionServer is a backend server of a version that counts what it runs.
+// versionServer is a backend server of a version that counts the requests it runs.
 type versionServer struct {
 	*server
 	version string
-	ran     atomic.Int64
+	runs    atomic.Int64
 }
 
 func newVersionServer(t *testing.T, id, version string, status int) *versionServer {
 	v := &versionServer{server: &server{id: id}, version: version}
 	v.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		v.ran.Add(1)
+		v.runs.Add(1)
 		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
 		w.Header().Set(names.Signature, "signed")
 		w.WriteHeader(status)
@@ -33,17 +33,17 @@
 	return v
 }
 
-// announceVersion tells a daemon of a server of a version.
+// announceVersion announces a server and its version to a daemon.
 func (f *storeFleet) announceVersion(d *testDaemon, v *versionServer) {
 	f.t.Helper()
 	must.Eq(f.t, http.StatusOK, f.announceAs(d, v.server, v.version, "ready", 1))
 }
 
-// rolloutFleet is six daemons with three servers of each version, the new ones answering
-// with a status.
-func rolloutFleet(t *testing.T, status int) (f *storeFleet, old, fresh []*versionServer) {
+// newRolloutFleet returns six daemons with three servers of each version and starts a rollout to
+// the new one, whose servers answer with status.
+func newRolloutFleet(t *testing.T, status int) (f *storeFleet, old, fresh []*versionServer) {
 	f = newStoreFleet(t, 6)
-	f.document(3)
+	f.putDocument(3)
 	for i := range 3 {
 		old = append(old, newVersionServer(t, fmt.Sprint("old-", i), "v1", http.StatusOK))
 		f.announceVersion(f.daemons[i], old[i])
@@ -60,10 +60,11 @@
 	return f, old, fresh
 }
 
-// callUntil sends calls through all daemons in turn until the operator is told of an outcome.
+// callUntil sends calls through all daemons in turn until the rollout status in the store contains
+// the outcome. It returns the number of calls.
 func (f *storeFleet) callUntil(outcome string) (calls int) {
 	f.t.Helper()
-	f.eventually("the operator is told: "+outcome, func() bool {
+	f.eventually("the rollout status is "+outcome, func() bool {
 		f.call(f.daemons[calls%len(f.daemons)], http.MethodGet, "/get/x", "")
 		calls++
 		return strings.Contains(f.store.RolloutStatus("signs"), outcome)
@@ -71,10 +72,11 @@
 	return calls
 }
 
-func ran(servers []*versionServer) int64 {
+// totalRuns returns the number of requests that all servers have run.
+func totalRuns(servers []*versionServer) int64 {
 	var n int64
 	for _, v := range servers {
-		n += v.ran.Load()
+		n += v.runs.Load()
 	}
 	return n
 }
@@ -89,47 +91,47 @@
 	return true
 }
 
-// Guards against a version that fails its calls and goes on getting them.
-func TestStore_BadVersionIsTakenBack(t *testing.T) {
-	f, old, fresh := rolloutFleet(t, http.StatusInternalServerError)
+// Guards against a version that fails its calls and continues to receive them.
+func TestStore_FailingVersionIsRolledBack(t *testing.T) {
+	f, old, fresh := newRolloutFleet(t, http.StatusInternalServerError)
 	calls := f.callUntil("rolled_back")
 	f.eventually("the new servers' gates are closed", f.newGatesClosed)
-	exposed := ran(fresh)
+	exposed := totalRuns(fresh)
 	must.LessEq(t, float64(calls)/10+50, float64(exposed))
-	must.Greater(t, 0, ran(old))
+	must.Greater(t, 0, totalRuns(old))
 	for i := range 30 {
 		resp, _ := f.call(f.daemons[i%6], http.MethodGet, "/get/x", "")
 		must.Eq(t, http.StatusOK, resp.StatusCode)
 	}
-	must.Eq(t, exposed, ran(fresh))
+	must.Eq(t, exposed, totalRuns(fresh))
 }
 
-// Guards against a good version that is not moved to in time, and against calls to the old
-// one after the operator has been told to stop it.
+// Guards against a good version that does not receive all calls in time, and against calls to the
+// old version after the operator was informed that it may be stopped.
 func TestStore_GoodVersionSucceeds(t *testing.T) {
-	f, old, fresh := rolloutFleet(t, http.StatusOK)
+	f, old, fresh := newRolloutFleet(t, http.StatusOK)
 	begun := time.Now()
 	f.callUntil("succeeded")
-	t.Logf("told after %v", time.Since(begun))
-	before := ran(old)
+	t.Logf("status reported after %v", time.Since(begun))
+	before := totalRuns(old)
 	for i := range 30 {
 		resp, _ := f.call(f.daemons[i%6], http.MethodGet, "/get/x", "")
 		must.Eq(t, http.StatusOK, resp.StatusCode)
 	}
-	must.Eq(t, before, ran(old))
-	must.Greater(t, 0, ran(fresh))
+	must.Eq(t, before, totalRuns(old))
+	must.Greater(t, 0, totalRuns(fresh))
 	must.Eq(t, `{"state":"succeeded","to_version":"v2"}`, f.store.RolloutStatus("signs"))
 }
 
-// staysTakenBack checks that a daemon which starts after all others were lost sends nothing to
-// a server of the version.
-func (f *storeFleet) staysTakenBack() {
+// staysRolledBack checks that a daemon which starts after the loss of all others sends no calls to
+// a server of the version that was rolled back.
+func (f *storeFleet) staysRolledBack() {
 	f.t.Helper()
 	f.stopAll()
 	d := f.start()
 	fresh := newVersionServer(f.t, "new", "v2", http.StatusOK)
 	f.announceVersion(d, fresh)
-	f.eventually("the rollout's end is known", func() bool {
+	f.eventually("the outcome of the rollout is known", func() bool {
 		withheld := d.board.Withheld.Load()
 		return withheld != nil && *withheld
 	})
@@ -137,30 +139,31 @@
 		resp, _ := f.call(d, http.MethodGet, "/get/x", "")
 		must.Eq(f.t, http.StatusServiceUnavailable, resp.StatusCode)
 	}
-	must.Eq(f.t, 0, fresh.ran.Load())
+	must.Eq(f.t, 0, fresh.runs.Load())
 }
 
-// Guards against a rollout that was taken back and begins anew after all daemons were lost.
-func TestStore_RollbackOutlivesAllDaemons(t *testing.T) {
-	f, _, _ := rolloutFleet(t, http.StatusInternalServerError)
+// Guards against a rollout that was rolled back and starts again after the loss of all daemons.
+func TestStore_RollbackSurvivesLossOfAllDaemons(t *testing.T) {
+	f, _, _ := newRolloutFleet(t, http.StatusInternalServerError)
 	f.callUntil("rolled_back")
-	f.staysTakenBack()
+	f.staysRolledBack()
 }
 
-// Guards against a rollout that was taken back and begins anew, or is told as in progress, after the store lost its end.
-func TestStore_RollbackOutlivesARestore(t *testing.T) {
-	f, _, _ := rolloutFleet(t, http.StatusInternalServerError)
+// Guards against a rollout that was rolled back and starts again, or is reported as in progress,
+// after the store has lost its latest records.
+func TestStore_RollbackSurvivesRestore(t *testing.T) {
+	f, _, _ := newRolloutFleet(t, http.StatusInternalServerError)
 	f.eventually("the rollout is in progress", func() bool { return strings.Contains(f.store.RolloutStatus("signs"), "running") })
 	older := f.store.Backup()
 	f.callUntil("rolled_back")
 	f.eventually("the new servers' gates are closed", f.newGatesClosed)
 	f.store.Restore(older)
 	f.store.PutRollout("signs", "v2", 8)
-	f.eventually("the operator is told again", func() bool {
+	f.eventually("the rollout status is reported again", func() bool {
 		must.True(t, f.newGatesClosed())
 		return strings.Contains(f.store.RolloutStatus("signs"), "rolled_back")
 	})
 	must.True(t, f.newGatesClosed())
-	f.staysTakenBack()
+	f.staysRolledBack()
 	must.StrContains(t, f.store.RolloutStatus("signs"), "rolled_back")
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -15,12 +15,13 @@
 	"github.com/crocuscross/crocuscross/platform/storetest"
 )
 
-// storeCalls passes one daemon's calls on to the store and counts them.
+// storeCalls forwards one daemon's calls to the store and counts them.
 type storeCalls struct {
 	proxy http.Handler
 
 	mu sync.Mutex
-	// newest counts the questions about the newest records, by topic, the first page of each.
+	// newest counts the requests for the newest records by topic. Only the first page of each
+	// counts.
 	newest map[string]int
 }
 
@@ -33,8 +34,9 @@
 	c.proxy.ServeHTTP(w, r)
 }
 
-// of returns how many questions were about a topic, and about all others.
-func (c *storeCalls) of(part string) (matching, others int) {
+// newestCalls returns the number of requests for topics whose name contains part, and for all
+// others.
+func (c *storeCalls) newestCalls(part string) (matching, others int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for topic, n := range c.newest {
@@ -47,21 +49,21 @@
 	return matching, others
 }
 
-// A host starts beside living ones, as hundreds do on a day of work on the fleet. It asked
-// the store for contacts twice and for the newest document, though its neighbours have all
-// of that: each call has a price, and the document comes over a narrow link. Each round of
-// joins asks for contacts once, and nothing asks for the document.
-func TestStore_StartBesideNeighboursAsksOnce(t *testing.T) {
+// A host starts while others are running, as hundreds do during maintenance of the fleet. Each call
+// to the store has a cost, and the document would arrive over a slow link, although other daemons
+// have it. Each round of joins must therefore read the contacts once, and nothing may read the
+// document.
+func TestStore_StartBesideLiveDaemonsReadsContactsOnce(t *testing.T) {
 	f := newStoreFleet(t, 5)
-	f.document(3)
-	f.joined()
+	f.putDocument(3)
+	f.waitJoined()
 	store, err := url.Parse(f.store.URL())
 	must.NoError(t, err)
 	calls := &storeCalls{proxy: httputil.NewSingleHostReverseProxy(store), newest: map[string]int{}}
 	srv := httptest.NewServer(calls)
 	t.Cleanup(srv.Close)
-	change := f.change
-	f.change = func(s *settings.Settings) {
+	change := f.adjustSettings
+	f.adjustSettings = func(s *settings.Settings) {
 		change(s)
 		s.Platform.URL = srv.URL
 		s.Membership.JoinPatience = settings.Duration(waitLimit)
@@ -71,9 +73,9 @@
 		snap := d.board.Snapshot.Load()
 		return snap != nil && snap.Document() != nil
 	})
-	// A second round beside the daemon's own.
+	// A second round of joins after the daemon's own.
 	must.NoError(t, d.joinFleet(t.Context()))
-	contacts, others := calls.of("contacts")
+	contacts, others := calls.newestCalls("contacts")
 	must.LessEq(t, 2, contacts)
 	must.Zero(t, others)
 }
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -18,7 +18,7 @@
 	"github.com/crocuscross/crocuscross/platform/storetest"
 )
 
-// The platform's names that these tests speak.
+// names are the header names that the platform uses.
 var names = platform.Dialect()
 
 // storeFleet is a few daemons on a platform with a metadata store.
@@ -31,8 +31,8 @@
 	t.Helper()
 	s := storetest.New()
 	t.Cleanup(s.Close)
-	f := &storeFleet{testFleet: emptyFleet(t), store: s}
-	f.change = func(s *settings.Settings) {
+	f := &storeFleet{testFleet: newEmptyFleet(t), store: s}
+	f.adjustSettings = func(s *settings.Settings) {
 		s.Platform.URL, s.Platform.Protocol = f.store.URL(), settings.ProtocolStore
 		s.Requests.Customers = settings.CustomersOptional
 		s.Membership.JoinPatience = 0
@@ -46,8 +46,8 @@
 	return f
 }
 
-// document puts a document with a route of each kind in force.
-func (f *storeFleet) document(version int) {
+// putDocument writes a document with a route of each kind and waits until it is in force.
+func (f *storeFleet) putDocument(version int) {
 	f.t.Helper()
 	f.store.PutConfig(fmt.Sprintf(`{"version":%d,"services":[{"name":"signs"}],"routes":[
 		{"name":"get","virtual_host":"h.example","path_prefix":"/get/","kind":"CALL_KIND_IDEMPOTENT","timeout_ms":5000,"latency_objective_ms":600,"service":"signs","max_attempts":2},
@@ -63,14 +63,14 @@
 	})
 }
 
-// server is a backend server with an id.
+// server is a backend server with an ID.
 type server struct {
 	*httptest.Server
 	id string
 
-	mu   sync.Mutex
-	seen []*http.Request
-	body string
+	mu       sync.Mutex
+	received []*http.Request
+	body     string
 }
 
 func newServer(t *testing.T, id string) *server {
@@ -78,7 +78,7 @@
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		s.mu.Lock()
-		s.seen, s.body = append(s.seen, r), string(b)
+		s.received, s.body = append(s.received, r), string(b)
 		s.mu.Unlock()
 		w.Header().Set(names.RequestID, r.Header.Get(names.RequestID))
 		if r.Header.Get(names.ExpectedServer) != s.id {
@@ -93,15 +93,16 @@
 	return s
 }
 
-func (s *server) last() (*http.Request, string) {
+func (s *server) lastRequest() (*http.Request, string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.seen[len(s.seen)-1], s.body
+	return s.received[len(s.received)-1], s.body
 }
 
-// announce tells a daemon of a server and returns the status.
+// announce announces a server to a daemon and returns the HTTP status.
 func (f *storeFleet) announce(d *testDaemon, s *server, state string, sequence int) int {
 	f.t.Helper()
+	// announceAs is announce for a server of a version.
 	return f.announceAs(d, s, "v1", state, sequence)
 }
 
@@ -123,7 +124,7 @@
 	return resp.StatusCode
 }
 
-// call sends a request to a daemon and returns status and body.
+// call sends a request to a daemon and returns the response and its body.
 func (f *storeFleet) call(d *testDaemon, method, path, payload string) (*http.Response, string) {
 	f.t.Helper()
 	req, err := http.NewRequestWithContext(f.t.Context(), method, "http://"+d.ln.callers.Addr().String()+path, strings.NewReader(payload))
@@ -140,8 +141,8 @@
 	return resp, string(b)
 }
 
-// knowsServer waits until a daemon knows of a backend server.
-func (f *storeFleet) knowsServer(d *testDaemon) {
+// waitServerKnown waits until a daemon knows a backend server.
+func (f *storeFleet) waitServerKnown(d *testDaemon) {
 	f.t.Helper()
 	f.eventually("the server is known", func() bool {
 		b := d.board.Backends.Load()
@@ -149,8 +150,8 @@
 	})
 }
 
-// serves waits until calls through a daemon reach a server.
-func (f *storeFleet) serves(d *testDaemon, s *server) {
+// waitServed waits until calls through a daemon reach a server.
+func (f *storeFleet) waitServed(d *testDaemon, s *server) {
 	f.t.Helper()
 	f.eventually("calls reach "+s.id, func() bool {
 		resp, body := f.call(d, http.MethodGet, "/get/x", "")
@@ -158,24 +159,24 @@
 	})
 }
 
-// The whole path on the platform: two daemons find each other by the store, a
-// document comes into force, a backend server announces itself to one of them, and a
-// caller of the other one reaches it.
-func TestStore_WholePath(t *testing.T) {
+// On a platform with a metadata store, two daemons find each other through the store, a document
+// comes into force, a backend server announces itself to one daemon, and a caller of the other one
+// reaches it.
+func TestStore_EndToEnd(t *testing.T) {
 	f := newStoreFleet(t, 2)
 	early, _ := f.call(f.daemons[0], http.MethodGet, "/get/x", "")
-	must.Eq(t, http.StatusServiceUnavailable, early.StatusCode, must.Sprint("a daemon without a document knows of no route and denies none"))
+	must.Eq(t, http.StatusServiceUnavailable, early.StatusCode, must.Sprint("a daemon without a document must not report that a route does not exist"))
 	must.StrContains(t, early.Header.Get("Retry-After"), "0.")
-	f.document(3)
+	f.putDocument(3)
 	s := newServer(t, "i-1")
 	must.Eq(t, http.StatusOK, f.announce(f.daemons[1], s, "ready", 1))
-	f.serves(f.daemons[0], s)
+	f.waitServed(f.daemons[0], s)
 	payload := strings.Repeat("x", 100<<10)
 	resp, body := f.call(f.daemons[0], http.MethodPost, "/put/a%2Fb?c=%20", payload)
 	must.Eq(t, "from i-1", body)
 	must.Eq(t, "signed", resp.Header.Get(names.Signature))
 	must.Eq(t, "id-1", resp.Header.Get(names.RequestID))
-	seen, got := s.last()
+	seen, got := s.lastRequest()
 	must.Eq(t, payload, got)
 	must.Eq(t, "/put/a%2Fb?c=%20", seen.RequestURI)
 	must.Eq(t, "h.example", seen.Host)
@@ -189,17 +190,17 @@
 	must.Eq(t, http.StatusNotFound, resp.StatusCode)
 }
 
-// A backend server says that it leaves. From the acknowledgement on its daemon sends
-// it nothing, whatever the other daemons know; callers are told that the call has not
-// run. A late word that it is ready changes nothing.
-func TestStore_LeavingServerGetsNothing(t *testing.T) {
+// A backend server announces that it is leaving. Once this is acknowledged, its daemon sends it no
+// calls, whatever the other daemons know, and callers get the error that the call has not run. A
+// late announcement that the server is ready changes nothing.
+func TestStore_LeavingServerReceivesNoCalls(t *testing.T) {
 	for _, how := range []string{"draining", "gone"} {
 		t.Run(how, func(t *testing.T) {
 			f := newStoreFleet(t, 2)
-			f.document(3)
+			f.putDocument(3)
 			s := newServer(t, "i-1")
 			f.announce(f.daemons[1], s, "ready", 5)
-			f.serves(f.daemons[0], s)
+			f.waitServed(f.daemons[0], s)
 			if how == "draining" {
 				must.Eq(t, http.StatusOK, f.announce(f.daemons[1], s, "draining", 6))
 			} else {
@@ -207,38 +208,38 @@
 			}
 			must.Eq(t, http.StatusOK, f.announce(f.daemons[1], s, "ready", 4))
 			s.mu.Lock()
-			before := len(s.seen)
+			before := len(s.received)
 			s.mu.Unlock()
 			for _, d := range f.daemons {
 				resp, _ := f.call(d, http.MethodPost, "/put/x", "")
 				must.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 			}
-			must.Len(t, before, s.seen)
+			must.Len(t, before, s.received)
 		})
 	}
 }
 
-// A server crashes and another one starts at its address. Until that one announces
-// itself the calls meant for the first are refused by it unrun; afterwards a late
-// announcement of the first must not bring it back.
-func TestStore_AddressIsUsedAgain(t *testing.T) {
+// A server crashes and another one starts at its address. Until the new server announces itself, it
+// rejects calls meant for the first one without running them. Afterwards, a late announcement of
+// the first server must not make it known again.
+func TestStore_ReusedServerAddress(t *testing.T) {
 	f := newStoreFleet(t, 1)
-	f.document(3)
+	f.putDocument(3)
 	s := newServer(t, "i-1")
 	f.announce(f.daemons[0], s, "ready", 1)
-	f.serves(f.daemons[0], s)
+	f.waitServed(f.daemons[0], s)
 	s.id = "i-2"
 	resp, _ := f.call(f.daemons[0], http.MethodPost, "/put/x", "")
 	must.Eq(t, http.StatusServiceUnavailable, resp.StatusCode)
 	f.announce(f.daemons[0], s, "ready", 1)
-	f.serves(f.daemons[0], s)
+	f.waitServed(f.daemons[0], s)
 	s.id = "i-1"
 	f.announce(f.daemons[0], s, "ready", 9)
 	s.id = "i-2"
-	f.serves(f.daemons[0], s)
+	f.waitServed(f.daemons[0], s)
 }
 
-// Announcements that make no sense are refused, those for another host's address too.
+// Invalid announcements are rejected, including those with an address on another host.
 func TestStore_BadAnnouncements(t *testing.T) {
 	f := newStoreFleet(t, 1)
 	d := f.daemons[0]
@@ -254,14 +255,14 @@
 	must.Nil(t, d.board.Local.Load())
 }
 
-// The store goes away. A daemon that starts then gets the document from another one.
-func TestStore_StartWithTheStoreAway(t *testing.T) {
+// A daemon that starts while the store is unavailable gets the document from another daemon.
+func TestStore_StartWhileStoreIsUnavailable(t *testing.T) {
 	f := newStoreFleet(t, 2)
-	f.document(3)
+	f.putDocument(3)
 	f.store.SetFault(storetest.Unavailable)
 	contact := f.daemons[0].ln.peers.Addr().String()
-	change := f.change
-	f.change = func(s *settings.Settings) {
+	change := f.adjustSettings
+	f.adjustSettings = func(s *settings.Settings) {
 		change(s)
 		s.Contacts = []string{contact}
 	}
@@ -272,24 +273,24 @@
 	})
 }
 
-// The store forgets its history while daemons hold an older document.
+// The store drops old records while daemons have an older document in force.
 func TestStore_Compaction(t *testing.T) {
 	f := newStoreFleet(t, 2)
-	f.document(3)
+	f.putDocument(3)
 	f.store.PutConfig("no document")
 	f.store.CompactConfig(2)
-	f.document(7)
+	f.putDocument(7)
 	f.store.CompactConfig(3)
-	f.document(9)
+	f.putDocument(9)
 }
 
-// A daemon starts on a new host while the store is away: it has nowhere to find the
-// others, and nobody knows of it. Callers were refused for want of a backend server
-// for as long as it ran, though the store came back: it had taken its empty list of
-// contacts for the whole fleet twice, and never looked again.
+// A daemon starts on a new host while the store is unavailable, so it can't find the other daemons
+// and they do not know it. Guards against a daemon that takes its empty list of contacts for the
+// whole fleet, stops joining, and rejects callers for lack of a backend server even after the store
+// is available again.
 func TestStore_JoinsWhenTheStoreReturns(t *testing.T) {
 	f := newStoreFleet(t, 1)
-	f.document(3)
+	f.putDocument(3)
 	f.store.SetFault(storetest.Unavailable)
 	d := f.start()
 	f.eventually("the daemon has looked for the others a few times", func() bool {
@@ -301,13 +302,13 @@
 	})
 }
 
-// The backend server is full. A caller with a large body goes away while its call
-// waits for a slot; the body has not been asked for yet, so nothing but the end of the
-// stream tells the gate. The call must leave the queue: else it would be run for
-// nobody, up to a second later.
+// All slots of a backend server are in use. A caller with a large body disconnects while its call
+// waits for a slot. The gate has not requested the body yet, so only the end of the stream informs
+// it. Guards against a call that remains in the queue and runs for a caller that has left, up to a
+// second later.
 func TestStore_LargeCallLeavesTheQueueWithItsCaller(t *testing.T) {
 	f := newStoreFleet(t, 2)
-	f.document(3)
+	f.putDocument(3)
 	began, release := make(chan struct{}, 8), make(chan struct{})
 	s := &server{id: "i-1"}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -318,7 +319,7 @@
 	}))
 	t.Cleanup(s.Close)
 	f.announce(f.daemons[1], s, "ready", 1)
-	f.knowsServer(f.daemons[0])
+	f.waitServerKnown(f.daemons[0])
 	send := func(ctx context.Context, payload string) {
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.daemons[0].ln.callers.Addr().String()+"/put/x", strings.NewReader(payload))
 		must.NoError(t, err)
@@ -345,28 +346,29 @@
 	must.Eq(t, 0, len(began))
 }
 
-// A host with a link of 5 Mbit/s has bodies sent in parts. They reach the backend server
-// as they were, the length in parts or not, several at once.
-func TestStore_BodiesInParts(t *testing.T) {
+// Bodies to a host with a link of 5 Mbit/s are sent in parts. They must reach the backend server
+// unchanged, whether or not their length is a multiple of the part size, with several parts in
+// transit.
+func TestStore_BodiesSentInParts(t *testing.T) {
 	f := newStoreFleet(t, 0)
-	change := f.change
-	f.change = func(s *settings.Settings) {
+	change := f.adjustSettings
+	f.adjustSettings = func(s *settings.Settings) {
 		change(s)
 		s.LinkMbps = 5
 	}
 	f.start()
 	f.start()
-	f.document(3)
+	f.putDocument(3)
 	s := newServer(t, "i-1")
 	f.announce(f.daemons[1], s, "ready", 1)
-	f.serves(f.daemons[0], s)
+	f.waitServed(f.daemons[0], s)
 	for _, n := range []int{17 << 10, 100_000, 300_001} {
 		payload := strings.Repeat("x", n-1) + "y"
 		_, body := f.call(f.daemons[0], http.MethodPost, "/put/x", payload)
 		must.Eq(t, "from i-1", body)
-		_, got := s.last()
+		_, got := s.lastRequest()
 		must.True(t, payload == got)
 	}
-	// The caller has its answer before the gate gives the slot back.
+	// The caller has its response before the gate frees the slot.
 	f.eventually("no call holds a slot or room", func() bool { return f.daemons[1].inbound.InFlight() == 0 })
 }
--- a/internal/daemon/view_bench_test.go
+++ b/internal/daemon/view_bench_test.go
@@ -13,9 +13,9 @@
 	"github.com/crocuscross/crocuscross/spread"
 )
 
-// viewOf returns a view of n daemons in 6 availability zones and 2 services, of which one
-// has told something new for the i-th time.
-func viewOf(n, i int) *membership.View {
+// viewAfterUpdate returns a view of n daemons in 6 availability zones and 2 services after the i-th
+// update, which changed one member.
+func viewAfterUpdate(n, i int) *membership.View {
 	v := &membership.View{Members: make([]*membership.Member, n)}
 	for j := range n {
 		v.Members[j] = &membership.Member{
@@ -31,14 +31,15 @@
 	return v
 }
 
-// BenchmarkMemberNews measures what one member's news costs a daemon beyond membership: the
-// backend servers, the pools of the picker, the plan of spreading and the quota's fleet.
-func BenchmarkMemberNews(b *testing.B) {
+// BenchmarkMemberUpdate measures the cost to a daemon of an update of one member outside of package
+// membership: in the set of backend servers, the pools of the picker, the spread plan and the
+// quota.
+func BenchmarkMemberUpdate(b *testing.B) {
 	for _, n := range []int{64, 295, 910} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			views := make([]*membership.View, 16)
 			for i := range views {
-				views[i] = viewOf(n, i)
+				views[i] = viewAfterUpdate(n, i)
 			}
 			o := spread.DefaultOptions()
 			o.Host, o.AvailabilityZone = "sidecar-0000", "zone-0"
