--- a/internal/daemon/address_test.go
+++ b/internal/daemon/address_test.go
@@ -33,8 +33,8 @@
 	conn, err := dialFrom(own)(context.Background(), addrOf(ln))
 	must.NoError(t, err)
 	defer conn.Close()
-	seen, err := ln.Accept()
+	accepted, err := ln.Accept()
 	must.NoError(t, err)
-	defer seen.Close()
-	must.Eq(t, own, seen.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
+	defer accepted.Close()
+	must.Eq(t, own, accepted.RemoteAddr().(*net.TCPAddr).AddrPort().Addr())
 }
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -49,8 +49,6 @@
 	quotaOptions.Logger = d.logger
 	p.quota = quota.New(quotaOptions)
 	p.budgets = retry.NewBudgets(retry.BudgetOptions{Ratio: retryBudgetShare * d.settings.Retries.Ratio, Burst: d.settings.Retries.Extra})
-	// buildKeys builds the tables of idempotency keys. Keys chosen by callers require the
-	// platform's log and are disabled unless the settings enable them.
 	if err := p.buildKeys(d); err != nil {
 		return err
 	}
@@ -75,8 +73,8 @@
 	return nil
 }
 
-// buildKeys makes the tables of idempotency keys. Keys of callers' own making
-// need the platform's log and are off unless the settings ask for them.
+// buildKeys builds the tables of idempotency keys. Keys chosen by callers require the platform's
+// log and are disabled unless the settings enable them.
 func (p *components) buildKeys(d *Daemon) error {
 	o := once.DefaultKeyStoreOptions(d.settings.Host, d.boot)
 	o.Bounds.MaxRecords, o.Bounds.MaxBytes, o.MaxKeys = maxCallRecords, maxResponseBytes, maxIssuedKeys
@@ -164,7 +162,8 @@
 	return peerNotice
 }
 
-// kilobyteCost returns the cost of 1,000 bytes sent to another availability zone, as a duration.
+// kilobyteCost returns the cost of 1,000 bytes sent to another availability zone, as a duration for
+// a latency objective of 1 s.
 func (d *Daemon) kilobyteCost() time.Duration {
 	if d.isDisabled(settings.WithoutLocality) {
 		return 0
--- a/internal/daemon/crash_test.go
+++ b/internal/daemon/crash_test.go
@@ -19,8 +19,8 @@
 // crashPath is the path of requests that crash each server that begins to run them.
 const crashPath = "/get/deadly"
 
-// maxArrivalsAfterCrashes is how many times a request may reach a server after it has crashed
-// three.
+// maxArrivalsAfterCrashes is how many times a request may still reach a server after it has crashed
+// three servers.
 const maxArrivalsAfterCrashes = 3
 
 // crashServer is a backend server that crashes when it receives a request for crashPath. After a
@@ -147,11 +147,11 @@
 }
 
 // Guards against a request that crashes every backend server that runs it, and that its caller
-// repeats at another daemon after each failure. Without a record of the requests that were in
-// progress when a server ended, each daemon treats a repeat as a new request and sends it to a
-// healthy server: 20 repeats ended 20 servers, and requests of other callers were rejected while
-// these were down. The request is identified by its identity, the only one in progress at the end
-// of every server.
+// repeats at another daemon after each failure. Without a record of the requests in progress when a
+// server ended, each daemon treats a repeat as a new request, to which no limit within a call or a
+// daemon applies, and sends it to a healthy server: 20 repeats ended 20 servers, and requests of
+// other callers were rejected while these were down. The gates can recognize the request: its
+// identity, and no other one, is in progress at the end of every server.
 func TestStore_RequestThatEndsItsServersIsStopped(t *testing.T) {
 	f := newStoreFleet(t, 6)
 	f.putDocument(3)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -184,19 +184,19 @@
 // connections from callers, and then waits for the requests in flight. Meanwhile, responses ask
 // callers to close their keep-alive connections.
 func (d *Daemon) drain(reason string) {
-	until, done := context.WithTimeout(context.Background(), drainTimeout(d.currentSettings().Drain))
-	defer done()
+	drainCtx, cancelDrain := context.WithTimeout(context.Background(), drainTimeout(d.currentSettings().Drain))
+	defer cancelDrain()
 	d.lifecycle.Drain(reason)
 	d.callers.Drain()
-	d.lifecycle.WaitGracePeriod(until)
+	d.lifecycle.WaitGracePeriod(drainCtx)
 	d.ln.drainableCallers.StopAccepting()
 	d.waitLinger()
-	if d.callers.Shutdown(until) != nil {
+	if d.callers.Shutdown(drainCtx) != nil {
 		d.cancelRemainingCalls()
 	}
-	left := d.lifecycle.Wait(until)
-	if left > 0 {
-		d.logger.Warn("daemon: requests cut off by the drain timeout", "requests", left)
+	remaining := d.lifecycle.Wait(drainCtx)
+	if remaining > 0 {
+		d.logger.Warn("daemon: requests cut off by the drain timeout", "requests", remaining)
 	}
 	d.shutdownCallers()
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
@@ -214,7 +214,7 @@
 	defer cancel()
 	d.outbound.CancelCalls()
 	if d.callers.Shutdown(ctx) != nil {
-		d.logger.Warn("daemon: callers' connections cut off", "connections", d.callers.OpenConns())
+		d.logger.Warn("daemon: callers' connections closed with requests in progress", "connections", d.callers.OpenConns())
 	}
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -345,7 +345,7 @@
 }
 
 // Guards against requests that keep running on the backend server after their caller has canceled
-// them.
+// them, which the cancel chunk between the daemons and the check for it prevent.
 func TestDaemon_CancellationReachesTheBackendServer(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
 	f := newFleetWithBackend(t, 2, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/daemon/drainable_listener.go
+++ b/internal/daemon/drainable_listener.go
@@ -39,7 +39,7 @@
 	})
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. It unblocks an Accept that waits after StopAccepting.
 func (d *drainableListener) Close() error {
 	d.closeOnce.Do(func() { close(d.closed) })
 	return d.Listener.Close()
--- a/internal/daemon/link_test.go
+++ b/internal/daemon/link_test.go
@@ -192,9 +192,8 @@
 		_, body := f.call(f.daemons[0], http.MethodPost, "/put/x", strings.Repeat("x", 100<<10))
 		done <- body
 	}()
-	// A slot may still be held for a moment by the call before.
+	// The previous call may still hold a slot briefly.
 	f.eventually("the body is in transit without a slot", func() bool {
-		// The previous call may still hold a slot briefly.
 		h := f.daemons[1].inbound
 		return h.InFlight() == 1 && h.Load().InUse == 0
 	})
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -23,8 +23,12 @@
 const (
 	// operatorWriteTimeout is above the longest wait that an operator's request can ask for.
 	operatorWriteTimeout = 2 * time.Minute
-	callerIdleTimeout    = 2 * time.Minute
-	localRequestTimeout  = 10 * time.Second
+	// callerIdleTimeout is how long a caller's connection without a request is kept open, unless the
+	// document in force sets another time.
+	callerIdleTimeout = 2 * time.Minute
+	// localRequestTimeout bounds the reads of requests from operators and backend servers, and the
+	// writes of responses to backend servers.
+	localRequestTimeout = 10 * time.Second
 
 	// listenerCallers is the listener label of input from callers.
 	listenerCallers = "callers"
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -167,10 +167,6 @@
 func (p recoveryPeers) Ask(ctx context.Context) recovery.PeerAnswers {
 	others := p.otherMembers()
 	result := recovery.PeerAnswers{Known: len(others)}
-	// selectPeers selects the daemons to query: half of them in the availability zone of this
-	// daemon, and in each half live members before others and fast links before slow ones, except
-	// for one member drawn at random. Hosts with fast links are the first to have a configuration
-	// after a power loss, and can send it to many others.
 	queried := p.selectPeers(others)
 	answers := make(chan *recovery.PeerAnswer, len(queried))
 	ctx, cancel := context.WithCancel(ctx)
@@ -200,9 +196,10 @@
 	return result
 }
 
-// selectPeers draws the daemons to ask: half of them neighbours, those that are alive first, and
-// most of either half with the widest links: they have a configuration first after a loss of
-// power, and bear to hand it to many.
+// selectPeers selects the daemons to query: half of them in the availability zone of this daemon,
+// and in each half live members before others and fast links before slow ones, except for one
+// member drawn at random. Hosts with fast links are the first to have a configuration after a power
+// loss, and can send it to many others. It reorders others.
 func (p recoveryPeers) selectPeers(others []*membership.Member) []*membership.Member {
 	rand.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	slices.SortStableFunc(others, func(a, b *membership.Member) int {
--- a/internal/daemon/rollout_test.go
+++ b/internal/daemon/rollout_test.go
@@ -41,7 +41,7 @@
 
 // newRolloutFleet returns six daemons with three servers of each version and starts a rollout to
 // the new one, whose servers answer with status.
-func newRolloutFleet(t *testing.T, status int) (f *storeFleet, old, fresh []*versionServer) {
+func newRolloutFleet(t *testing.T, status int) (f *storeFleet, old, newServers []*versionServer) {
 	f = newStoreFleet(t, 6)
 	f.putDocument(3)
 	for i := range 3 {
@@ -54,10 +54,10 @@
 	})
 	f.store.PutRollout("signs", "v2", 8)
 	for i := range 3 {
-		fresh = append(fresh, newVersionServer(t, fmt.Sprint("new-", i), "v2", status))
-		f.announceVersion(f.daemons[3+i], fresh[i])
+		newServers = append(newServers, newVersionServer(t, fmt.Sprint("new-", i), "v2", status))
+		f.announceVersion(f.daemons[3+i], newServers[i])
 	}
-	return f, old, fresh
+	return f, old, newServers
 }
 
 // callUntil sends calls through all daemons in turn until the rollout status in the store contains
@@ -93,33 +93,33 @@
 
 // Guards against a version that fails its calls and continues to receive them.
 func TestStore_FailingVersionIsRolledBack(t *testing.T) {
-	f, old, fresh := newRolloutFleet(t, http.StatusInternalServerError)
+	f, old, newServers := newRolloutFleet(t, http.StatusInternalServerError)
 	calls := f.callUntil("rolled_back")
 	f.eventually("the new servers' gates are closed", f.newGatesClosed)
-	exposed := totalRuns(fresh)
+	exposed := totalRuns(newServers)
 	must.LessEq(t, float64(calls)/10+50, float64(exposed))
 	must.Greater(t, 0, totalRuns(old))
 	for i := range 30 {
 		resp, _ := f.call(f.daemons[i%6], http.MethodGet, "/get/x", "")
 		must.Eq(t, http.StatusOK, resp.StatusCode)
 	}
-	must.Eq(t, exposed, totalRuns(fresh))
+	must.Eq(t, exposed, totalRuns(newServers))
 }
 
 // Guards against a good version that does not receive all calls in time, and against calls to the
 // old version after the operator was informed that it may be stopped.
 func TestStore_GoodVersionSucceeds(t *testing.T) {
-	f, old, fresh := newRolloutFleet(t, http.StatusOK)
-	begun := time.Now()
+	f, old, newServers := newRolloutFleet(t, http.StatusOK)
+	start := time.Now()
 	f.callUntil("succeeded")
-	t.Logf("status reported after %v", time.Since(begun))
+	t.Logf("status reported after %v", time.Since(start))
 	before := totalRuns(old)
 	for i := range 30 {
 		resp, _ := f.call(f.daemons[i%6], http.MethodGet, "/get/x", "")
 		must.Eq(t, http.StatusOK, resp.StatusCode)
 	}
 	must.Eq(t, before, totalRuns(old))
-	must.Greater(t, 0, totalRuns(fresh))
+	must.Greater(t, 0, totalRuns(newServers))
 	must.Eq(t, `{"state":"succeeded","to_version":"v2"}`, f.store.RolloutStatus("signs"))
 }
 
@@ -129,8 +129,8 @@
 	f.t.Helper()
 	f.stopAll()
 	d := f.start()
-	fresh := newVersionServer(f.t, "new", "v2", http.StatusOK)
-	f.announceVersion(d, fresh)
+	lateServer := newVersionServer(f.t, "new", "v2", http.StatusOK)
+	f.announceVersion(d, lateServer)
 	f.eventually("the outcome of the rollout is known", func() bool {
 		withheld := d.board.Withheld.Load()
 		return withheld != nil && *withheld
@@ -139,7 +139,7 @@
 		resp, _ := f.call(d, http.MethodGet, "/get/x", "")
 		must.Eq(f.t, http.StatusServiceUnavailable, resp.StatusCode)
 	}
-	must.Eq(f.t, 0, fresh.runs.Load())
+	must.Eq(f.t, 0, lateServer.runs.Load())
 }
 
 // Guards against a rollout that was rolled back and starts again after the loss of all daemons.
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -51,8 +51,8 @@
 
 // A host starts while others are running, as hundreds do during maintenance of the fleet. Each call
 // to the store has a cost, and the document would arrive over a slow link, although other daemons
-// have it. Each round of joins must therefore read the contacts once, and nothing may read the
-// document.
+// have it. Guards against a start that reads the contacts twice and the newest document: each round
+// of joins must read the contacts once, and nothing may read the document.
 func TestStore_StartBesideLiveDaemonsReadsContactsOnce(t *testing.T) {
 	f := newStoreFleet(t, 5)
 	f.putDocument(3)
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -102,11 +102,10 @@
 // announce announces a server to a daemon and returns the HTTP status.
 func (f *storeFleet) announce(d *testDaemon, s *server, state string, sequence int) int {
 	f.t.Helper()
-	// announceAs is announce for a server of a version.
 	return f.announceAs(d, s, "v1", state, sequence)
 }
 
-// announceAs is announce for a server of a version.
+// announceAs is like announce, for a server of the given version.
 func (f *storeFleet) announceAs(d *testDaemon, s *server, version, state string, sequence int) int {
 	f.t.Helper()
 	body := fmt.Sprintf(`{"service":"signs","address":%q,"availability_zone":"z","version":%q,"slots":4,"state":%q,"warm_up_ms":0,"sequence":%d}`,
@@ -176,16 +175,16 @@
 	must.Eq(t, "from i-1", body)
 	must.Eq(t, "signed", resp.Header.Get(names.Signature))
 	must.Eq(t, "id-1", resp.Header.Get(names.RequestID))
-	seen, got := s.lastRequest()
+	received, got := s.lastRequest()
 	must.Eq(t, payload, got)
-	must.Eq(t, "/put/a%2Fb?c=%20", seen.RequestURI)
-	must.Eq(t, "h.example", seen.Host)
-	must.Eq(t, "service-of-host-0", seen.Header.Get(names.CallerService))
-	must.Eq(t, "i-1", seen.Header.Get(names.ExpectedServer))
-	var left int
-	_, err := fmt.Sscan(seen.Header.Get(names.Remaining), &left)
+	must.Eq(t, "/put/a%2Fb?c=%20", received.RequestURI)
+	must.Eq(t, "h.example", received.Host)
+	must.Eq(t, "service-of-host-0", received.Header.Get(names.CallerService))
+	must.Eq(t, "i-1", received.Header.Get(names.ExpectedServer))
+	var remaining int
+	_, err := fmt.Sscan(received.Header.Get(names.Remaining), &remaining)
 	must.NoError(t, err)
-	must.Between(t, 1, left, 3000)
+	must.Between(t, 1, remaining, 3000)
 	resp, _ = f.call(f.daemons[0], http.MethodGet, "/none/", "")
 	must.Eq(t, http.StatusNotFound, resp.StatusCode)
 }
