--- a/internal/daemon/exchange.go
+++ b/internal/daemon/exchange.go
@@ -15,8 +15,8 @@
 	"github.com/crocuscross/crocuscross/rollout/rolloutpb"
 )
 
-// exchangeTimeout bounds how long a daemon that opened a unary exchange may take to send its
-// request and receive the response.
+// exchangeTimeout bounds a unary exchange that another daemon has opened: the receipt of its request
+// and the sending of the response.
 const exchangeTimeout = 5 * time.Second
 
 // registerHandlers registers the handler of each kind of exchange.
--- a/internal/daemon/listeners.go
+++ b/internal/daemon/listeners.go
@@ -113,8 +113,8 @@
 	return pipeline.NewServer(o)
 }
 
-// callerLimits returns the limits of the document in force. Limits that it does not set are those
-// of the settings.
+// callerLimits returns the limits of the document in force. For limits that it does not set, the
+// settings apply, and callerIdleTimeout for idle connections.
 func (d *Daemon) callerLimits() pipeline.Limits {
 	r := d.settings.Requests
 	l := pipeline.Limits{
