--- a/cmd/crocuscross/main.go
+++ b/cmd/crocuscross/main.go
@@ -1,5 +1,5 @@
-// Command crocuscross is the daemon beside each backend server and the
-// operators' command line.
+// Command crocuscross runs the sidecar daemon of a backend server and provides the command line for
+// operators.
 package main
 
 import (
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: it picks the command, runs it and turns its
-// error into an exit status.
+// Package cli implements the command line: it parses the arguments, runs the selected command and
+// maps its error to an exit status.
 package cli
 
 import (
@@ -24,18 +24,19 @@
 
 const (
 	name = "crocuscross"
-	help = "Daemon beside each backend server, and the operators' command line."
+	help = "Sidecar daemon of a backend server, and the command line for operators."
 )
 
-// usageTemplate adds a command's examples, or the exit statuses, to the
-// library's help.
+// usageTemplate extends kingpin's help by the examples of the selected command, or by the exit
+// statuses if no command is selected.
 var usageTemplate = kingpin.DefaultUsageTemplate +
 	`{{if .Context.SelectedCommand}}{{.Context.SelectedCommand.HelpLong}}{{else}}` + command.Meanings + `{{end}}`
 
-// terminated ends the run when the library has printed help or a completion.
+// terminated is the value of the panic that returns control to Run after kingpin has printed help
+// or a completion.
 type terminated struct{ status int }
 
-// Run runs the command that args name and returns the exit status.
+// Run runs the command that args select and returns the exit status.
 func Run(ctx context.Context, args []string, stdout, stderr io.Writer) (status command.Status) {
 	defer func() {
 		switch t := recover().(type) {
@@ -68,8 +69,8 @@
 	return app
 }
 
-// exitStatus prints an error that has not been told yet. What the library
-// itself complains of are wrong arguments.
+// exitStatus returns the exit status for err and prints err, unless the command has already printed
+// the failure. An error without an ExitError comes from kingpin and means invalid arguments.
 func exitStatus(err error, stderr io.Writer) command.Status {
 	if err == nil {
 		return command.StatusOK
@@ -84,8 +85,8 @@
 	return exit.Status
 }
 
-// expandWait gives --wait its value. The library takes a flag either with a
-// value always or with none ever.
+// expandWait adds the default value to a --wait without a value. A kingpin flag either always
+// requires a value or never accepts one.
 func expandWait(args []string) []string {
 	expanded := make([]string, 0, len(args))
 	for _, a := range args {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -33,7 +33,7 @@
 
 const examples = "../../examples/"
 
-// run runs one command line.
+// run runs one command line and returns its exit status and output.
 func run(t *testing.T, args ...string) (status command.Status, stdout, stderr string) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -41,7 +41,7 @@
 	return status, out.String(), errOut.String()
 }
 
-// expect runs one command line and returns its output.
+// expect runs one command line, checks its exit status and returns its stdout and stderr.
 func expect(t *testing.T, want command.Status, args ...string) string {
 	t.Helper()
 	status, out, errOut := run(t, args...)
@@ -56,7 +56,8 @@
 	return log, srv.URL
 }
 
-// fixedFleet has one daemon that is up to date and one that lags.
+// fixedFleet reports one daemon that is up to date and one that lags. Versions up to offset converge
+// at once. A drain fails if it names an availability zone.
 type fixedFleet struct{ offset uint64 }
 
 func (f *fixedFleet) Self() *peerpb.StatusAnswer { return &peerpb.StatusAnswer{Host: "a"} }
@@ -94,8 +95,8 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// Both example deployments are published from the files as they are, then
-// revised, listed and told.
+// The files of both example deployments must be accepted unchanged, and the resources must appear in
+// the list and in the history.
 func TestExamplesArePublished(t *testing.T) {
 	for _, name := range []string{"association", "waterrecords"} {
 		t.Run(name, func(t *testing.T) {
@@ -152,10 +153,10 @@
 	must.StrContains(t, out, "nothing was published")
 }
 
-// The operator's time ends while an append is held in the platform. The exit
-// status says "unknown" and the output names the id for the repeat, which then
-// tells the truth.
-func TestUnknownOutcomeNamesTheRepeat(t *testing.T) {
+// The platform loses the append requests until --timeout expires, so the outcome is unknown. The exit
+// status must say so and the output must contain the publish ID; the repeat with this ID must return
+// the outcome.
+func TestUnknownOutcomePrintsPublishID(t *testing.T) {
 	log, url := startPlatform(t)
 	log.LoseRequests(1000)
 	publish := []string{"contract", "publish", examples + "association/services.jsonc", "--platform", url, "--timeout", "1s"}
@@ -176,7 +177,7 @@
 	must.StrContains(t, expect(t, command.StatusFailed, "drain", "zone", "z", "--daemon", addr), "z: not asked: timeout")
 }
 
-// Each command's help must show how it is called.
+// The help of each command must contain an example.
 func TestHelpHasAnExample(t *testing.T) {
 	for _, c := range []string{
 		"daemon", "contract validate", "contract publish", "contract get", "contract list", "contract history",
@@ -188,9 +189,9 @@
 	must.StrContains(t, expect(t, command.StatusOK, "--help"), "Exit status:")
 }
 
-// The log no longer holds the first records. The command line goes on from the
-// state of a daemon or from the checkpoint that one wrote, and history tells
-// what is left. Without either it says what is missing.
+// The first records of the log have expired. The commands must start from a daemon's state or from a
+// checkpoint, and the history must show the remaining records. With neither, the error must say that
+// no checkpoint covers the expired records.
 func TestExpiredRecordsAreCoveredByACheckpoint(t *testing.T) {
 	log, url := startPlatform(t)
 	for _, file := range []string{"services", "contracts"} {
--- a/internal/cli/command/connect.go
+++ b/internal/cli/command/connect.go
@@ -16,51 +16,53 @@
 	"github.com/crocuscross/crocuscross/internal/operator"
 )
 
-// Environment variables that stand in for the flags.
+// Environment variables that set --platform and --daemon if the flags are absent.
 const (
 	envPlatform = "CROCUSCROSS_PLATFORM"
 	envDaemon   = "CROCUSCROSS_DAEMON"
 )
 
-// Connect holds the ways to the platform and to a daemon.
+// Connect holds the flags with which a command connects to the platform's log service and to a
+// daemon.
 type Connect struct {
 	platformURL string
 	daemonAddr  string
 	timeout     time.Duration
 }
 
-// PlatformFlag adds --platform.
+// PlatformFlag adds the flag --platform, the URL of the platform's log service.
 func (c *Connect) PlatformFlag(cmd *kingpin.CmdClause) {
 	cmd.Flag("platform", "URL of the platform's log service.").
 		Envar(envPlatform).PlaceHolder("URL").StringVar(&c.platformURL)
 }
 
-// DaemonFlag adds --daemon.
+// DaemonFlag adds the flag --daemon, the address of a daemon's operator listener.
 func (c *Connect) DaemonFlag(cmd *kingpin.CmdClause) {
 	cmd.Flag("daemon", "Operator listener of any daemon.").
 		Envar(envDaemon).PlaceHolder("IP:PORT").StringVar(&c.daemonAddr)
 }
 
-// TimeoutFlag adds --timeout.
+// TimeoutFlag adds the flag --timeout with the default def, a duration such as "30s".
 func (c *Connect) TimeoutFlag(cmd *kingpin.CmdClause, def string) {
-	cmd.Flag("timeout", "How long the command may take.").Default(def).DurationVar(&c.timeout)
+	cmd.Flag("timeout", "Time limit of the command.").Default(def).DurationVar(&c.timeout)
 }
 
-// WithTimeout bounds a context by --timeout.
+// WithTimeout returns a copy of ctx that expires after the duration of --timeout.
 func (c *Connect) WithTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, c.timeout)
 }
 
-// HasPlatform reports whether the platform was named.
+// HasPlatform reports whether the URL of the platform's log service is set.
 func (c *Connect) HasPlatform() bool { return c.platformURL != "" }
 
-// HasDaemon reports whether a daemon was named.
+// HasDaemon reports whether the address of a daemon is set.
 func (c *Connect) HasDaemon() bool { return c.daemonAddr != "" }
 
-// Reader reads the configuration stream.
+// Reader returns a reader of the configuration stream. Without the platform's URL it returns an
+// error with StatusBadInput.
 func (c *Connect) Reader() (*configlog.Reader, error) {
 	if c.platformURL == "" {
-		return nil, Exitf(StatusBadInput, "name the platform's log service with --platform or $%s", envPlatform)
+		return nil, Exitf(StatusBadInput, "the URL of the platform's log service is not set; use --platform or $%s", envPlatform)
 	}
 	client := httplog.New(httplog.DefaultOptions(c.platformURL))
 	return &configlog.Reader{
@@ -69,10 +71,10 @@
 	}, nil
 }
 
-// checkpoint starts the fold at the newest checkpoint. Without one it starts at
-// the state of the daemon, if one was named: after an outage longer than the
-// retention the daemons may be the only ones who still know it. Otherwise it
-// starts at the log's first record.
+// checkpoint returns a function that loads the state from which the fold starts: the newest
+// checkpoint in log. If there is none, it is the state of the daemon, if a daemon is set and returns
+// it: after an outage longer than the log's retention, only the daemons may still hold the
+// configuration. Otherwise it is the empty state, and the fold starts at the log's first record.
 func (c *Connect) checkpoint(log eventlog.Log) configlog.Checkpoint {
 	return func(ctx context.Context) (*fold.State, error) {
 		st, err := checkpoint.Latest(ctx, log)
@@ -88,22 +90,23 @@
 	}
 }
 
-// Daemon returns a client of a daemon's operator listener.
+// Daemon returns a client of the daemon's operator listener. Without the daemon's address it returns
+// an error with StatusBadInput.
 func (c *Connect) Daemon() (*operator.Client, error) {
 	if c.daemonAddr == "" {
-		return nil, Exitf(StatusBadInput, "name a daemon's operator listener with --daemon or $%s", envDaemon)
+		return nil, Exitf(StatusBadInput, "the address of a daemon's operator listener is not set; use --daemon or $%s", envDaemon)
 	}
 	return operator.NewClient(c.daemonAddr), nil
 }
 
-// State returns the configuration: from the daemon if one was named, or else
-// folded from the log.
+// State returns the configuration: the daemon's state if a daemon is set, otherwise the state folded
+// from the platform's log. If neither is set, it returns an error with StatusBadInput.
 func (c *Connect) State(ctx context.Context) (*fold.State, error) {
 	if c.HasDaemon() {
 		return c.daemonState(ctx)
 	}
 	if !c.HasPlatform() {
-		return nil, Exitf(StatusBadInput, "name a daemon with --daemon or the platform with --platform")
+		return nil, Exitf(StatusBadInput, "neither a daemon nor the platform is set; use --daemon or --platform")
 	}
 	r, err := c.Reader()
 	if err != nil {
@@ -118,10 +121,11 @@
 		return nil, err
 	}
 	st, err := fold.Decode(m)
-	return st, errors.Wrap(err, "daemon's state")
+	return st, errors.Wrap(err, "decode the daemon's state")
 }
 
-// Verdict asks the daemon what became of a publish.
+// Verdict returns the verdict on a publish from the daemon's state. The bool is false if the state
+// holds no verdict with this publish ID.
 func (c *Connect) Verdict(ctx context.Context, publishID string) (fold.Verdict, bool, error) {
 	st, err := c.daemonState(ctx)
 	if err != nil {
@@ -131,7 +135,8 @@
 	return v, ok, nil
 }
 
-// Explain returns err with a hint for the operator where there is one.
+// Explain adds a hint for the operator to an error that has a known remedy and returns any other
+// error unchanged.
 func Explain(err error) error {
 	var truncated *eventlog.TruncatedError
 	var rule *fold.UnknownRuleError
@@ -139,9 +144,9 @@
 	case errors.As(err, &rule):
 		return errors.Wrap(err, "this program is too old for the log; use the version that the daemons run")
 	case errors.As(err, &truncated):
-		return errors.Wrap(err, "the log no longer holds the start and no checkpoint covers it; name a daemon with --daemon")
+		return errors.Wrap(err, "the start of the log has expired and no checkpoint covers it; set a daemon with --daemon")
 	case errkind.Of(err) == errkind.NotReady:
-		return errors.Wrap(err, "ask another daemon, or the log with --platform")
+		return errors.Wrap(err, "use another daemon, or read the log with --platform")
 	}
 	return err
 }
--- a/internal/cli/command/env.go
+++ b/internal/cli/command/env.go
@@ -13,32 +13,33 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Forms of output.
+// Values of --output.
 const (
 	outputTable = "table"
 	outputJSON  = "json"
 )
 
-// Env is what a command runs in.
+// Env holds the context, the output streams and the output format of a command.
 type Env struct {
 	// Context ends when the operator interrupts the program.
 	Context context.Context
 	Stdout  io.Writer
 	Stderr  io.Writer
-	output  string
+	// output is the value of --output.
+	output string
 }
 
-// AddFlags adds the flags that all commands have.
+// AddFlags adds the flags that all commands share.
 func (e *Env) AddFlags(app *kingpin.Application) {
-	app.Flag("output", "Form of the output: table for people, json for programs.").
+	app.Flag("output", "Output format: table for people, json for programs.").
 		Short('o').Default(outputTable).EnumVar(&e.output, outputTable, outputJSON)
 }
 
-// Print writes v as JSON if the operator asked for it, and calls human
-// otherwise.
-func (e *Env) Print(v any, human func(w io.Writer)) error {
+// Print writes v to Stdout as indented JSON if --output is json. Otherwise it calls writeText with
+// Stdout.
+func (e *Env) Print(v any, writeText func(w io.Writer)) error {
 	if e.output != outputJSON {
-		human(e.Stdout)
+		writeText(e.Stdout)
 		return nil
 	}
 	enc := json.NewEncoder(e.Stdout)
@@ -47,10 +48,10 @@
 	return errors.Wrap(enc.Encode(v), "write output")
 }
 
-// Row is one row of a table.
+// Row holds the cells of one table row.
 type Row []string
 
-// Table writes rows under a header, aligned.
+// Table writes the header and the rows to w in aligned columns.
 func Table(w io.Writer, header Row, rows []Row) {
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	for _, r := range append([]Row{header}, rows...) {
@@ -59,7 +60,7 @@
 	_ = tw.Flush()
 }
 
-// Or returns s, or a dash for an empty cell.
+// Or returns s, or a dash if s is empty.
 func Or(s string) string {
 	if s == "" {
 		return "-"
@@ -67,8 +68,8 @@
 	return s
 }
 
-// Duration formats milliseconds for people: to the ms below ten seconds and to
-// the second above.
+// Duration formats a number of ms as a duration such as "1.5s", rounded to the second from ten
+// seconds on.
 func Duration(ms uint64) string {
 	d := time.Duration(ms) * time.Millisecond
 	if d >= 10*time.Second {
--- a/internal/cli/command/example.go
+++ b/internal/cli/command/example.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Example formats a command's examples for its --help.
+// Example formats example command lines for the --help of a command.
 func Example(lines ...string) string {
 	return "Example:\n  " + strings.Join(lines, "\n  ") + "\n"
 }
--- a/internal/cli/command/exit.go
+++ b/internal/cli/command/exit.go
@@ -1,5 +1,5 @@
-// Package command holds what the commands of the command line share: exit
-// statuses, output, and the ways to the platform and to a daemon.
+// Package command holds what the commands of the command line share: exit statuses, output formats,
+// and the connections to the platform's log service and to a daemon.
 package command
 
 import (
@@ -12,8 +12,7 @@
 // Status is the exit status of the program.
 type Status int
 
-// The exit statuses. Scripts rely on them; they are listed in --help and in the
-// README.
+// Exit statuses. Scripts rely on these values; --help and the README list them.
 const (
 	StatusOK           Status = 0
 	StatusFailed       Status = 1
@@ -23,7 +22,7 @@
 	StatusNotConverged Status = 5
 )
 
-// Meanings lists the exit statuses for people.
+// Meanings is the section of --help that lists the exit statuses.
 const Meanings = `Exit status:
   0  done
   1  failed; a publish that fails has published nothing
@@ -33,23 +32,23 @@
   5  the publish was accepted and is not yet in force on every live daemon
 `
 
-// ExitError is an error with the status that the program exits with.
+// ExitError is an error that carries the exit status of the program.
 type ExitError struct {
 	Status Status
-	// cause is nil where the command has already told all.
+	// cause is nil if the command has already printed the failure.
 	cause error
 }
 
-// Exit returns an error that ends the program with a status. err is printed; it
-// may be nil.
+// Exit returns an error that ends the program with the given status. err is printed to standard
+// error; with a nil err nothing is printed.
 func Exit(status Status, err error) *ExitError { return &ExitError{Status: status, cause: err} }
 
-// Exitf is Exit with a text.
+// Exitf is like Exit, with an error from a format string.
 func Exitf(status Status, format string, args ...any) *ExitError {
 	return Exit(status, errors.Newf(format, args...))
 }
 
-// Error returns the cause's text.
+// Error returns the message of the cause, or the exit status if there is no cause.
 func (e *ExitError) Error() string {
 	if e.cause == nil {
 		return fmt.Sprintf("exit status %d", e.Status)
@@ -57,15 +56,14 @@
 	return e.cause.Error()
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the cause, which may be nil.
 func (e *ExitError) Unwrap() error { return e.cause }
 
-// Silent reports whether the command has already told all.
+// Silent reports whether the command has already printed the failure.
 func (e *ExitError) Silent() bool { return e.cause == nil }
 
-// Action adapts a command's function for the library. Whatever error carries no
-// status of its own is a failure; only the library's own errors, which do not
-// pass here, are wrong arguments.
+// Action adapts a command's function to kingpin. An error without an ExitError gets StatusFailed.
+// kingpin's own errors, which mean invalid arguments, do not pass through Action.
 func Action(run func() error) kingpin.Action {
 	return func(*kingpin.ParseContext) error {
 		err := run()
--- a/internal/cli/contractcmd/contract.go
+++ b/internal/cli/contractcmd/contract.go
@@ -1,4 +1,4 @@
-// Package contractcmd is the command "contract": validate, publish and look at
+// Package contractcmd implements the command "contract", which validates, publishes and shows
 // contracts, routes and services.
 package contractcmd
 
@@ -8,9 +8,9 @@
 	"github.com/crocuscross/crocuscross/internal/cli/command"
 )
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
-	cmd := app.Command("contract", "Publish and look at contracts, and the routes and services that they need.")
+	cmd := app.Command("contract", "Publish and show contracts, and the routes and services that they need.")
 	registerValidate(cmd, env)
 	registerPublish(cmd, env)
 	registerGet(cmd, env)
--- a/internal/cli/contractcmd/history.go
+++ b/internal/cli/contractcmd/history.go
@@ -20,8 +20,8 @@
 		"crocuscross contract history --platform http://10.1.0.1:7300",
 		"crocuscross contract history garage-7 --limit 5 --platform http://10.1.0.1:7300"))
 	connect, filter := &command.Connect{}, &history.Filter{}
-	cmd.Arg("name", "Only changes of resources of this name.").StringVar(&filter.Name)
-	cmd.Flag("limit", "Latest records to show; 0 shows all.").Default("20").IntVar(&filter.Limit)
+	cmd.Arg("name", "Show only changes of resources with this name.").StringVar(&filter.Name)
+	cmd.Flag("limit", "Number of latest records to show; 0 shows all.").Default("20").IntVar(&filter.Limit)
 	connect.PlatformFlag(cmd)
 	connect.TimeoutFlag(cmd, "30s")
 	cmd.Action(command.Action(func() error { return show(env, connect, *filter) }))
@@ -37,7 +37,7 @@
 	st, err := reader.Load(ctx)
 	var rule *fold.UnknownRuleError
 	if errors.As(err, &rule) {
-		// The records up to there can be told all the same.
+		// The records before the one with the unknown rule can still be shown.
 		fmt.Fprintln(env.Stderr, "crocuscross: "+command.Explain(err).Error())
 		err = nil
 	}
@@ -68,8 +68,8 @@
 	return string(it.Verdict)
 }
 
-// changes lists the changes of an accepted record, and of another one the
-// reasons too.
+// changes lists the changes of a record, followed by the reasons for its verdict if there are any,
+// or returns a dash.
 func changes(it history.Item) string {
 	var parts []string
 	for _, c := range it.Changes {
--- a/internal/cli/contractcmd/list.go
+++ b/internal/cli/contractcmd/list.go
@@ -20,10 +20,11 @@
 
 const kindAll = "all"
 
-// kinds in the order in which they are listed.
+// kinds holds the resource kinds in the order in which they are listed.
 var kinds = []fold.ResourceKind{fold.KindService, fold.KindRoute, fold.KindContract}
 
-// item is one resource in force.
+// item is the JSON output for one resource in force. summary is a one-line description for the
+// table.
 type item struct {
 	Kind      string          `json:"kind"`
 	Name      string          `json:"name"`
@@ -108,7 +109,7 @@
 	}
 	e := st.Get(key)
 	if e == nil {
-		return command.Exitf(command.StatusFailed, "there is no %s at version %d", key, st.Offset)
+		return command.Exitf(command.StatusFailed, "%s does not exist at version %d", key, st.Offset)
 	}
 	it, err := itemOf(e)
 	if err != nil {
@@ -136,7 +137,7 @@
 	m, summary := content(e.Resource)
 	raw, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
 	if err != nil {
-		return item{}, errors.Wrapf(err, "%s", e.Key)
+		return item{}, errors.Wrapf(err, "marshal %s", e.Key)
 	}
 	return item{
 		Kind: e.Key.Kind.String(), Name: e.Key.Name, Revision: e.Revision, Author: e.Author,
@@ -144,7 +145,7 @@
 	}, nil
 }
 
-// content returns the message of a resource and one line about it.
+// content returns the message in a resource and a one-line summary of it.
 func content(r *configpb.Resource) (proto.Message, string) {
 	switch k := r.GetKind().(type) {
 	case *configpb.Resource_Route:
--- a/internal/cli/contractcmd/publish.go
+++ b/internal/cli/contractcmd/publish.go
@@ -17,11 +17,11 @@
 
 const (
 	replacesAuto = "auto"
-	// maxPublishIDBytes is what the fold takes.
+	// maxPublishIDBytes is the maximum length of a publish ID that the fold accepts.
 	maxPublishIDBytes = 64
 )
 
-// publishFlags is what the operator asked for.
+// publishFlags holds the argument and the flags of "contract publish".
 type publishFlags struct {
 	connect   command.Connect
 	path      string
@@ -31,7 +31,7 @@
 	wait      time.Duration
 }
 
-// publishResult is the output of "contract publish".
+// publishResult is the JSON output of "contract publish".
 type publishResult struct {
 	Outcome     publish.Outcome       `json:"outcome"`
 	PublishID   string                `json:"publish_id"`
@@ -41,17 +41,17 @@
 }
 
 func registerPublish(parent *kingpin.CmdClause, env *command.Env) {
-	cmd := parent.Command("publish", "Publish a file of changes and tell what became of it.")
+	cmd := parent.Command("publish", "Publish a file of changes and print the outcome.")
 	cmd.HelpLong(command.Example(
 		"crocuscross contract publish contracts.jsonc --platform http://10.1.0.1:7300",
 		"crocuscross contract publish contracts.jsonc --platform http://10.1.0.1:7300 --daemon 10.1.2.3:7401 --wait=4s"))
 	f := &publishFlags{}
 	cmd.Arg("file", "Publish file: JSON with comments.").Required().StringVar(&f.path)
-	cmd.Flag("replaces", "Revision that a change replaces if the file names none: a number, or auto for the one in force now. 0 means that the resource must not exist yet.").
+	cmd.Flag("replaces", "Revision that a change replaces if the file states none: a number, or auto for the revision now in force. 0 means that the resource must not exist yet.").
 		Default(replacesAuto).PlaceHolder("auto|N").StringVar(&f.replaces)
-	cmd.Flag("publish-id", "Repeat an earlier publish whose outcome was unknown.").PlaceHolder("ID").StringVar(&f.publishID)
-	cmd.Flag("author", "Author, if the file names none.").StringVar(&f.author)
-	cmd.Flag("wait", "Wait until in force on every live daemon and print the convergence time; needs --daemon. Without a value: 4s.").
+	cmd.Flag("publish-id", "Repeat the publish with this ID, whose outcome was unknown.").PlaceHolder("ID").StringVar(&f.publishID)
+	cmd.Flag("author", "Author, if the file states none.").StringVar(&f.author)
+	cmd.Flag("wait", "Wait until the publish is in force on every live daemon and print the convergence time; needs --daemon. Without a value: 4s.").
 		PlaceHolder("4s").DurationVar(&f.wait)
 	f.connect.PlatformFlag(cmd)
 	f.connect.DaemonFlag(cmd)
@@ -86,7 +86,8 @@
 	return f.end(env, result, waitErr)
 }
 
-// request checks the arguments and the file.
+// request reads the publish file and builds the request from it and the flags. An error means
+// invalid input.
 func (f *publishFlags) request() (publish.Request, error) {
 	req := publish.Request{PublishID: f.publishID, Repeat: f.publishID != ""}
 	file, err := bundle.ReadFile(f.path)
@@ -98,7 +99,7 @@
 		req.Author = f.author
 	}
 	if req.Author == "" {
-		return req, command.Exitf(command.StatusBadInput, "%s: author: is missing; name one in the file or with --author", f.path)
+		return req, command.Exitf(command.StatusBadInput, "%s: author: is missing; set it in the file or with --author", f.path)
 	}
 	if len(f.publishID) > maxPublishIDBytes {
 		return req, command.Exitf(command.StatusBadInput, "--publish-id has %d bytes; use at most %d", len(f.publishID), maxPublishIDBytes)
@@ -136,7 +137,9 @@
 	return p, nil
 }
 
-// converge waits until the revision is in force everywhere.
+// converge waits until the revision is in force on every live daemon, at most for the duration of
+// --wait, and stores the progress in result. began is the time from which convergence is measured.
+// Without --wait it does nothing.
 func (f *publishFlags) converge(ctx context.Context, result *publishResult, began time.Time) error {
 	if f.wait <= 0 {
 		return nil
@@ -152,7 +155,8 @@
 	return err
 }
 
-// end prints the result and turns it into an exit status.
+// end prints the result and returns the error with the matching exit status, or nil on success.
+// waitErr is the error of the wait for convergence.
 func (f *publishFlags) end(env *command.Env, r publishResult, waitErr error) error {
 	if err := env.Print(r, r.write); err != nil {
 		return err
--- a/internal/cli/contractcmd/validate.go
+++ b/internal/cli/contractcmd/validate.go
@@ -12,7 +12,7 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-// validateResult is the output of "contract validate".
+// validateResult is the JSON output of "contract validate".
 type validateResult struct {
 	File     string          `json:"file"`
 	Good     bool            `json:"good"`
@@ -21,7 +21,7 @@
 }
 
 func registerValidate(parent *kingpin.CmdClause, env *command.Env) {
-	cmd := parent.Command("validate", "Tell all that is wrong with a publish file, without publishing it.")
+	cmd := parent.Command("validate", "Report all problems of a publish file without publishing it.")
 	cmd.HelpLong(command.Example("crocuscross contract validate examples/association/contracts.jsonc"))
 	path := cmd.Arg("file", "Publish file: JSON with comments.").Required().String()
 	cmd.Action(command.Action(func() error { return validate(env, *path) }))
--- a/internal/cli/daemoncmd/daemon.go
+++ b/internal/cli/daemoncmd/daemon.go
@@ -1,4 +1,4 @@
-// Package daemoncmd is the command "daemon".
+// Package daemoncmd implements the command "daemon".
 package daemoncmd
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/crocuscross/crocuscross/internal/settings"
 )
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
-	cmd := app.Command("daemon", "Run the daemon beside a backend server until SIGTERM or SIGINT, then shut down gracefully.")
+	cmd := app.Command("daemon", "Run the sidecar daemon of a backend server until SIGTERM or SIGINT, then shut down gracefully.")
 	cmd.HelpLong(command.Example("crocuscross daemon --settings /etc/crocuscross/daemon.jsonc"))
 	path := cmd.Flag("settings", "Settings file: JSON with comments.").Required().PlaceHolder("FILE").String()
 	cmd.Action(command.Action(func() error {
--- a/internal/cli/draincmd/drain.go
+++ b/internal/cli/draincmd/drain.go
@@ -1,4 +1,4 @@
-// Package draincmd is the command "drain".
+// Package draincmd implements the command "drain".
 package draincmd
 
 import (
@@ -11,34 +11,34 @@
 	"github.com/crocuscross/crocuscross/internal/operator"
 )
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
-	cmd := app.Command("drain", "Begin a graceful shutdown: no new work, and calls in flight end.")
+	cmd := app.Command("drain", "Begin a graceful shutdown: accept no new work and finish the calls in flight.")
 	register(cmd, env, "host", "Drain one host.", "crocuscross drain host sign-feed-01 --daemon 10.1.2.3:7401",
-		func(ask *operator.DrainRequest) *string { return &ask.Host })
+		func(req *operator.DrainRequest) *string { return &req.Host })
 	register(cmd, env, "zone", "Drain all hosts of an availability zone.", "crocuscross drain zone boston --daemon 10.1.2.3:7401",
-		func(ask *operator.DrainRequest) *string { return &ask.Zone })
+		func(req *operator.DrainRequest) *string { return &req.Zone })
 }
 
 func register(parent *kingpin.CmdClause, env *command.Env, name, help, example string, target func(*operator.DrainRequest) *string) {
 	cmd := parent.Command(name, help)
 	cmd.HelpLong(command.Example(example))
-	connect, ask := &command.Connect{}, &operator.DrainRequest{}
-	cmd.Arg("name", "Name of the "+name+".").Required().StringVar(target(ask))
-	cmd.Flag("reason", "Why, for the daemons' logs.").StringVar(&ask.Reason)
+	connect, req := &command.Connect{}, &operator.DrainRequest{}
+	cmd.Arg("name", "Name of the "+name+".").Required().StringVar(target(req))
+	cmd.Flag("reason", "Reason, for the daemons' logs.").StringVar(&req.Reason)
 	connect.DaemonFlag(cmd)
 	connect.TimeoutFlag(cmd, "30s")
-	cmd.Action(command.Action(func() error { return drain(env, connect, *ask) }))
+	cmd.Action(command.Action(func() error { return drain(env, connect, *req) }))
 }
 
-func drain(env *command.Env, connect *command.Connect, ask operator.DrainRequest) error {
+func drain(env *command.Env, connect *command.Connect, req operator.DrainRequest) error {
 	client, err := connect.Daemon()
 	if err != nil {
 		return err
 	}
 	ctx, cancel := connect.WithTimeout(env.Context)
 	defer cancel()
-	answer, err := client.Drain(ctx, ask)
+	answer, err := client.Drain(ctx, req)
 	if err != nil {
 		return err
 	}
@@ -51,7 +51,7 @@
 		return err
 	}
 	if failed := countFailed(answer); failed > 0 {
-		return command.Exitf(command.StatusFailed, "%d of %d daemons did not take the request", failed, len(answer.Daemons))
+		return command.Exitf(command.StatusFailed, "%d of %d daemons did not accept the request", failed, len(answer.Daemons))
 	}
 	return nil
 }
--- a/internal/cli/explaincmd/explain.go
+++ b/internal/cli/explaincmd/explain.go
@@ -1,4 +1,4 @@
-// Package explaincmd is the command "explain".
+// Package explaincmd implements the command "explain".
 package explaincmd
 
 import (
@@ -14,30 +14,31 @@
 	"github.com/crocuscross/crocuscross/internal/explain"
 )
 
-// explanation is the output for programs.
+// explanation is the JSON output of --request.
 type explanation struct {
 	Request string   `json:"request"`
 	Verdict string   `json:"verdict"`
 	Lines   []string `json:"lines"`
-	// LostCalls tells of calls that the request's run may have made and that failed.
+	// LostCalls describes the failed calls that the backend server may have made while it worked
+	// on the request.
 	LostCalls []string `json:"lost_calls,omitempty"`
 }
 
-// summary is the output for programs of --summary.
+// summary is the JSON output of --summary.
 type summary struct {
 	Ends []explain.Count `json:"ends"`
 }
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
-	cmd := app.Command("explain", "Tell what became of a request, or of all, from the logs of daemons.")
+	cmd := app.Command("explain", "Explain the outcome of a request, or count the outcomes of all requests, from the logs of daemons.")
 	cmd.HelpLong(command.Example("crocuscross explain --request 9c41d07be2a35f68 /var/log/crocuscross/*.log"))
-	request := cmd.Flag("request", "The request's id.").String()
-	all := cmd.Flag("summary", "Count how all requests ended: by service, callers' or services' own, kind and reason.").Bool()
-	files := cmd.Arg("file", "Logs in JSON form, of any number of daemons.").Required().ExistingFiles()
+	request := cmd.Flag("request", "ID of the request to explain.").String()
+	all := cmd.Flag("summary", "Count the outcomes of all requests by service, origin (callers or services), kind and reason.").Bool()
+	files := cmd.Arg("file", "Log files in JSON format, from any number of daemons.").Required().ExistingFiles()
 	cmd.Action(command.Action(func() error {
 		if *all == (*request != "") {
-			return command.Exit(command.StatusBadInput, errors.New("give either --request or --summary"))
+			return command.Exit(command.StatusBadInput, errors.New("use either --request or --summary"))
 		}
 		if *all {
 			return summarize(env, *files)
@@ -46,7 +47,7 @@
 	}))
 }
 
-// explainOne tells what became of one request.
+// explainOne prints the log lines of one request and its outcome.
 func explainOne(env *command.Env, request string, files []string) error {
 	var lines []explain.Line
 	err := eachFile(files, func(r io.Reader) error {
@@ -76,7 +77,7 @@
 	}
 }
 
-// summarize counts how all requests ended.
+// summarize counts the outcomes of all requests and prints the counts.
 func summarize(env *command.Env, files []string) error {
 	var s explain.Summary
 	if err := eachFile(files, s.Add); err != nil {
@@ -90,19 +91,20 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "REQUESTS\tSERVICE\tMADE BY\tEND\tREASON")
 	for _, c := range s.Ends {
-		by, end := "callers", c.Kind
+		origin, end := "callers", c.Kind
 		if c.Nested {
-			by = "services"
+			origin = "services"
 		}
 		if end == "" {
 			end = fmt.Sprintf("status %d", c.Status)
 		}
-		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\n", c.Requests, c.Service, by, end, c.Error)
+		fmt.Fprintf(t, "%d\t%s\t%s\t%s\t%s\n", c.Requests, c.Service, origin, end, c.Error)
 	}
 	_ = t.Flush()
 }
 
-// eachFile reads logs one after the other.
+// eachFile calls read with each file in order, up to the first error, which it returns with
+// StatusBadInput.
 func eachFile(files []string, read func(io.Reader) error) error {
 	for _, name := range files {
 		if err := readFile(name, read); err != nil {
--- a/internal/cli/quarantinecmd/quarantine.go
+++ b/internal/cli/quarantinecmd/quarantine.go
@@ -1,4 +1,4 @@
-// Package quarantinecmd is the command "quarantine".
+// Package quarantinecmd implements the command "quarantine".
 package quarantinecmd
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/crocuscross/crocuscross/internal/cli/command"
 )
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
-	cmd := app.Command("quarantine", "Show and lift what keeps requests under which backend servers ended from the others.")
+	cmd := app.Command("quarantine", "Show and lift the quarantine of requests that crash backend servers.")
 	registerList(cmd, env)
 	registerLift(cmd, env)
 }
 
 func registerList(parent *kingpin.CmdClause, env *command.Env) {
-	cmd := parent.Command("list", "List the requests that are kept from backend servers.")
+	cmd := parent.Command("list", "List the requests in quarantine.")
 	cmd.HelpLong(command.Example("crocuscross quarantine list --daemon 10.1.2.3:7401"))
 	connect := &command.Connect{}
 	connect.DaemonFlag(cmd)
@@ -28,10 +28,10 @@
 }
 
 func registerLift(parent *kingpin.CmdClause, env *command.Env) {
-	cmd := parent.Command("lift", "Let a request in again at all daemons, as after its service has been mended.")
+	cmd := parent.Command("lift", "Lift the quarantine of a request on all daemons, for example after its service has been fixed.")
 	cmd.HelpLong(command.Example("crocuscross quarantine lift 5b1d06a2c9e84f7730aa61f2d5c8be94 --daemon 10.1.2.3:7401"))
 	connect := &command.Connect{}
-	identity := cmd.Arg("identity", "Identity of the request, by \"quarantine list\" or the daemons' logs.").Required().String()
+	identity := cmd.Arg("identity", "Identity of the request, from \"quarantine list\" or the daemons' logs.").Required().String()
 	connect.DaemonFlag(cmd)
 	connect.TimeoutFlag(cmd, "30s")
 	cmd.Action(command.Action(func() error { return lift(env, connect, *identity) }))
@@ -59,7 +59,7 @@
 	})
 }
 
-// lifted is what a lift prints.
+// lifted is the JSON output of "quarantine lift".
 type lifted struct {
 	Lifted string `json:"lifted"`
 }
--- a/internal/cli/settingscmd/example.go
+++ b/internal/cli/settingscmd/example.go
@@ -17,8 +17,8 @@
 	for _, d := range deployment.All() {
 		names = append(names, d.Name)
 	}
-	name := cmd.Flag("deployment", "Deployment.").Required().Enum(names...)
-	dir := cmd.Flag("dir", "Directory, made if it does not exist.").Required().PlaceHolder("DIR").String()
+	name := cmd.Flag("deployment", "Name of the example deployment.").Required().Enum(names...)
+	dir := cmd.Flag("dir", "Output directory, created if it does not exist.").Required().PlaceHolder("DIR").String()
 	cmd.Action(command.Action(func() error { return writeExample(env, *name, *dir) }))
 }
 
--- a/internal/cli/settingscmd/settings.go
+++ b/internal/cli/settingscmd/settings.go
@@ -1,5 +1,5 @@
-// Package settingscmd is the command "settings": check a file, print the
-// defaults, write the examples.
+// Package settingscmd implements the command "settings", which checks settings files, prints the
+// defaults and writes the settings files of the example deployments.
 package settingscmd
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/crocuscross/crocuscross/internal/settings"
 )
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
 	cmd := app.Command("settings", "Check settings files and write new ones.")
 	registerCheck(cmd, env)
@@ -22,7 +22,7 @@
 	registerExample(cmd, env)
 }
 
-// checkResult is the output of "settings check".
+// checkResult is the JSON output of "settings check".
 type checkResult struct {
 	File     string          `json:"file"`
 	Good     bool            `json:"good"`
@@ -30,7 +30,7 @@
 }
 
 func registerCheck(parent *kingpin.CmdClause, env *command.Env) {
-	cmd := parent.Command("check", "Tell all that is wrong with a settings file, without starting a daemon.")
+	cmd := parent.Command("check", "Report all problems of a settings file without starting a daemon.")
 	cmd.HelpLong(command.Example("crocuscross settings check /etc/crocuscross/daemon.jsonc"))
 	path := cmd.Arg("file", "Settings file.").Required().String()
 	cmd.Action(command.Action(func() error { return check(env, *path) }))
--- a/internal/cli/statuscmd/status.go
+++ b/internal/cli/statuscmd/status.go
@@ -1,4 +1,4 @@
-// Package statuscmd is the command "status".
+// Package statuscmd implements the command "status".
 package statuscmd
 
 import (
@@ -16,14 +16,14 @@
 
 const livenessAlive = "alive"
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
-	cmd := app.Command("status", "Show what each daemon has in force, which lag, since when and why.")
+	cmd := app.Command("status", "Show the version in force on each daemon, and which daemons lag, for how long and why.")
 	cmd.HelpLong(command.Example(
 		"crocuscross status --daemon 10.1.2.3:7401",
 		"crocuscross status --daemon 10.1.2.3:7401 --lagging --output json"))
 	connect := &command.Connect{}
-	lagging := cmd.Flag("lagging", "Only daemons that lag, do not answer or are not alive.").Bool()
+	lagging := cmd.Flag("lagging", "Show only daemons that lag, do not answer or are not alive.").Bool()
 	connect.DaemonFlag(cmd)
 	connect.TimeoutFlag(cmd, "30s")
 	cmd.Action(command.Action(func() error { return status(env, connect, *lagging) }))
@@ -50,7 +50,8 @@
 	})
 }
 
-// isFine reports whether an operator need not look at the daemon.
+// isFine reports whether the daemon is alive and up to date, states no reason for a problem and
+// withholds no routes. --lagging omits such daemons.
 func isFine(d operator.Daemon) bool {
 	return d.Liveness == livenessAlive && d.Lag == 0 && d.Reason == "" && len(d.WithheldRoutes) == 0
 }
@@ -59,13 +60,13 @@
 	if s.HighestOffset == 0 {
 		return fmt.Sprintf("nothing is published yet (seen by %s)", s.Host)
 	}
-	fine := 0
+	inForce := 0
 	for _, d := range s.Daemons {
 		if d.Liveness == livenessAlive && d.Lag == 0 {
-			fine++
+			inForce++
 		}
 	}
-	return fmt.Sprintf("version %d, in force on %d of %d daemons (seen by %s)", s.HighestOffset, fine, len(s.Daemons), s.Host)
+	return fmt.Sprintf("version %d, in force on %d of %d daemons (seen by %s)", s.HighestOffset, inForce, len(s.Daemons), s.Host)
 }
 
 var header = command.Row{"HOST", "ZONE", "STATE", "VERSION", "IN FORCE FOR", "LAG", "BEHIND FOR", "READS LOG", "BACKEND SERVERS", "REASON"}
@@ -83,7 +84,8 @@
 	return list
 }
 
-// state is the daemon's own phase, or else what others believe of it.
+// state returns the phase that the daemon reports, followed by its liveness if that is not alive. For
+// a daemon that did not answer it returns the liveness alone.
 func state(d operator.Daemon) string {
 	if d.Phase == "" {
 		return d.Liveness
@@ -94,7 +96,8 @@
 	return d.Phase
 }
 
-// inForceFor is empty for a daemon that did not answer or has nothing in force.
+// inForceFor returns how long the version has been in force, or a dash for a daemon that did not
+// answer or has no version in force.
 func inForceFor(d operator.Daemon) string {
 	if d.Phase == "" || d.Offset == 0 {
 		return age(0)
--- a/internal/cli/versioncmd/version.go
+++ b/internal/cli/versioncmd/version.go
@@ -1,4 +1,4 @@
-// Package versioncmd is the command "version".
+// Package versioncmd implements the command "version".
 package versioncmd
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/crocuscross/crocuscross/internal/cli/command"
 )
 
-// Register adds the command.
+// Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
 	cmd := app.Command("version", "Print version, commit and Go version.")
 	cmd.HelpLong(command.Example("crocuscross version --output json"))
