--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -30,7 +30,7 @@
 // usageTemplate extends kingpin's help by the examples of the selected command, or by the exit
 // statuses if no command is selected.
 var usageTemplate = kingpin.DefaultUsageTemplate +
-	`{{if .Context.SelectedCommand}}{{.Context.SelectedCommand.HelpLong}}{{else}}` + command.Meanings + `{{end}}`
+	`{{if .Context.SelectedCommand}}{{.Context.SelectedCommand.HelpLong}}{{else}}` + command.ExitStatusHelp + `{{end}}`
 
 // terminated is the value of the panic that returns control to Run after kingpin has printed help
 // or a completion.
@@ -69,8 +69,8 @@
 	return app
 }
 
-// exitStatus returns the exit status for err and prints err, unless the command has already printed
-// the failure. An error without an ExitError comes from kingpin and means invalid arguments.
+// exitStatus returns the exit status for err and prints err, unless the output of the command
+// already states the failure. An error without an ExitError comes from kingpin and means invalid arguments.
 func exitStatus(err error, stderr io.Writer) command.Status {
 	if err == nil {
 		return command.StatusOK
--- a/internal/cli/command/connect.go
+++ b/internal/cli/command/connect.go
@@ -67,15 +67,16 @@
 	client := httplog.New(httplog.DefaultOptions(c.platformURL))
 	return &configlog.Reader{
 		Log:        client.Stream(eventlog.StreamConfig),
-		Checkpoint: c.checkpoint(client.Stream(eventlog.StreamCheckpoints)),
+		Checkpoint: c.initialState(client.Stream(eventlog.StreamCheckpoints)),
 	}, nil
 }
 
-// checkpoint returns a function that loads the state from which the fold starts: the newest
-// checkpoint in log. If there is none, it is the state of the daemon, if a daemon is set and returns
-// it: after an outage longer than the log's retention, only the daemons may still hold the
-// configuration. Otherwise it is the empty state, and the fold starts at the log's first record.
-func (c *Connect) checkpoint(log eventlog.Log) configlog.Checkpoint {
+// initialState returns a function that loads the state from which the fold starts: the newest
+// checkpoint in log. If log has no checkpoint, it is the daemon's state, provided that a daemon is set
+// and returns its state: after an outage longer than the log's retention, only the daemons may still
+// hold the configuration. Otherwise it is the empty state, and the fold starts at the log's first
+// record.
+func (c *Connect) initialState(log eventlog.Log) configlog.Checkpoint {
 	return func(ctx context.Context) (*fold.State, error) {
 		st, err := checkpoint.Latest(ctx, log)
 		if !errors.Is(err, checkpoint.ErrNoCheckpoint) {
--- a/internal/cli/command/env.go
+++ b/internal/cli/command/env.go
@@ -60,8 +60,8 @@
 	_ = tw.Flush()
 }
 
-// Or returns s, or a dash if s is empty.
-func Or(s string) string {
+// OrDash returns s, or a dash if s is empty.
+func OrDash(s string) string {
 	if s == "" {
 		return "-"
 	}
--- a/internal/cli/command/exit.go
+++ b/internal/cli/command/exit.go
@@ -22,8 +22,8 @@
 	StatusNotConverged Status = 5
 )
 
-// Meanings is the section of --help that lists the exit statuses.
-const Meanings = `Exit status:
+// ExitStatusHelp is the section of --help that lists the exit statuses.
+const ExitStatusHelp = `Exit status:
   0  done
   1  failed; a publish that fails has published nothing
   2  usage or bad input: arguments, settings file, publish file
@@ -35,7 +35,7 @@
 // ExitError is an error that carries the exit status of the program.
 type ExitError struct {
 	Status Status
-	// cause is nil if the command has already printed the failure.
+	// cause is nil if the output of the command already states the failure.
 	cause error
 }
 
@@ -59,7 +59,8 @@
 // Unwrap returns the cause, which may be nil.
 func (e *ExitError) Unwrap() error { return e.cause }
 
-// Silent reports whether the command has already printed the failure.
+// Silent reports whether the output of the command already states the failure, so that no message
+// is printed.
 func (e *ExitError) Silent() bool { return e.cause == nil }
 
 // Action adapts a command's function to kingpin. An error without an ExitError gets StatusFailed.
--- a/internal/cli/contractcmd/history.go
+++ b/internal/cli/contractcmd/history.go
@@ -24,10 +24,10 @@
 	cmd.Flag("limit", "Number of latest records to show; 0 shows all.").Default("20").IntVar(&filter.Limit)
 	connect.PlatformFlag(cmd)
 	connect.TimeoutFlag(cmd, "30s")
-	cmd.Action(command.Action(func() error { return show(env, connect, *filter) }))
+	cmd.Action(command.Action(func() error { return showHistory(env, connect, *filter) }))
 }
 
-func show(env *command.Env, connect *command.Connect, filter history.Filter) error {
+func showHistory(env *command.Env, connect *command.Connect, filter history.Filter) error {
 	reader, err := connect.Reader()
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 	var rows []command.Row
 	for _, it := range items {
 		rows = append(rows, command.Row{
-			strconv.FormatUint(it.Offset, 10), stamp(it.Published), command.Or(it.Author), verdict(it), changes(it),
+			strconv.FormatUint(it.Offset, 10), formatTime(it.Published), command.OrDash(it.Author), verdict(it), changes(it),
 		})
 	}
 	command.Table(w, command.Row{"OFFSET", "PUBLISHED", "AUTHOR", "VERDICT", "CHANGES (OLD TO NEW REVISION)"}, rows)
@@ -79,7 +79,7 @@
 	if len(it.Reasons) > 0 {
 		s += ": " + strings.Join(it.Reasons, "; ")
 	}
-	return command.Or(s)
+	return command.OrDash(s)
 }
 
 func revisions(c history.Change) string {
--- a/internal/cli/contractcmd/list.go
+++ b/internal/cli/contractcmd/list.go
@@ -65,7 +65,7 @@
 }
 
 func list(env *command.Env, connect *command.Connect, kind string) error {
-	st, err := state(env, connect)
+	st, err := loadState(env, connect)
 	if err != nil {
 		return err
 	}
@@ -75,7 +75,7 @@
 			continue
 		}
 		for _, e := range st.Entries(k) {
-			it, err := itemOf(e)
+			it, err := newItem(e)
 			if err != nil {
 				return err
 			}
@@ -90,14 +90,14 @@
 	var rows []command.Row
 	for _, it := range items {
 		rows = append(rows, command.Row{
-			it.Kind, it.Name, strconv.FormatUint(it.Revision, 10), command.Or(it.Author), stamp(it.Published), it.summary,
+			it.Kind, it.Name, strconv.FormatUint(it.Revision, 10), command.OrDash(it.Author), formatTime(it.Published), it.summary,
 		})
 	}
 	command.Table(w, command.Row{"KIND", "NAME", "REVISION", "AUTHOR", "PUBLISHED", "CONTENT"}, rows)
 }
 
 func get(env *command.Env, connect *command.Connect, kind, name string) error {
-	st, err := state(env, connect)
+	st, err := loadState(env, connect)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	if e == nil {
 		return command.Exitf(command.StatusFailed, "%s does not exist at version %d", key, st.Offset)
 	}
-	it, err := itemOf(e)
+	it, err := newItem(e)
 	if err != nil {
 		return err
 	}
@@ -119,21 +119,21 @@
 }
 
 func (it item) write(w io.Writer) {
-	fmt.Fprintf(w, "%s %s\nrevision %d by %s at %s\n", it.Kind, it.Name, it.Revision, command.Or(it.Author), stamp(it.Published))
+	fmt.Fprintf(w, "%s %s\nrevision %d by %s at %s\n", it.Kind, it.Name, it.Revision, command.OrDash(it.Author), formatTime(it.Published))
 	var b bytes.Buffer
 	if json.Indent(&b, it.Resource, "", "  ") == nil {
 		fmt.Fprintln(w, b.String())
 	}
 }
 
-func state(env *command.Env, connect *command.Connect) (*fold.State, error) {
+func loadState(env *command.Env, connect *command.Connect) (*fold.State, error) {
 	ctx, cancel := connect.WithTimeout(env.Context)
 	defer cancel()
 	st, err := connect.State(ctx)
 	return st, command.Explain(err)
 }
 
-func itemOf(e *fold.Entry) (item, error) {
+func newItem(e *fold.Entry) (item, error) {
 	m, summary := content(e.Resource)
 	raw, err := protojson.MarshalOptions{UseProtoNames: true}.Marshal(m)
 	if err != nil {
@@ -167,7 +167,7 @@
 	return s
 }
 
-func stamp(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.Unix() == 0 {
 		return "-"
 	}
--- a/internal/cli/contractcmd/publish.go
+++ b/internal/cli/contractcmd/publish.go
@@ -77,13 +77,13 @@
 	}
 	result := publishResult{Outcome: r.Outcome, PublishID: r.PublishID, Revision: r.Revision, Reasons: r.Reasons}
 	if r.Outcome != publish.Accepted {
-		return f.end(env, result, nil)
+		return f.finish(env, result, nil)
 	}
 	if !r.Began.IsZero() {
 		began = r.Began
 	}
 	waitErr := f.converge(env.Context, &result, began)
-	return f.end(env, result, waitErr)
+	return f.finish(env, result, waitErr)
 }
 
 // request reads the publish file and builds the request from it and the flags. An error means
@@ -155,9 +155,9 @@
 	return err
 }
 
-// end prints the result and returns the error with the matching exit status, or nil on success.
+// finish prints the result and returns the error with the matching exit status, or nil on success.
 // waitErr is the error of the wait for convergence.
-func (f *publishFlags) end(env *command.Env, r publishResult, waitErr error) error {
+func (f *publishFlags) finish(env *command.Env, r publishResult, waitErr error) error {
 	if err := env.Print(r, r.write); err != nil {
 		return err
 	}
--- a/internal/cli/draincmd/drain.go
+++ b/internal/cli/draincmd/drain.go
@@ -14,13 +14,13 @@
 // Register adds the command to app.
 func Register(app *kingpin.Application, env *command.Env) {
 	cmd := app.Command("drain", "Begin a graceful shutdown: accept no new work and finish the calls in flight.")
-	register(cmd, env, "host", "Drain one host.", "crocuscross drain host sign-feed-01 --daemon 10.1.2.3:7401",
+	registerTarget(cmd, env, "host", "Drain one host.", "crocuscross drain host sign-feed-01 --daemon 10.1.2.3:7401",
 		func(req *operator.DrainRequest) *string { return &req.Host })
-	register(cmd, env, "zone", "Drain all hosts of an availability zone.", "crocuscross drain zone boston --daemon 10.1.2.3:7401",
+	registerTarget(cmd, env, "zone", "Drain all hosts of an availability zone.", "crocuscross drain zone boston --daemon 10.1.2.3:7401",
 		func(req *operator.DrainRequest) *string { return &req.Zone })
 }
 
-func register(parent *kingpin.CmdClause, env *command.Env, name, help, example string, target func(*operator.DrainRequest) *string) {
+func registerTarget(parent *kingpin.CmdClause, env *command.Env, name, help, example string, target func(*operator.DrainRequest) *string) {
 	cmd := parent.Command(name, help)
 	cmd.HelpLong(command.Example(example))
 	connect, req := &command.Connect{}, &operator.DrainRequest{}
--- a/internal/cli/explaincmd/explain.go
+++ b/internal/cli/explaincmd/explain.go
@@ -64,10 +64,10 @@
 	for _, l := range own {
 		out.Lines = append(out.Lines, l.Raw)
 	}
-	return env.Print(out, func(w io.Writer) { write(w, out) })
+	return env.Print(out, func(w io.Writer) { writeExplanation(w, out) })
 }
 
-func write(w io.Writer, e explanation) {
+func writeExplanation(w io.Writer, e explanation) {
 	for _, l := range e.Lines {
 		fmt.Fprintln(w, l)
 	}
--- a/internal/cli/quarantinecmd/quarantine.go
+++ b/internal/cli/quarantinecmd/quarantine.go
@@ -59,8 +59,8 @@
 	})
 }
 
-// lifted is the JSON output of "quarantine lift".
-type lifted struct {
+// liftResult is the JSON output of "quarantine lift".
+type liftResult struct {
 	Lifted string `json:"lifted"`
 }
 
@@ -74,5 +74,5 @@
 	if err := client.LiftQuarantine(ctx, identity); err != nil {
 		return err
 	}
-	return env.Print(lifted{identity}, func(w io.Writer) { fmt.Fprintf(w, "%s: lifted\n", identity) })
+	return env.Print(liftResult{identity}, func(w io.Writer) { fmt.Fprintf(w, "%s: lifted\n", identity) })
 }
--- a/internal/cli/statuscmd/status.go
+++ b/internal/cli/statuscmd/status.go
@@ -42,7 +42,7 @@
 	}
 	summary := summarize(s)
 	if lagging {
-		s.Daemons = slices.DeleteFunc(s.Daemons, isFine)
+		s.Daemons = slices.DeleteFunc(s.Daemons, isHealthy)
 	}
 	return env.Print(s, func(w io.Writer) {
 		fmt.Fprintln(w, summary)
@@ -50,9 +50,9 @@
 	})
 }
 
-// isFine reports whether the daemon is alive and up to date, states no reason for a problem and
+// isHealthy reports whether the daemon is alive and up to date, states no reason for a problem and
 // withholds no routes. --lagging omits such daemons.
-func isFine(d operator.Daemon) bool {
+func isHealthy(d operator.Daemon) bool {
 	return d.Liveness == livenessAlive && d.Lag == 0 && d.Reason == "" && len(d.WithheldRoutes) == 0
 }
 
@@ -77,8 +77,8 @@
 		list = append(list, command.Row{
 			d.Host, d.AvailabilityZone, state(d),
 			strconv.FormatUint(d.Offset, 10), inForceFor(d),
-			strconv.FormatUint(d.Lag, 10), age(d.BehindMs),
-			reads(d), command.Or(backends(d.BackendServers)), command.Or(reason(d)),
+			strconv.FormatUint(d.Lag, 10), formatAge(d.BehindMs),
+			readsLog(d), command.OrDash(formatBackendServers(d.BackendServers)), command.OrDash(reason(d)),
 		})
 	}
 	return list
@@ -100,26 +100,26 @@
 // answer or has no version in force.
 func inForceFor(d operator.Daemon) string {
 	if d.Phase == "" || d.Offset == 0 {
-		return age(0)
+		return formatAge(0)
 	}
-	return age(d.InForceAgeMs)
+	return formatAge(d.InForceAgeMs)
 }
 
-func age(ms uint64) string {
+func formatAge(ms uint64) string {
 	if ms == 0 {
-		return command.Or("")
+		return command.OrDash("")
 	}
 	return command.Duration(ms)
 }
 
-func reads(d operator.Daemon) string {
+func readsLog(d operator.Daemon) string {
 	if d.Reader {
 		return "yes"
 	}
 	return "no"
 }
 
-func backends(list []operator.BackendServer) string {
+func formatBackendServers(list []operator.BackendServer) string {
 	var parts []string
 	for _, b := range list {
 		s := fmt.Sprintf("%s (%d slots)", b.Service, b.Slots)
