--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -69,8 +69,8 @@
 	return app
 }
 
-// exitStatus returns the exit status for err and prints err, unless the output of the command
-// already states the failure. An error without an ExitError comes from kingpin and means invalid arguments.
+// exitStatus returns the exit status for err and prints err, unless the output of the command already
+// states the failure. An error without an ExitError comes from kingpin and means invalid arguments.
 func exitStatus(err error, stderr io.Writer) command.Status {
 	if err == nil {
 		return command.StatusOK
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -95,8 +95,8 @@
 	return strings.TrimPrefix(srv.URL, "http://")
 }
 
-// The files of both example deployments must be accepted unchanged, and the resources must appear in
-// the list and in the history.
+// The files of both example deployments must be accepted unchanged, one after the other. The list and
+// the history must then show the resulting version.
 func TestExamplesArePublished(t *testing.T) {
 	for _, name := range []string{"association", "waterrecords"} {
 		t.Run(name, func(t *testing.T) {
