--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -1,6 +1,5 @@
-// Package bundle reads the file that an operator publishes: JSON with comments
-// that names an author and a list of changes. Mistakes are told all at once,
-// each with its place.
+// Package bundle parses the file that an operator publishes: JSON with comments that contains an
+// author and a list of changes. All mistakes in a file are reported at once, each with its position.
 //
 //	{
 //		"author": "jane",
@@ -11,7 +10,7 @@
 //		],
 //	}
 //
-// A resource has the field names of its message in configpb.
+// The fields of a resource have the names of the fields of its message in configpb.
 package bundle
 
 import (
@@ -25,7 +24,7 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-// Names in the file.
+// Field names in the file.
 const (
 	fieldAuthor   = "author"
 	fieldChanges  = "changes"
@@ -43,22 +42,22 @@
 	changeFields   = append([]string{fieldDelete, fieldReplaces}, resourceFields...)
 )
 
-// File is what the operator wrote.
+// File is the content of a publish file.
 type File struct {
 	Author  string
 	Changes []Change
 }
 
-// Change is one change of a file.
+// Change sets or deletes one resource.
 type Change struct {
 	*configpb.Change
-	// NamesRevision is whether the file says which revision is replaced. Without
-	// it the publisher fills the revision in.
+	// NamesRevision is set if the file states the replaced revision. If it is not set, Replaces is 0
+	// and the publisher chooses the revision.
 	NamesRevision bool
 }
 
-// ReadFile reads and checks a file. The error of a file that was read is a
-// jsonc.Problems.
+// ReadFile reads, parses and checks a file. If the file could be read but is not valid, the error
+// is a jsonc.Problems.
 func ReadFile(path string) (*File, error) {
 	d, err := jsonc.ReadFile(path)
 	if err != nil {
@@ -67,7 +66,8 @@
 	return check(d)
 }
 
-// Parse is ReadFile for bytes that are at hand.
+// Parse parses and checks the content of a file. The name identifies the file in errors, which are
+// of type jsonc.Problems.
 func Parse(name string, raw []byte) (*File, error) {
 	d, err := jsonc.Parse(name, raw)
 	if err != nil {
@@ -76,12 +76,13 @@
 	return check(d)
 }
 
-// parser gathers what is wrong with a file.
+// parser checks a document and collects its problems.
 type parser struct {
 	doc      *jsonc.Document
 	problems jsonc.Problems
 }
 
+// check converts a document to a File. The error contains all problems.
 func check(d *jsonc.Document) (*File, error) {
 	p := &parser{doc: d}
 	f := p.file(d.Root)
@@ -91,10 +92,14 @@
 	return f, nil
 }
 
+// report adds a problem at a value. The path is that of the field, text states the mistake and want
+// the correction.
 func (p *parser) report(v *hujson.Value, path, text, want string) {
 	p.problems = append(p.problems, p.doc.Problem(v, path, text, want))
 }
 
+// file parses the top-level object. It reports missing changes only if there is no other problem,
+// which may be a misspelled name of the field.
 func (p *parser) file(v *hujson.Value) *File {
 	f := &File{}
 	members := p.object(v, "", fileFields)
@@ -112,6 +117,8 @@
 	return f
 }
 
+// changes parses the array of changes and adds the valid ones to f. It reports a resource that is
+// changed twice.
 func (p *parser) changes(f *File, v *hujson.Value) {
 	elements, ok := jsonc.Elements(v)
 	if !ok {
@@ -139,7 +146,7 @@
 	}
 }
 
-// change parses one change; ok is false if it has a mistake.
+// change parses one change; ok is false if it has a problem.
 func (p *parser) change(v *hujson.Value, path string) (c Change, ok bool) {
 	before := len(p.problems)
 	members := p.object(v, path, changeFields)
@@ -155,11 +162,12 @@
 	if len(p.problems) > before {
 		return c, false
 	}
-	p.judge(c.Change, v, path)
+	p.checkChange(c.Change, v, path)
 	return c, len(p.problems) == before
 }
 
-// resource fills the one resource that a change sets or deletes.
+// resource sets the resource of c from the members of a change, of which exactly one must name a
+// resource to set or to delete.
 func (p *parser) resource(c *configpb.Change, v *hujson.Value, path string, members map[string]*hujson.Value) {
 	var found []string
 	for _, name := range append([]string{fieldDelete}, resourceFields...) {
@@ -175,14 +183,15 @@
 	name := found[0]
 	if name == fieldDelete {
 		c.Delete = true
-		c.Resource = p.deleted(members[name], jsonc.Join(path, name))
+		c.Resource = p.parseDeleted(members[name], jsonc.Join(path, name))
 		return
 	}
-	c.Resource = p.set(name, members[name], jsonc.Join(path, name))
+	c.Resource = p.parseResource(name, members[name], jsonc.Join(path, name))
 }
 
-// deleted reads {"route": "name"}.
-func (p *parser) deleted(v *hujson.Value, path string) *configpb.Resource {
+// parseDeleted parses the resource to delete, such as {"route": "name"}. It returns nil after it has
+// reported a problem with the object.
+func (p *parser) parseDeleted(v *hujson.Value, path string) *configpb.Resource {
 	members := p.object(v, path, resourceFields)
 	if len(members) != 1 {
 		p.report(v, path, "names "+strconv.Itoa(len(members))+" resources", `use one, such as {"route": "name"}`)
@@ -202,8 +211,9 @@
 	return nil
 }
 
-// set reads a whole resource.
-func (p *parser) set(kind string, v *hujson.Value, path string) *configpb.Resource {
+// parseResource parses all fields of a resource of a kind. It checks them against the message's
+// descriptor first, because the errors of protojson contain no position in the file.
+func (p *parser) parseResource(kind string, v *hujson.Value, path string) *configpb.Resource {
 	before := len(p.problems)
 	r := &configpb.Resource{}
 	field := r.ProtoReflect().Descriptor().Fields().ByTextName(kind)
@@ -218,10 +228,10 @@
 	return r
 }
 
-// judge reports what the fold would reject in every state.
-func (p *parser) judge(c *configpb.Change, v *hujson.Value, path string) {
-	alone := &configpb.Bundle{PublishId: "check", Changes: []*configpb.Change{c}}
-	for _, reason := range fold.CheckBundle(alone) {
+// checkChange reports the reasons for which the fold would reject a change in every state.
+func (p *parser) checkChange(c *configpb.Change, v *hujson.Value, path string) {
+	single := &configpb.Bundle{PublishId: "check", Changes: []*configpb.Change{c}}
+	for _, reason := range fold.CheckBundle(single) {
 		p.report(v, path, reason, "")
 	}
 }
--- a/internal/bundle/bundle_test.go
+++ b/internal/bundle/bundle_test.go
@@ -12,7 +12,7 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-const good = `{
+const validFile = `{
 	"author": "jane", // on call
 	"changes": [
 		{"service": {"name": "sign-feed"}},
@@ -24,8 +24,8 @@
 	],
 }`
 
-func TestGoodFile(t *testing.T) {
-	f, err := Parse("f", []byte(good))
+func TestParseValidFile(t *testing.T) {
+	f, err := Parse("f", []byte(validFile))
 	must.NoError(t, err)
 	must.Eq(t, "jane", f.Author)
 	must.Len(t, 4, f.Changes)
@@ -40,8 +40,8 @@
 
 func TestOneProblem(t *testing.T) {
 	for _, c := range []struct{ name, change, want string }{
-		{"misspelt resource", `{"rout": {}}`, `f:2:2: changes[0].rout: is not a field; did you mean "route"?`},
-		{"misspelt field", `{"service": {"nam": "a"}}`, `f:2:14: changes[0].service.nam: is not a field; did you mean "name"?`},
+		{"misspelled resource", `{"rout": {}}`, `f:2:2: changes[0].rout: is not a field; did you mean "route"?`},
+		{"misspelled field", `{"service": {"nam": "a"}}`, `f:2:14: changes[0].service.nam: is not a field; did you mean "name"?`},
 		{"two resources", `{"service": {"name": "a"}, "delete": {"route": "b"}}`, `f:2:1: changes[0]: names 2 resources; use one of contract, route, service or delete`},
 		{"none", `{"replaces": 1}`, `f:2:1: changes[0]: names 0 resources; use one of contract, route, service or delete`},
 		{"wrong type", `{"service": {"name": 1}}`, `f:2:22: changes[0].service.name: is a number; use a string`},
@@ -68,8 +68,7 @@
 	must.Len(t, 4, ps, must.Sprint(err))
 }
 
-// A resource with a field of a kind that value does not know could not be
-// published.
+// A resource with a field of a kind that parser.value does not support could not be published.
 func TestEveryFieldKindIsKnown(t *testing.T) {
 	known := map[protoreflect.Kind]bool{
 		protoreflect.MessageKind: true, protoreflect.StringKind: true, protoreflect.BoolKind: true,
@@ -89,7 +88,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, seed := range []string{good, "", "{}", `{"changes":[{"delete":{"route":"r"}}]}`, `{"changes":[{"contract":{"rate_per_second":1e999}}]}`,
+	for _, seed := range []string{validFile, "", "{}", `{"changes":[{"delete":{"route":"r"}}]}`, `{"changes":[{"contract":{"rate_per_second":1e999}}]}`,
 		`{"changes":[{"contract":{"customer":"c","rate_per_second":1,"max_wait_ms":1,"rules":[{"path_prefix":"/"}]}}]}`,
 		`{"changes":[{"service":{"name":"\ud800"}}]}`, strings.Repeat("[", 70)} {
 		f.Add([]byte(seed))
--- a/internal/bundle/message.go
+++ b/internal/bundle/message.go
@@ -12,8 +12,8 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-// object returns the members of an object, and reports those that are not
-// among the names or stand twice.
+// object returns the members of an object by name. It reports members that are not in names and
+// members that are set twice. It returns nil if the value is not an object.
 func (p *parser) object(v *hujson.Value, path string, names []string) map[string]*hujson.Value {
 	list, ok := jsonc.Members(v)
 	if !ok {
@@ -35,7 +35,7 @@
 	return members
 }
 
-// message checks an object against a message's fields.
+// message checks an object against the fields of a protobuf message.
 func (p *parser) message(desc protoreflect.MessageDescriptor, v *hujson.Value, path string) {
 	fields := desc.Fields()
 	var names []string
@@ -50,6 +50,7 @@
 	}
 }
 
+// field checks the value of a message field, or each element if the field is a list.
 func (p *parser) field(f protoreflect.FieldDescriptor, v *hujson.Value, path string) {
 	if !f.IsList() {
 		p.value(f, v, path)
@@ -65,8 +66,8 @@
 	}
 }
 
-// value checks one value. Only the kinds that configuration messages have are
-// known; a test fails for a message with another.
+// value checks a single value against the kind of a field. It supports only the kinds that occur in
+// the configuration messages; TestEveryFieldKindIsKnown fails if a message has another kind.
 func (p *parser) value(f protoreflect.FieldDescriptor, v *hujson.Value, path string) {
 	switch f.Kind() {
 	case protoreflect.MessageKind:
@@ -78,18 +79,19 @@
 			p.report(v, path, "is "+jsonc.KindName(v), "use true or false")
 		}
 	case protoreflect.DoubleKind:
-		if _, err := strconv.ParseFloat(numberOf(v), 64); err != nil {
-			p.report(v, path, shown(v), "use a number")
+		if _, err := strconv.ParseFloat(numberText(v), 64); err != nil {
+			p.report(v, path, describeInvalid(v), "use a number")
 		}
 	case protoreflect.Uint32Kind:
-		if _, err := strconv.ParseUint(numberOf(v), 10, 32); err != nil {
-			p.report(v, path, shown(v), "use a whole number from 0 to 4294967295")
+		if _, err := strconv.ParseUint(numberText(v), 10, 32); err != nil {
+			p.report(v, path, describeInvalid(v), "use a whole number from 0 to 4294967295")
 		}
 	default:
 		p.report(v, path, "is a field that this program cannot read", "use a newer program")
 	}
 }
 
+// text returns the value of a string and reports any other value.
 func (p *parser) text(v *hujson.Value, path string) string {
 	s, ok := jsonc.String(v)
 	if !ok {
@@ -98,16 +100,17 @@
 	return s
 }
 
+// revision returns the value of a revision number and reports any other value.
 func (p *parser) revision(v *hujson.Value, path string) uint64 {
-	n, err := strconv.ParseUint(numberOf(v), 10, 64)
+	n, err := strconv.ParseUint(numberText(v), 10, 64)
 	if err != nil {
-		p.report(v, path, shown(v), "use the revision that is replaced, or 0 for a resource that must not exist yet")
+		p.report(v, path, describeInvalid(v), "use the revision that is replaced, or 0 for a resource that must not exist yet")
 	}
 	return n
 }
 
-// numberOf returns the text of a JSON number, empty for another value.
-func numberOf(v *hujson.Value) string {
+// numberText returns the text of a JSON number, or the empty string if v is not a number.
+func numberText(v *hujson.Value) string {
 	lit, ok := jsonc.Literal(v)
 	if !ok || lit.Kind() != '0' {
 		return ""
@@ -115,14 +118,16 @@
 	return string(lit)
 }
 
-// shown describes a value that is wrong.
-func shown(v *hujson.Value) string {
-	if n := numberOf(v); n != "" {
+// describeInvalid states what is wrong with a value in place of a number: out of range or of another
+// type.
+func describeInvalid(v *hujson.Value) string {
+	if n := numberText(v); n != "" {
 		return n + " is out of range"
 	}
 	return "is " + jsonc.KindName(v)
 }
 
+// suggestion returns a correction for an unknown key: the name that is closest to it, or all names.
 func suggestion(key string, names []string) string {
 	if near, ok := jsonc.Suggest(key, names); ok {
 		return fmt.Sprintf("did you mean %q?", near)
--- a/internal/jsonc/jsonc_test.go
+++ b/internal/jsonc/jsonc_test.go
@@ -10,7 +10,7 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-func TestSyntaxProblemsTellTheirPlace(t *testing.T) {
+func TestSyntaxProblemPosition(t *testing.T) {
 	for _, c := range []struct{ name, raw, want string }{
 		{"missing comma", "{\n  \"a\": 1\n  \"b\": 2\n}", "f:3:3: "},
 		{"column in characters", "{\"ü\": §}", "f:1:7: "},
@@ -43,12 +43,12 @@
 
 func TestSuggest(t *testing.T) {
 	names := []string{"host", "region", "listen", "append_timeout", "url"}
-	for misspelt, want := range map[string]string{
+	for misspelled, want := range map[string]string{
 		"hots": "host", "Region": "region", "append_timout": "append_timeout", "uri": "url",
 		"x": "", "platform": "", "timeout": "",
 	} {
-		got, ok := jsonc.Suggest(misspelt, names)
-		must.Eq(t, want, got, must.Sprintf("for %q", misspelt))
+		got, ok := jsonc.Suggest(misspelled, names)
+		must.Eq(t, want, got, must.Sprintf("for %q", misspelled))
 		must.Eq(t, want != "", ok)
 	}
 }
--- a/internal/jsonc/problem.go
+++ b/internal/jsonc/problem.go
@@ -13,11 +13,12 @@
 	// Line and Column count from 1.
 	Line   int `json:"line"`
 	Column int `json:"column"`
-	// Field is the path of the field, such as "platform.url" or
-	// "contacts[2]"; empty for a mistake of the file as a whole.
+	// Field is the path of the field, such as "platform.url" or "contacts[2]". It is empty for a
+	// mistake that concerns the file as a whole.
 	Field string `json:"field,omitempty"`
-	Text  string `json:"text"`
-	// Want tells what would be right.
+	// Text states the mistake, such as "is a number".
+	Text string `json:"text"`
+	// Want states the correction, such as "use a string". It may be empty.
 	Want string `json:"want"`
 }
 
@@ -35,10 +36,10 @@
 	return b.String()
 }
 
-// Problems is all that is wrong with a file, as one error.
+// Problems is an error that contains all mistakes in a file.
 type Problems []Problem
 
-// Error returns one line for each problem.
+// Error returns the problems, one per line.
 func (ps Problems) Error() string {
 	lines := make([]string, len(ps))
 	for i, p := range ps {
@@ -47,7 +48,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns the problems in the order of the file, and nil if there are none.
+// Err sorts the problems by line and column and returns them as an error, or nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -58,19 +59,19 @@
 	return ps
 }
 
-// maxEdits is how far a misspelt name may be from the one suggested.
+// maxEdits is the maximum edit distance between a misspelled name and the suggested name.
 const maxEdits = 3
 
-// Suggest returns the candidate closest to a misspelt name, if one is close.
-// Of several equally close ones it takes the first.
+// Suggest returns the candidate with the smallest edit distance to a misspelled name, ignoring case,
+// and the first of several such candidates. It returns false if no candidate is close enough.
 func Suggest(name string, candidates []string) (string, bool) {
 	best, bestDistance := "", maxEdits+1
 	for _, c := range candidates {
 		if len(c)-len(name) > maxEdits || len(name)-len(c) > maxEdits {
 			continue
 		}
-		// A short name matches nearly all others within maxEdits, so the
-		// distance must also stay below half the name.
+		// A short name is within maxEdits of nearly every other name, so the distance must also be
+		// less than half the length of the longer name.
 		d := distance(strings.ToLower(name), strings.ToLower(c))
 		if d < bestDistance && 2*d < max(len(name), len(c)) {
 			best, bestDistance = c, d
@@ -79,8 +80,8 @@
 	return best, best != ""
 }
 
-// distance is the number of edits between two names: inserting, deleting or
-// replacing a byte, or swapping two neighbours.
+// distance returns the edit distance between two names. An edit inserts, deletes or replaces a byte,
+// or swaps two adjacent bytes.
 func distance(a, b string) int {
 	rows := make([][]int, len(a)+1)
 	for i := range rows {
@@ -92,7 +93,7 @@
 	}
 	for i := 1; i <= len(a); i++ {
 		for j := 1; j <= len(b); j++ {
-			rows[i][j] = min(rows[i-1][j]+1, rows[i][j-1]+1, rows[i-1][j-1]+cost(a[i-1], b[j-1]))
+			rows[i][j] = min(rows[i-1][j]+1, rows[i][j-1]+1, rows[i-1][j-1]+substitutionCost(a[i-1], b[j-1]))
 			if i > 1 && j > 1 && a[i-1] == b[j-2] && a[i-2] == b[j-1] {
 				rows[i][j] = min(rows[i][j], rows[i-2][j-2]+1)
 			}
@@ -101,7 +102,9 @@
 	return rows[len(a)][len(b)]
 }
 
-func cost(x, y byte) int {
+// substitutionCost returns the number of edits that replace byte x by y: 0 if they are equal,
+// otherwise 1.
+func substitutionCost(x, y byte) int {
 	if x == y {
 		return 0
 	}
--- a/internal/jsonc/value.go
+++ b/internal/jsonc/value.go
@@ -7,13 +7,13 @@
 // Member is one member of an object.
 type Member struct {
 	Key string
-	// Name is the key's place in the file.
+	// Name is the key as a value, which has the key's position in the file.
 	Name  *hujson.Value
 	Value *hujson.Value
 }
 
-// Members returns an object's members in the order of the file; ok is false
-// for a value that is no object.
+// Members returns the members of an object in the order of the file. ok is false if the value is not
+// an object.
 func Members(v *hujson.Value) (list []Member, ok bool) {
 	obj, ok := v.Value.(*hujson.Object)
 	if !ok {
@@ -27,8 +27,7 @@
 	return list, true
 }
 
-// Elements returns an array's elements; ok is false for a value that is no
-// array.
+// Elements returns the elements of an array. ok is false if the value is not an array.
 func Elements(v *hujson.Value) (list []*hujson.Value, ok bool) {
 	arr, ok := v.Value.(*hujson.Array)
 	if !ok {
@@ -40,13 +39,14 @@
 	return list, true
 }
 
-// Literal returns the bytes of a value that is no object and no array.
+// Literal returns the text of a string, number, boolean or null. It returns false for an object or
+// an array.
 func Literal(v *hujson.Value) (hujson.Literal, bool) {
 	lit, ok := v.Value.(hujson.Literal)
 	return lit, ok
 }
 
-// String returns the value of a JSON string.
+// String returns the value of a JSON string. It returns false for a value of another type.
 func String(v *hujson.Value) (string, bool) {
 	lit, ok := Literal(v)
 	if !ok || lit.Kind() != '"' {
@@ -55,7 +55,7 @@
 	return lit.String(), true
 }
 
-// KindName returns the name of a value's type for people.
+// KindName returns the type of a value with its article, such as "a string", for use in messages.
 func KindName(v *hujson.Value) string {
 	switch v.Value.Kind() {
 	case 'n':
@@ -74,7 +74,7 @@
 	return "not a JSON value"
 }
 
-// Join appends a key to the path of an object.
+// Join returns the path of the member with the given key in the object at path.
 func Join(path, key string) string {
 	if path == "" {
 		return key
