--- a/internal/buildinfo/buildinfo.go
+++ b/internal/buildinfo/buildinfo.go
@@ -1,4 +1,4 @@
-// Package buildinfo tells which build of the program this is.
+// Package buildinfo returns the version and commit from which the running program was built.
 package buildinfo
 
 import (
@@ -6,25 +6,27 @@
 	"runtime/debug"
 )
 
-// Set by the linker: -ldflags "-X .../internal/buildinfo.version=v1.2.3".
-// Without them the values that the Go tool stamps into the binary are used.
+// version and commit are set by the linker: -ldflags "-X .../internal/buildinfo.version=v1.2.3".
+// For those that are empty, the values that the Go tool embeds in the binary are used.
 var (
 	version string
 	commit  string
 )
 
+// unknown stands for a version or commit that is neither set by the linker nor embedded.
 const unknown = "unknown"
 
-// Info describes a build.
+// Info describes the build of a program.
 type Info struct {
 	Version string `json:"version"`
 	Commit  string `json:"commit"`
-	// Modified is whether the work tree had changes that the commit lacks.
-	Modified bool   `json:"modified"`
-	Go       string `json:"go"`
+	// Modified is set if the working tree contained uncommitted changes.
+	Modified bool `json:"modified"`
+	// Go is the version of the Go toolchain.
+	Go string `json:"go"`
 }
 
-// Get returns the build's description.
+// Get returns the description of the running program.
 func Get() Info {
 	info := Info{Version: version, Commit: commit, Go: runtime.Version()}
 	build, ok := debug.ReadBuildInfo()
@@ -51,7 +53,8 @@
 	return info
 }
 
-// String returns version and commit in one word, for statuses and logs.
+// String returns the version and the first 12 characters of the commit, separated by "+", for
+// statuses and logs.
 func (i Info) String() string {
 	const shortCommit = 12
 	c := i.Commit
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,6 +1,6 @@
-// Package deployment describes the two deployments that the project is
-// developed for: their availability zones, services and hosts. The example
-// settings and the local fleets are derived from it.
+// Package deployment describes the two deployments that the project is developed for: their
+// availability zones, services and hosts. The example settings files and the fleets that run on one
+// machine are generated from it.
 package deployment
 
 import (
@@ -9,52 +9,58 @@
 	"time"
 )
 
-// Ports that each daemon listens on.
+// Ports. Every host uses the same ports on an address of its own.
 const (
+	// CallersPort, PeersPort, OperatorsPort and BackendPort are the ports on which each daemon
+	// listens for callers, other daemons, operators and its backend server.
 	CallersPort   = 8080
 	PeersPort     = 7400
 	OperatorsPort = 7401
 	BackendPort   = 7402
-	// PlatformPort is where the platform's log is reached.
+	// PlatformPort is the port of the platform's log.
 	PlatformPort = 7300
 )
 
-// Service is a service with its size.
+// Service describes a service and the size of its pool of backend servers.
 type Service struct {
 	Name string
 	// Targets is the number of backend servers.
 	Targets int
-	// Slots of each backend server.
+	// Slots is the number of slots of each backend server.
 	Slots int
 }
 
-// Deployment is one of the users' deployments.
+// Deployment describes the deployment of one user of the project.
 type Deployment struct {
 	Name   string
 	Region string
-	// AvailabilityZones in the order in which hosts are spread over them.
+	// AvailabilityZones lists the zones in the order in which the hosts of a service are assigned
+	// to them, round robin.
 	AvailabilityZones []string
 	Services          []Service
-	// ReadersPerZone is the weight between convergence time and control bytes.
+	// ReadersPerZone is the number of daemons in each availability zone that read the platform's
+	// log. It trades convergence time against the bytes of control traffic.
 	ReadersPerZone int
-	// ReadersReason tells why, for the settings file.
+	// ReadersReason states the reason for ReadersPerZone. It becomes a comment in the settings file.
 	ReadersReason string
-	// ZoneCost is the time of a hop between availability zones, there and back.
+	// ZoneCost is the additional round-trip time of a call that leaves the availability zone.
 	ZoneCost time.Duration
-	// network is the second byte of the loopback addresses, so that both
-	// deployments can run on one machine.
+	// network is the second byte of the deployment's loopback addresses. It differs between the
+	// deployments, so that both can run on one machine.
 	network byte
 }
 
-// Host is one host with its daemon and backend server.
+// Host describes one host, which runs a daemon and a backend server.
 type Host struct {
 	Name             string
 	AvailabilityZone string
-	Service          Service
-	Addr             netip.Addr
+	// Service is the service of the backend server.
+	Service Service
+	// Addr is the loopback address of the host.
+	Addr netip.Addr
 }
 
-// Association is the New England Parking Signage Association.
+// Association returns the deployment of the New England Parking Signage Association.
 func Association() Deployment {
 	return Deployment{
 		Name:              "association",
@@ -68,7 +74,7 @@
 	}
 }
 
-// WaterRecords is the Umlazi Basin Holdings Water Records Unit.
+// WaterRecords returns the deployment of the Umlazi Basin Holdings Water Records Unit.
 func WaterRecords() Deployment {
 	return Deployment{
 		Name:              "waterrecords",
@@ -85,7 +91,7 @@
 // All returns both deployments.
 func All() []Deployment { return []Deployment{Association(), WaterRecords()} }
 
-// Named returns the deployment of a name.
+// Named returns the deployment with a name. It returns false if there is none.
 func Named(name string) (Deployment, bool) {
 	for _, d := range All() {
 		if d.Name == name {
@@ -95,9 +101,9 @@
 	return Deployment{}, false
 }
 
-// Hosts returns all hosts, with the backend servers of each service spread
-// evenly over the availability zones. Each host has a loopback address of its
-// own, so that all run on one Linux machine with the same ports.
+// Hosts returns all hosts. The backend servers of each service are distributed evenly over the
+// availability zones. Each host has a loopback address of its own, so that all hosts can run on one
+// Linux machine and use the same ports.
 func (d Deployment) Hosts() []Host {
 	var hosts []Host
 	perZone := make([]byte, len(d.AvailabilityZones))
@@ -116,14 +122,14 @@
 	return hosts
 }
 
-// PlatformURL is where the deployment's platform log is reached.
+// PlatformURL returns the URL of the platform's log of the deployment.
 func (d Deployment) PlatformURL() string {
 	addr := netip.AddrFrom4([4]byte{127, d.network, 0, 1})
 	return "http://" + netip.AddrPortFrom(addr, PlatformPort).String()
 }
 
-// Contacts returns the peer addresses of the first host of each availability
-// zone, without the host's own.
+// Contacts returns the peer addresses through which the daemon of a host joins the fleet: those of
+// the first host of each availability zone, without the host's own.
 func (d Deployment) Contacts(self Host) []netip.AddrPort {
 	var contacts []netip.AddrPort
 	seen := map[string]bool{}
@@ -139,14 +145,14 @@
 	return contacts
 }
 
-// Callers returns where the host's daemon listens for callers.
+// Callers returns the address on which the host's daemon listens for callers.
 func (h Host) Callers() netip.AddrPort { return netip.AddrPortFrom(h.Addr, CallersPort) }
 
-// Peers returns where the host's daemon listens for other daemons.
+// Peers returns the address on which the host's daemon listens for other daemons.
 func (h Host) Peers() netip.AddrPort { return netip.AddrPortFrom(h.Addr, PeersPort) }
 
-// Operators returns where the host's daemon listens for operators.
+// Operators returns the address on which the host's daemon listens for operators.
 func (h Host) Operators() netip.AddrPort { return netip.AddrPortFrom(h.Addr, OperatorsPort) }
 
-// Backend returns where the host's daemon listens for its backend server.
+// Backend returns the address on which the host's daemon listens for its backend server.
 func (h Host) Backend() netip.AddrPort { return netip.AddrPortFrom(h.Addr, BackendPort) }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -11,8 +11,7 @@
 	"github.com/crocuscross/crocuscross/internal/settings"
 )
 
-// The committed examples must be what the program writes today, and must pass
-// its own check.
+// The settings files in the examples directory must equal the generated ones and must be valid.
 func TestExamplesAreCurrent(t *testing.T) {
 	for _, d := range deployment.All() {
 		dir := filepath.Join("..", "..", "examples", d.Name, "daemons")
@@ -27,13 +26,13 @@
 			must.Eq(t, string(want), string(got), must.Sprintf("run: crocuscross settings example --deployment %s --dir examples/%s/daemons", d.Name, d.Name))
 			s, err := settings.Parse(h.Name, got)
 			must.NoError(t, err)
-			must.Len(t, len(d.AvailabilityZones)-contactsOwn(d, h), s.Contacts)
+			must.Len(t, len(d.AvailabilityZones)-ownContacts(d, h), s.Contacts)
 		}
 	}
 }
 
-// contactsOwn is 1 for a host that is its zone's contact.
-func contactsOwn(d deployment.Deployment, h deployment.Host) int {
+// ownContacts returns 1 if the host is the contact of its availability zone, otherwise 0.
+func ownContacts(d deployment.Deployment, h deployment.Host) int {
 	for _, first := range d.Hosts() {
 		if first.AvailabilityZone == h.AvailabilityZone {
 			if first == h {
@@ -45,7 +44,7 @@
 	return 0
 }
 
-func TestHostsHaveAddressesOfTheirOwn(t *testing.T) {
+func TestHostAddressesAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for _, d := range deployment.All() {
 		zones := map[string]bool{}
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -15,8 +15,9 @@
 	fileMode      = 0o644
 )
 
-// settingsTemplate holds what a host of a deployment sets; all else keeps its
-// default.
+// settingsTemplate is the settings file of a host. It contains only the settings that depend on the
+// deployment or the host; all others keep their defaults. The files in the examples directory must
+// be regenerated after a change.
 var settingsTemplate = template.Must(template.New("settings").Parse(`// Daemon beside a backend server of {{.Host.Service.Name}}. The addresses are on loopback, so
 // that the whole deployment runs on one machine; give each host its own.
 {
@@ -50,13 +51,15 @@
 }
 `))
 
+// settingsData is the data of settingsTemplate.
 type settingsData struct {
 	Deployment Deployment
 	Host       Host
-	Contacts   string
+	// Contacts is the content of a JSON array of strings.
+	Contacts string
 }
 
-// Settings returns the settings file of a host.
+// Settings returns the content of the settings file of a host.
 func (d Deployment) Settings(h Host) ([]byte, error) {
 	var quoted []string
 	for _, c := range d.Contacts(h) {
@@ -64,14 +67,14 @@
 	}
 	var b bytes.Buffer
 	err := settingsTemplate.Execute(&b, settingsData{Deployment: d, Host: h, Contacts: strings.Join(quoted, ", ")})
-	return b.Bytes(), errors.Wrap(err, "write settings")
+	return b.Bytes(), errors.Wrapf(err, "write settings of host %q", h.Name)
 }
 
-// WriteSettings writes the settings file of each host into a directory and
-// returns their paths.
+// WriteSettings writes the settings file of each host to a directory, named after the host, and
+// returns the paths of the files. It creates the directory if it does not exist.
 func (d Deployment) WriteSettings(dir string) ([]string, error) {
 	if err := os.MkdirAll(dir, directoryMode); err != nil {
-		return nil, errors.Wrap(err, "write settings")
+		return nil, errors.Wrap(err, "create settings directory")
 	}
 	var paths []string
 	for _, h := range d.Hosts() {
