--- a/internal/bundle/bundle.go
+++ b/internal/bundle/bundle.go
@@ -211,7 +211,7 @@
 	return nil
 }
 
-// parseResource parses all fields of a resource of a kind. It checks them against the message's
+// parseResource parses a resource of the given kind with all its fields. It checks them against the message's
 // descriptor first, because the errors of protojson contain no position in the file.
 func (p *parser) parseResource(kind string, v *hujson.Value, path string) *configpb.Resource {
 	before := len(p.problems)
--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -30,7 +30,7 @@
 	Slots int
 }
 
-// Deployment describes the deployment of one user of the project.
+// Deployment describes the deployment of one organization that uses the project.
 type Deployment struct {
 	Name   string
 	Region string
@@ -91,7 +91,7 @@
 // All returns both deployments.
 func All() []Deployment { return []Deployment{Association(), WaterRecords()} }
 
-// Named returns the deployment with a name. It returns false if there is none.
+// Named returns the deployment with the given name. It returns false if there is none.
 func Named(name string) (Deployment, bool) {
 	for _, d := range All() {
 		if d.Name == name {
--- a/internal/deployment/settings.go
+++ b/internal/deployment/settings.go
@@ -67,7 +67,7 @@
 	}
 	var b bytes.Buffer
 	err := settingsTemplate.Execute(&b, settingsData{Deployment: d, Host: h, Contacts: strings.Join(quoted, ", ")})
-	return b.Bytes(), errors.Wrapf(err, "write settings of host %q", h.Name)
+	return b.Bytes(), errors.Wrap(err, "generate settings")
 }
 
 // WriteSettings writes the settings file of each host to a directory, named after the host, and
