--- a/internal/controller/announce/announce.go
+++ b/internal/controller/announce/announce.go
@@ -60,7 +60,7 @@
 	// states it.
 	Service string
 	// RejectionLogLimit limits the log lines about rejected announcements.
-	RejectionLogLimit telemetry.LineLimit
+	RejectionLogLimit telemetry.LogLimiter
 
 	// ended holds the instances that have ended. It is accessed only within updates of the Local
 	// cell, which are serialized.
--- a/internal/daemon/calls.go
+++ b/internal/daemon/calls.go
@@ -24,7 +24,7 @@
 
 // buildCalls builds the components that a call passes through.
 func (p *components) buildCalls(d *Daemon) error {
-	metrics := telemetry.NewCalls(d.registry)
+	metrics := telemetry.NewCallMeter(d.registry)
 	attemptOptions := once.DefaultAttemptTableOptions(d.boot)
 	attemptOptions.Bounds.MaxRecords, attemptOptions.Bounds.MaxBytes = maxCallRecords, maxResponseBytes
 	p.attempts = once.NewAttemptTable(attemptOptions)
@@ -32,7 +32,7 @@
 	p.inbound = inbound.NewHandler(inbound.Options{
 		LinkMbps: d.settings.LinkMbps, Runs: runs, CalleeStats: callees, HostShare: d.hostShare,
 		Local: &d.board.Local, NewGate: d.newGate,
-		MergeRoutes: d.isDisabled(settings.WithoutRoutes), IgnoreObjective: d.isDisabled(settings.WithoutObjective),
+		MergeRoutes: d.isDisabled(settings.WithoutRouteClasses), IgnoreObjective: d.isDisabled(settings.WithoutObjective),
 		Attempts: p.attempts, Dialect: d.dialect(), OnServerMismatch: p.announce.HandleServerMismatch,
 		Quarantine: p.quarantine, Rollout: p.rolloutGate, Tracer: d.tracer, Metrics: metrics, Logger: d.logger,
 	})
@@ -48,7 +48,7 @@
 	quotaOptions.Peers = quotaPeers{p.controlPool}
 	quotaOptions.Logger = d.logger
 	p.quota = quota.New(quotaOptions)
-	p.budgets = retry.NewBudgets(retry.BudgetOptions{Ratio: retryBudgetShare * d.settings.Retries.Ratio, Burst: d.settings.Retries.Extra})
+	p.budgets = retry.NewBudgets(retry.BudgetOptions{Ratio: retryBudgetShare * d.settings.Retries.Ratio, Burst: d.settings.Retries.Burst})
 	if err := p.buildKeys(d); err != nil {
 		return err
 	}
@@ -59,8 +59,8 @@
 		Host: d.settings.Host, Boot: d.boot,
 		MaxBody: d.settings.Requests.MaxBodyBytes, MaxCalls: d.settings.Requests.MaxInFlight,
 		Dialect: d.dialect(), Anonymous: d.settings.Requests.Customers == settings.CustomersOptional,
-		AlwaysSendSmallBodies: d.isDisabled(settings.WithoutQuestions), IgnoreCallerRetries: d.isDisabled(settings.WithoutReturns),
-		TryBusyGates:  d.isDisabled(settings.WithoutBusy),
+		AlwaysSendSmallBodies: d.isDisabled(settings.WithoutAdmissionCheck), IgnoreCallerRetries: d.isDisabled(settings.WithoutCallerRetries),
+		TryBusyGates:  d.isDisabled(settings.WithoutBusyGates),
 		CallerService: d.localService, Runs: runs, NestedRoutes: &admission.NestedRoutes{},
 		CalleeStats: callees, CallGraph: &admission.CallGraph{},
 		KilobyteCost: d.kilobyteCost, Quarantine: p.quarantine,
@@ -81,7 +81,7 @@
 	p.keys = once.NewKeyStore(o)
 	p.ownKeys = once.IssuedKeysOnly{}
 	p.claimLoop = idle
-	if d.settings.Requests.OwnKeys != settings.On {
+	if d.settings.Requests.CallerKeys != settings.On {
 		return nil
 	}
 	options := once.DefaultClaimResolverOptions(p.meteredStream(once.StreamClaims), p.keys)
@@ -135,7 +135,7 @@
 func (d *Daemon) newGate() *gate.Gate {
 	o := gate.DefaultOptions()
 	o.FixedSlots = d.usesMetadataStore()
-	o.RetryAfterIgnoresObjective = d.isDisabled(settings.WithoutTimelyReturns)
+	o.RetryAfterIgnoresObjective = d.isDisabled(settings.WithoutObjectiveRetryAfter)
 	return gate.New(o)
 }
 
@@ -156,7 +156,7 @@
 // peerNotice returns how long before the end of gracePeriod the drain of the backend server is
 // announced.
 func (d *Daemon) peerNotice() time.Duration {
-	if d.isDisabled(settings.WithoutNotice) {
+	if d.isDisabled(settings.WithoutDrainNotice) {
 		return gracePeriod
 	}
 	return peerNotice
@@ -174,7 +174,7 @@
 // hostShare returns the share of the hosts with a known backend server whose server belongs to the
 // service, 0 to 1.
 func (d *Daemon) hostShare(service string) float64 {
-	if d.isDisabled(settings.WithoutNested) {
+	if d.isDisabled(settings.WithoutNestedCalls) {
 		// If every host has a server of the service, calls made by that service cannot be
 		// distinguished from requests of callers.
 		return 1
@@ -200,7 +200,7 @@
 		if view != nil {
 			members = max(len(view.Members), 1)
 		}
-		d.budgets.SetBurst(max(1, retryBudgetShare*float64(d.currentSettings().Retries.Extra)/float64(members)))
+		d.budgets.SetBurst(max(1, retryBudgetShare*float64(d.currentSettings().Retries.Burst)/float64(members)))
 		select {
 		case <-changed:
 		case <-t.C:
--- a/internal/daemon/components.go
+++ b/internal/daemon/components.go
@@ -81,7 +81,7 @@
 
 	inbound     *inbound.Handler
 	outbound    *outbound.Handler
-	self        *fleet.Self
+	self        *fleet.LocalStatus
 	operatorAPI http.Handler
 
 	apply       *apply.Controller
@@ -234,11 +234,11 @@
 	p.membership.OnOffset(p.spreader.ObserveOffset)
 	p.buildStreams(d)
 	p.members = &members.Controller{Board: d.board, Membership: p.membership, Now: time.Now}
-	p.apply = &apply.Controller{Board: d.board, Logger: d.logger, OnInForce: telemetry.NewInForce(d.registry)}
+	p.apply = &apply.Controller{Board: d.board, Logger: d.logger, OnInForce: telemetry.NewConfigGauges(d.registry)}
 	p.announce = &announce.Controller{
 		Board: d.board, Logger: d.logger, Now: time.Now,
 		Address: d.settings.Backend.Address, ServerTTL: time.Duration(d.settings.Backend.Expires),
-		Service: d.settings.Backend.Service, RejectionLogLimit: telemetry.NewLineLimit(maxAnnouncementLogLines),
+		Service: d.settings.Backend.Service, RejectionLogLimit: telemetry.NewLogLimiter(maxAnnouncementLogLines),
 	}
 }
 
@@ -279,12 +279,12 @@
 }
 
 func (p *components) buildOperators(d *Daemon) {
-	p.self = fleet.NewSelf(fleet.SelfOptions{
+	p.self = fleet.NewLocalStatus(fleet.LocalStatusOptions{
 		Board: d.board, Host: d.settings.Host, AvailabilityZone: d.settings.AvailabilityZone,
 		Version: buildinfo.Get().String(), Now: time.Now,
 	})
 	o := fleet.DefaultOptions()
-	o.Board, o.Self, o.Peers, o.Drain, o.Logger = d.board, p.self, operatorPeers{p.controlPool}, p.lifecycle.Drain, d.logger
+	o.Board, o.Local, o.Peers, o.Drain, o.Logger = d.board, p.self, operatorPeers{p.controlPool}, p.lifecycle.Drain, d.logger
 	f := fleet.New(o)
 	p.peerServer.Handle(peerpb.Kind_KIND_STATUS, p.self)
 	p.peerServer.Handle(peerpb.Kind_KIND_DRAIN, peer.HandlerFunc(f.ServeDrain))
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -105,7 +105,7 @@
 	s.Listen = settings.Listen{Callers: "127.0.0.1:0", Peers: "127.0.0.1:0", Operators: "127.0.0.1:0", Backend: "127.0.0.1:0"}
 	s.Platform.URL = f.logURL
 	s.Log.Level = "error"
-	s.Requests.OwnKeys = settings.On
+	s.Requests.CallerKeys = settings.On
 	if len(f.daemons) > 0 {
 		s.Contacts = []string{f.daemons[0].ln.peers.Addr().String()}
 	}
--- a/internal/daemon/recover.go
+++ b/internal/daemon/recover.go
@@ -110,7 +110,7 @@
 // have had in force, obtains a state that is not older, and starts serving.
 func (d *Daemon) recoverConfiguration(ctx context.Context) error {
 	// The daemon keeps joining after this timeout.
-	joinTimer := time.NewTimer(time.Duration(d.settings.Membership.JoinPatience))
+	joinTimer := time.NewTimer(time.Duration(d.settings.Membership.JoinTimeout))
 	defer joinTimer.Stop()
 	select {
 	case <-d.joined:
--- a/internal/daemon/reload_test.go
+++ b/internal/daemon/reload_test.go
@@ -31,12 +31,12 @@
 	d.reloads = ReloadOptions{File: file, Signal: signal}
 	go func() { _ = d.watchSettings(d.ctx) }()
 	signal <- syscall.SIGHUP
-	f.eventually("the settings are reloaded after the signal", func() bool { return d.currentSettings().Retries.Extra == 281 })
+	f.eventually("the settings are reloaded after the signal", func() bool { return d.currentSettings().Retries.Burst == 281 })
 	host := d.currentSettings().Host
 	write("-1")
 	signal <- syscall.SIGHUP
 	write("1000")
-	f.eventually("the settings are reloaded after the change", func() bool { return d.currentSettings().Retries.Extra == 1000 })
+	f.eventually("the settings are reloaded after the change", func() bool { return d.currentSettings().Retries.Burst == 1000 })
 	must.Eq(t, host, d.currentSettings().Host, must.Sprint("the host name does not change at runtime"))
 	must.Eq(t, 0.1, d.currentSettings().Retries.Ratio, must.Sprint("a setting that is missing from the file has its default"))
 }
--- a/internal/daemon/start_test.go
+++ b/internal/daemon/start_test.go
@@ -66,7 +66,7 @@
 	f.adjustSettings = func(s *settings.Settings) {
 		change(s)
 		s.Platform.URL = srv.URL
-		s.Membership.JoinPatience = settings.Duration(waitLimit)
+		s.Membership.JoinTimeout = settings.Duration(waitLimit)
 	}
 	d := f.start()
 	f.eventually("the document came from a daemon", func() bool {
--- a/internal/daemon/store_test.go
+++ b/internal/daemon/store_test.go
@@ -35,7 +35,7 @@
 	f.adjustSettings = func(s *settings.Settings) {
 		s.Platform.URL, s.Platform.Protocol = f.store.URL(), settings.ProtocolStore
 		s.Requests.Customers = settings.CustomersOptional
-		s.Membership.JoinPatience = 0
+		s.Membership.JoinTimeout = 0
 		s.Backend.Expires = settings.Duration(time.Minute)
 		s.Backend.Service = "service-of-" + s.Host
 		s.Contacts = nil
--- a/internal/fleet/convergence.go
+++ b/internal/fleet/convergence.go
@@ -107,17 +107,17 @@
 	p.Offset = a.GetOffset()
 	p.InForce = p.Offset >= w.offset
 	if !p.InForce {
-		p.Reason = cmp.Or(Trouble(a), "has not got it yet")
+		p.Reason = cmp.Or(StallReason(a), "has not got it yet")
 		return p
 	}
 	age := time.Duration(a.GetInForceAgeMs()) * time.Millisecond
-	p.After = max(0, w.fleet.opts.Self.now().Sub(w.start)-age)
+	p.After = max(0, w.fleet.opts.Local.now().Sub(w.start)-age)
 	return p
 }
 
-// Trouble tells why a daemon that answers is behind or may soon be; empty if it
+// StallReason tells why a daemon that answers is behind or may soon be; empty if it
 // names no reason.
-func Trouble(a *peerpb.StatusAnswer) string {
+func StallReason(a *peerpb.StatusAnswer) string {
 	switch {
 	case a.GetStuckReason() != "":
 		return a.GetStuckReason()
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -49,7 +49,7 @@
 
 // resolve returns the live members of a target.
 func (f *Fleet) resolve(target Target) ([]*membership.Member, error) {
-	self := &membership.Member{Host: f.opts.Self.opts.Host}
+	self := &membership.Member{Host: f.opts.Local.opts.Host}
 	if target.Host != "" && target.AvailabilityZone != "" {
 		return nil, errkind.New(errkind.BadRequest, "name either a host or an availability zone")
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -31,7 +31,7 @@
 // Options holds what a Fleet needs.
 type Options struct {
 	Board *blackboard.Board
-	Self  *Self
+	Local *LocalStatus
 	Peers Caller
 	// Drain begins a graceful shutdown of this daemon and returns at once.
 	Drain func(reason string)
@@ -93,7 +93,7 @@
 // ask returns a daemon's own status.
 func (f *Fleet) ask(ctx context.Context, m *membership.Member) (*peerpb.StatusAnswer, error) {
 	if f.isSelf(m) {
-		return f.opts.Self.Status(), nil
+		return f.opts.Local.Status(), nil
 	}
 	a := &peerpb.StatusAnswer{}
 	if err := f.opts.Peers.Call(ctx, m.PeerAddr, peerpb.Kind_KIND_STATUS, &peerpb.StatusAsk{}, a); err != nil {
@@ -102,7 +102,7 @@
 	return a, nil
 }
 
-func (f *Fleet) isSelf(m *membership.Member) bool { return m.Host == f.opts.Self.opts.Host }
+func (f *Fleet) isSelf(m *membership.Member) bool { return m.Host == f.opts.Local.opts.Host }
 
 // each calls do for every member, at most Concurrency at once and each with a
 // timeout of its own, and returns when all are done.
@@ -122,4 +122,4 @@
 }
 
 // Self returns this daemon's own status.
-func (f *Fleet) Self() *peerpb.StatusAnswer { return f.opts.Self.Status() }
+func (f *Fleet) Self() *peerpb.StatusAnswer { return f.opts.Local.Status() }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -85,7 +85,7 @@
 	board.Members.Store(&membership.View{Self: members[0], Members: members})
 	opts := fleet.DefaultOptions()
 	opts.Board = board
-	opts.Self = fleet.NewSelf(fleet.SelfOptions{Board: board, Host: members[0].Host})
+	opts.Local = fleet.NewLocalStatus(fleet.LocalStatusOptions{Board: board, Host: members[0].Host})
 	opts.Peers = peers
 	opts.Drain = func(string) {}
 	return fleet.New(opts), board
@@ -214,7 +214,7 @@
 func TestSelfNotesProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := &blackboard.Board{}
-		self := fleet.NewSelf(fleet.SelfOptions{Board: board, Host: "a", AvailabilityZone: "z"})
+		self := fleet.NewLocalStatus(fleet.LocalStatusOptions{Board: board, Host: "a", AvailabilityZone: "z"})
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- self.Run(ctx) }()
@@ -283,10 +283,10 @@
 	must.NoError(t, err)
 	board := &blackboard.Board{}
 	board.Snapshot.Store(inForce(9))
-	self := fleet.NewSelf(fleet.SelfOptions{Board: board, Host: "b", AvailabilityZone: "z", Version: "v1"})
+	self := fleet.NewLocalStatus(fleet.LocalStatusOptions{Board: board, Host: "b", AvailabilityZone: "z", Version: "v1"})
 	drained := make(chan string, 1)
 	served := fleet.DefaultOptions()
-	served.Self, served.Drain = self, func(reason string) { drained <- reason }
+	served.Local, served.Drain = self, func(reason string) { drained <- reason }
 	srv := peer.NewServer(peer.DefaultServerOptions())
 	srv.Handle(peerpb.Kind_KIND_STATUS, self)
 	srv.Handle(peerpb.Kind_KIND_DRAIN, peer.HandlerFunc(fleet.New(served).ServeDrain))
--- a/internal/fleet/self.go
+++ b/internal/fleet/self.go
@@ -13,8 +13,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// SelfOptions holds what a Self needs.
-type SelfOptions struct {
+// LocalStatusOptions holds what a Self needs.
+type LocalStatusOptions struct {
 	Board            *blackboard.Board
 	Host             string
 	AvailabilityZone string
@@ -24,10 +24,10 @@
 	Now func() time.Time
 }
 
-// Self tells this daemon's own status. Run must be running, so that the times at
+// LocalStatus tells this daemon's own status. Run must be running, so that the times at
 // which versions come into force are seen when nobody asks.
-type Self struct {
-	opts SelfOptions
+type LocalStatus struct {
+	opts LocalStatusOptions
 
 	mu       sync.Mutex
 	progress progress
@@ -41,17 +41,17 @@
 	behindSince time.Time
 }
 
-// NewSelf returns a Self that has seen nothing yet.
-func NewSelf(opts SelfOptions) *Self {
+// NewLocalStatus returns a Self that has seen nothing yet.
+func NewLocalStatus(opts LocalStatusOptions) *LocalStatus {
 	if opts.Now == nil {
 		opts.Now = time.Now
 	}
-	return &Self{opts: opts}
+	return &LocalStatus{opts: opts}
 }
 
 // Run notes each change of the version in force and of the version known until
 // ctx ends, and returns nil then.
-func (s *Self) Run(ctx context.Context) error {
+func (s *LocalStatus) Run(ctx context.Context) error {
 	for {
 		_, snapshotChanged := s.opts.Board.Snapshot.Watch()
 		_, sourceChanged := s.opts.Board.Source.Watch()
@@ -67,7 +67,7 @@
 
 // observe brings the noted progress up to the blackboard. Status calls it too,
 // so that an answer never pairs a new offset with the age of the one before.
-func (s *Self) observe() (progress, time.Time) {
+func (s *LocalStatus) observe() (progress, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -85,10 +85,10 @@
 	return s.progress, now
 }
 
-func (s *Self) now() time.Time { return s.opts.Now() }
+func (s *LocalStatus) now() time.Time { return s.opts.Now() }
 
 // offsets returns the version in force and the highest one known.
-func (s *Self) offsets() (offset, known uint64) {
+func (s *LocalStatus) offsets() (offset, known uint64) {
 	if snap := s.opts.Board.Snapshot.Load(); snap != nil {
 		offset = snap.Offset
 	}
@@ -99,7 +99,7 @@
 }
 
 // Status returns this daemon's status.
-func (s *Self) Status() *peerpb.StatusAnswer {
+func (s *LocalStatus) Status() *peerpb.StatusAnswer {
 	p, now := s.observe()
 	a := &peerpb.StatusAnswer{
 		Host:             s.opts.Host,
@@ -122,7 +122,7 @@
 	return a
 }
 
-func (s *Self) addLifecycle(a *peerpb.StatusAnswer) {
+func (s *LocalStatus) addLifecycle(a *peerpb.StatusAnswer) {
 	if l := s.opts.Board.Lifecycle.Load(); l != nil {
 		a.Phase = l.Phase.String()
 		a.Draining = l.Phase >= blackboard.Draining
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Self) addSource(a *peerpb.StatusAnswer, now time.Time) {
+func (s *LocalStatus) addSource(a *peerpb.StatusAnswer, now time.Time) {
 	src := s.opts.Board.Source.Load()
 	if src == nil {
 		return
@@ -149,7 +149,7 @@
 }
 
 // ServeStream answers KIND_STATUS.
-func (s *Self) ServeStream(_ context.Context, st *peer.Stream) error {
+func (s *LocalStatus) ServeStream(_ context.Context, st *peer.Stream) error {
 	var ask peerpb.StatusAsk
 	if err := st.RecvMax(&ask, maxAskBytes); err != nil {
 		return err
--- a/internal/operator/api.go
+++ b/internal/operator/api.go
@@ -169,7 +169,7 @@
 		d.Phase, d.Draining, d.Offset = a.GetPhase(), a.GetDraining(), a.GetOffset()
 		d.InForceAgeMs, d.BehindMs = a.GetInForceAgeMs(), a.GetBehindMs()
 		d.Reader, d.Version, d.WithheldRoutes = a.GetReader(), a.GetVersion(), a.GetWithheldRoutes()
-		d.Reason = fleet.Trouble(a)
+		d.Reason = fleet.StallReason(a)
 	}
 	return d
 }
--- a/internal/proxy/inbound/inbound.go
+++ b/internal/proxy/inbound/inbound.go
@@ -71,7 +71,7 @@
 	// results. If it is nil, all calls may.
 	Rollout *rollout.Gate
 	Tracer  trace.Tracer
-	Metrics *telemetry.Calls
+	Metrics *telemetry.CallMeter
 	Logger  *slog.Logger
 }
 
@@ -96,7 +96,7 @@
 	pacer                    *pacer
 	transits                 *transit.Estimator
 	classifier               *admission.RouteClassifier
-	rejectionLog             telemetry.LineLimit
+	rejectionLog             telemetry.LogLimiter
 }
 
 // NewHandler returns a handler. Without a rollout gate in opts it admits calls to all versions.
@@ -105,7 +105,7 @@
 		opts.Rollout = rollout.NewGate(time.Now)
 	}
 	h := &Handler{
-		opts: opts, rejectionLog: telemetry.NewLineLimit(rejectionLogLimit), pacer: newPacer(opts.LinkMbps), transits: transit.New(),
+		opts: opts, rejectionLog: telemetry.NewLogLimiter(rejectionLogLimit), pacer: newPacer(opts.LinkMbps), transits: transit.New(),
 		classifier: admission.NewRouteClassifier(opts.HostShare),
 	}
 	h.instances.init(opts)
--- a/internal/proxy/outbound/handler.go
+++ b/internal/proxy/outbound/handler.go
@@ -50,7 +50,7 @@
 	Keys    *once.KeyStore
 	OwnKeys once.KeyResolver
 	Tracer  trace.Tracer
-	Metrics *telemetry.Calls
+	Metrics *telemetry.CallMeter
 	Logger  *slog.Logger
 	// Host is the name of this host, Boot identifies this process of its daemon.
 	Host string
@@ -104,7 +104,7 @@
 	idAllocator     *once.IDAllocator
 	responseSizes   responseSizes
 	initialTimeouts admission.InitialTimeouts
-	logLimit        telemetry.LineLimit
+	logLimit        telemetry.LogLimiter
 	inFlight        atomic.Int64
 	// running maps each *call in progress to its context.CancelCauseFunc.
 	running sync.Map
@@ -112,7 +112,7 @@
 
 // NewHandler returns the handler for the listener that callers connect to.
 func NewHandler(opts Options) *Handler {
-	h := &Handler{opts: opts, logLimit: telemetry.NewLineLimit(maxRoutineLogRate)}
+	h := &Handler{opts: opts, logLimit: telemetry.NewLogLimiter(maxRoutineLogRate)}
 	h.idAllocator = once.NewIDAllocator(once.DefaultIDAllocatorOptions(h.openLane))
 	h.router = bunrouter.New(bunrouter.WithNotFoundHandler(h.proxy), bunrouter.WithMethodNotAllowedHandler(h.proxy))
 	h.router.POST(KeysPath, h.issueKeys)
@@ -149,7 +149,7 @@
 	}
 	callerGone := r.Context().Err() != nil
 	if callerGone {
-		h.opts.Metrics.CallerGone.Inc()
+		h.opts.Metrics.CallerDisconnects.Inc()
 	}
 	ctx := telemetry.WithTraceparent(r.Context(), r.Header.Get("Traceparent"))
 	ctx, span := h.opts.Tracer.Start(ctx, "outbound", trace.WithSpanKind(trace.SpanKindServer))
--- a/internal/proxy/outbound/log.go
+++ b/internal/proxy/outbound/log.go
@@ -40,7 +40,7 @@
 // RecordDisconnect counts a request that is not handled because its caller has disconnected,
 // and logs it up to maxRoutineLogRate.
 func (h *Handler) RecordDisconnect(r *http.Request) {
-	h.opts.Metrics.CallerGone.Inc()
+	h.opts.Metrics.CallerDisconnects.Inc()
 	if h.logLimit.Allow() {
 		h.opts.Logger.Info("outbound: request not begun",
 			"request", dialect.Get(r.Header, h.opts.Dialect.RequestID), "virtual_host", r.Host, "path", rawPath(r),
--- a/internal/proxy/outbound/outcome.go
+++ b/internal/proxy/outbound/outcome.go
@@ -85,7 +85,7 @@
 	for {
 		ans, err := a.queryOnce(ctx)
 		if err != nil && (a.gateGone() || errors.Is(err, syscall.ECONNREFUSED)) {
-			a.c.h.opts.Metrics.Ask(peerpb.Outcome_OUTCOME_UNKNOWN)
+			a.c.h.opts.Metrics.OutcomeQuery(peerpb.Outcome_OUTCOME_UNKNOWN)
 			return nil, errkind.Wrap(errkind.OutcomeUnknown, err, "the daemon on the backend server's host is gone")
 		}
 		if recorded, kind, text := a.interpretOutcome(ans); recorded != nil {
@@ -130,7 +130,7 @@
 	req := &peerpb.Ask{AttemptId: a.id[:], Bar: true}
 	err := a.c.h.opts.Pool.Call(ctx, a.server.PeerAddr, peerpb.Kind_KIND_ASK, req, ans)
 	if err == nil {
-		a.c.h.opts.Metrics.Ask(ans.GetOutcome())
+		a.c.h.opts.Metrics.OutcomeQuery(ans.GetOutcome())
 	}
 	return ans, err
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -120,7 +120,7 @@
 		"Share of calls traced where the caller did not decide."),
 
 	choice("trial.without", []string{
-		WithoutNothing, WithoutNested, WithoutRoutes, WithoutObjective, WithoutTimelyReturns, WithoutQuestions,
-		WithoutNotice, WithoutReturns, WithoutBusy, WithoutLocality,
+		WithoutNothing, WithoutNestedCalls, WithoutRouteClasses, WithoutObjective, WithoutObjectiveRetryAfter, WithoutAdmissionCheck,
+		WithoutDrainNotice, WithoutCallerRetries, WithoutBusyGates, WithoutLocality,
 	}, "A mechanism that is left out, to measure what it is worth; for trials only. docs/measure/decisions.md names what each does."),
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -112,8 +112,8 @@
 	SuspicionTimeout Duration `json:"suspicion_timeout"`
 	// HealInterval is the mean time between two attempts to reach a dead daemon.
 	HealInterval Duration `json:"heal_interval"`
-	// JoinPatience is how long a start waits for other daemons.
-	JoinPatience Duration `json:"join_patience"`
+	// JoinTimeout is how long a start waits for other daemons.
+	JoinTimeout Duration `json:"join_patience"`
 }
 
 // Spread tunes how configuration travels.
@@ -158,9 +158,9 @@
 	SlowServers string `json:"slow_servers"`
 	// Customers is required or optional.
 	Customers string `json:"customers"`
-	// OwnKeys is off or on. Each daemon that takes keys of callers' own making
+	// CallerKeys is off or on. Each daemon that takes keys of callers' own making
 	// reads the claims of all.
-	OwnKeys string `json:"own_keys"`
+	CallerKeys string `json:"own_keys"`
 }
 
 // What becomes of slow backend servers.
@@ -178,7 +178,7 @@
 // Retries bounds what the whole fleet sends to backend servers again.
 type Retries struct {
 	Ratio float64 `json:"ratio"`
-	Extra int     `json:"extra"`
+	Burst int     `json:"extra"`
 }
 
 // Rollouts bounds what a version gets that is not known to be good.
@@ -222,22 +222,22 @@
 const (
 	// WithoutNothing leaves all mechanisms in place.
 	WithoutNothing = "nothing"
-	// WithoutNested treats calls that services make like callers' requests.
-	WithoutNested = "nested"
-	// WithoutRoutes takes all calls at a gate for alike.
-	WithoutRoutes = "routes"
+	// WithoutNestedCalls treats calls that services make like callers' requests.
+	WithoutNestedCalls = "nested"
+	// WithoutRouteClasses takes all calls at a gate for alike.
+	WithoutRouteClasses = "routes"
 	// WithoutObjective bounds waits at gates by the senders' patience alone.
 	WithoutObjective = "objective"
-	// WithoutTimelyReturns tells refused callers to come back when the queue is served.
-	WithoutTimelyReturns = "timely_returns"
-	// WithoutQuestions sends bodies of up to 16 kB along with their calls.
-	WithoutQuestions = "questions"
-	// WithoutNotice tells the other daemons of a drain at its beginning.
-	WithoutNotice = "notice"
-	// WithoutReturns takes callers that come back for new ones.
-	WithoutReturns = "returns"
-	// WithoutBusy tries gates that have just told of a long queue.
-	WithoutBusy = "busy"
+	// WithoutObjectiveRetryAfter tells refused callers to come back when the queue is served.
+	WithoutObjectiveRetryAfter = "timely_returns"
+	// WithoutAdmissionCheck sends bodies of up to 16 kB along with their calls.
+	WithoutAdmissionCheck = "questions"
+	// WithoutDrainNotice tells the other daemons of a drain at its beginning.
+	WithoutDrainNotice = "notice"
+	// WithoutCallerRetries takes callers that come back for new ones.
+	WithoutCallerRetries = "returns"
+	// WithoutBusyGates tries gates that have just told of a long queue.
+	WithoutBusyGates = "busy"
 	// WithoutLocality takes bytes between availability zones for free.
 	WithoutLocality = "locality"
 )
--- a/internal/telemetry/control.go
+++ b/internal/telemetry/control.go
@@ -21,9 +21,9 @@
 	return reg
 }
 
-// NewInForce registers the gauges of the version in force and returns the
+// NewConfigGauges registers the gauges of the version in force and returns the
 // function that sets them.
-func NewInForce(reg prometheus.Registerer) func(offset uint64, at time.Time) {
+func NewConfigGauges(reg prometheus.Registerer) func(offset uint64, at time.Time) {
 	version := prometheus.NewGauge(prometheus.GaugeOpts{
 		Namespace: namespace, Name: "config_offset", Help: "Configuration offset in force.",
 	})
--- a/internal/telemetry/docs_test.go
+++ b/internal/telemetry/docs_test.go
@@ -65,10 +65,10 @@
 // registered returns the labels of every metric of a daemon by name.
 func registered() map[string][]string {
 	d := &descriptions{labels: make(map[string][]string)}
-	NewInForce(d)
+	NewConfigGauges(d)
 	NewMemberMeter(d)
 	NewSpreadMeter(d)
-	NewCalls(d)
+	NewCallMeter(d)
 	NewPeerMeter(d)
 	NewAppendMeter(d)
 	NewStoreMeter(d)
--- a/internal/telemetry/limit.go
+++ b/internal/telemetry/limit.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// LineLimit lets a number of log lines through each second, the zero value all. It is
+// LogLimiter lets a number of log lines through each second, the zero value all. It is
 // safe for concurrent use; around the turn of a second a few lines too many may pass.
-type LineLimit struct {
+type LogLimiter struct {
 	perSecond int64
 	state     *limitState
 }
@@ -16,13 +16,13 @@
 	second, passed atomic.Int64
 }
 
-// NewLineLimit returns a limit of so many lines a second.
-func NewLineLimit(perSecond int64) LineLimit {
-	return LineLimit{perSecond: perSecond, state: &limitState{}}
+// NewLogLimiter returns a limit of so many lines a second.
+func NewLogLimiter(perSecond int64) LogLimiter {
+	return LogLimiter{perSecond: perSecond, state: &limitState{}}
 }
 
 // Allow reports whether the next line may be written.
-func (l LineLimit) Allow() bool {
+func (l LogLimiter) Allow() bool {
 	if l.state == nil {
 		return true
 	}
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -18,15 +18,15 @@
 // kindOK labels the calls that ended with the backend server's answer.
 const kindOK = "ok"
 
-// Calls counts the calls that pass a daemon.
-type Calls struct {
+// CallMeter counts the calls that pass a daemon.
+type CallMeter struct {
 	outbound, inbound map[errkind.Kind]recorder
 	attempts          prometheus.Counter
 	retries           prometheus.Counter
 	asks              *prometheus.CounterVec
 	InFlight          prometheus.Gauge
-	// CallerGone counts the requests whose caller had gone before they were handled.
-	CallerGone prometheus.Counter
+	// CallerDisconnects counts the requests whose caller had gone before they were handled.
+	CallerDisconnects prometheus.Counter
 }
 
 // recorder is resolved once for each kind, so that a call looks no label up.
@@ -35,8 +35,8 @@
 	time  prometheus.Observer
 }
 
-// NewCalls registers the metrics of calls.
-func NewCalls(reg prometheus.Registerer) *Calls {
+// NewCallMeter registers the metrics of calls.
+func NewCallMeter(reg prometheus.Registerer) *CallMeter {
 	count := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "calls_total",
 		Help: "Calls ended, by direction and kind of outcome.",
@@ -45,7 +45,7 @@
 		Namespace: namespace, Name: "call_duration_seconds",
 		Help: "Time from a call's arrival to the end of its answer.", Buckets: latencyBuckets,
 	}, []string{"direction", "kind"})
-	c := &Calls{
+	c := &CallMeter{
 		attempts: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "attempts_total", Help: "Attempts sent to other daemons.",
 		}),
@@ -58,11 +58,11 @@
 		InFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "calls_in_flight", Help: "Callers' requests in progress.",
 		}),
-		CallerGone: prometheus.NewCounter(prometheus.CounterOpts{
+		CallerDisconnects: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "caller_gone_total", Help: "Requests whose caller had gone before they were handled.",
 		}),
 	}
-	reg.MustRegister(count, duration, c.attempts, c.retries, c.asks, c.InFlight, c.CallerGone)
+	reg.MustRegister(count, duration, c.attempts, c.retries, c.asks, c.InFlight, c.CallerDisconnects)
 	c.outbound = recorders("outbound", count, duration)
 	c.inbound = recorders("inbound", count, duration)
 	return c
@@ -86,21 +86,21 @@
 }
 
 // Outbound counts one call as its caller saw it.
-func (c *Calls) Outbound(k errkind.Kind, d time.Duration) { c.outbound[k].observe(d) }
+func (c *CallMeter) Outbound(k errkind.Kind, d time.Duration) { c.outbound[k].observe(d) }
 
 // Inbound counts one attempt as the gate saw it.
-func (c *Calls) Inbound(k errkind.Kind, d time.Duration) { c.inbound[k].observe(d) }
+func (c *CallMeter) Inbound(k errkind.Kind, d time.Duration) { c.inbound[k].observe(d) }
 
 // Attempt counts one attempt sent; first tells it from a retry.
-func (c *Calls) Attempt(first bool) {
+func (c *CallMeter) Attempt(first bool) {
 	c.attempts.Inc()
 	if !first {
 		c.retries.Inc()
 	}
 }
 
-// Ask counts one outcome asked of a gate.
-func (c *Calls) Ask(o peerpb.Outcome) { c.asks.WithLabelValues(o.String()).Inc() }
+// OutcomeQuery counts one outcome asked of a gate.
+func (c *CallMeter) OutcomeQuery(o peerpb.Outcome) { c.asks.WithLabelValues(o.String()).Inc() }
 
 // listenerPeers labels input from other daemons.
 const listenerPeers = "peers"
