--- a/internal/telemetry/appends.go
+++ b/internal/telemetry/appends.go
@@ -10,30 +10,30 @@
 	"github.com/crocuscross/crocuscross/eventlog"
 )
 
-// AppendMeter counts what this process appends to the platform's log. Reads of
-// configuration are counted by SpreadMeter.
+// AppendMeter counts this process's appends to the platform's log. SpreadMeter counts the reads of
+// configuration.
 type AppendMeter struct {
 	appends  *prometheus.CounterVec
 	duration prometheus.Histogram
 }
 
-// NewAppendMeter registers the metrics of appends.
+// NewAppendMeter returns an AppendMeter whose metrics are registered with reg.
 func NewAppendMeter(reg prometheus.Registerer) *AppendMeter {
 	m := &AppendMeter{
 		appends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "log_appends_total",
-			Help: "Appends to the platform's log, by stream and result: ok, rejected, unavailable (not in the log) or unknown.",
+			Help: "Appends to the platform's log, by stream and result: ok, rejected, unavailable (not appended) or unknown.",
 		}, []string{"stream", "result"}),
 		duration: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "log_append_duration_seconds",
-			Help: "Time until an append was answered or given up.", Buckets: latencyBuckets,
+			Help: "Time until an append was answered or abandoned, in seconds.", Buckets: latencyBuckets,
 		}),
 	}
 	reg.MustRegister(m.appends, m.duration)
 	return m
 }
 
-// Results of an append.
+// Values of the result label of log_appends_total.
 const (
 	appendOK          = "ok"
 	appendRejected    = "rejected"
@@ -41,9 +41,9 @@
 	appendUnknown     = "unknown"
 )
 
-// Stream returns log with its appends counted under the stream's name. All
-// results start at 0: of a counter that appears with its first count, Prometheus
-// sees no increase, and most daemons append a checkpoint once at most.
+// Stream returns a log that forwards to log and counts its appends under the stream's name. The
+// counters of all results start at 0 because Prometheus sees no increase in a counter that first
+// appears with a value of 1, and most daemons append at most one checkpoint.
 func (m *AppendMeter) Stream(name string, log eventlog.Log) eventlog.Log {
 	for _, result := range []string{appendOK, appendRejected, appendUnavailable, appendUnknown} {
 		m.appends.WithLabelValues(name, result)
@@ -51,6 +51,7 @@
 	return &meteredLog{Log: log, name: name, meter: m}
 }
 
+// meteredLog is a Log that counts and times its appends.
 type meteredLog struct {
 	eventlog.Log
 	name  string
@@ -66,6 +67,7 @@
 	return offset, err
 }
 
+// appendResult returns the result label for the error of an append.
 func appendResult(err error) string {
 	var rejected *eventlog.RejectedError
 	switch {
--- a/internal/telemetry/board.go
+++ b/internal/telemetry/board.go
@@ -12,7 +12,7 @@
 	"github.com/crocuscross/crocuscross/membership"
 )
 
-// Labels of what the blackboard tells.
+// Labels of the metrics that are read from the blackboard.
 const (
 	labelLiveness = "liveness"
 	labelPhase    = "phase"
@@ -20,60 +20,62 @@
 	labelState    = "state"
 )
 
-// States of a known backend server.
+// Values of the state label of backend_servers.
 const (
 	backendAvailable = "available"
 	backendSuspect   = "suspect"
 	backendDraining  = "draining"
 )
 
+// Label values that every scrape includes, also at 0.
 var (
 	phases     = []blackboard.Phase{blackboard.Joining, blackboard.Serving, blackboard.Draining, blackboard.Leaving, blackboard.Stopped}
 	livenesses = []membership.Liveness{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 )
 
-// BoardCollector tells a daemon's state from its blackboard at each scrape, so
-// that no controller has to keep a gauge in step with its cell.
+// BoardCollector exports a daemon's state as metrics. It reads the blackboard at each scrape, so that
+// controllers don't have to keep gauges consistent with their cells.
 type BoardCollector struct {
 	board *blackboard.Board
 	now   func() time.Time
 
-	known, lag, inForce, stuck *prometheus.Desc
-	documentVersion            *prometheus.Desc
-	floor, floorKnown          *prometheus.Desc
-	withheld                   *prometheus.Desc
-	reader, logFailing         *prometheus.Desc
-	phase                      *prometheus.Desc
-	members, draining, servers *prometheus.Desc
-	rollout                    *prometheus.Desc
-	localSlots                 *prometheus.Desc
+	known, lag, inForce, stuck        *prometheus.Desc
+	documentVersion                   *prometheus.Desc
+	floorOffset, floorKnown           *prometheus.Desc
+	withheldRoutes                    *prometheus.Desc
+	logReader, logFailing             *prometheus.Desc
+	phase                             *prometheus.Desc
+	members, membersDraining, servers *prometheus.Desc
+	rolloutWithheld                   *prometheus.Desc
+	localSlots                        *prometheus.Desc
 }
 
-// NewBoardCollector returns a collector for the caller to register.
+// NewBoardCollector returns a collector of the state on board. The caller registers it.
 func NewBoardCollector(board *blackboard.Board) *BoardCollector {
 	return &BoardCollector{
 		board: board,
 		now:   time.Now,
 
-		known:           newDesc("config_known_offset", "Highest configuration offset that this daemon has heard of."),
-		lag:             newDesc("config_lag", "Configuration offsets known and not in force here."),
-		inForce:         newDesc("config_in_force", "Whether any configuration is in force here."),
-		documentVersion: newDesc("config_document_version", "The operator's version of the document in force, 0 without one."),
-		stuck:           newDesc("config_stuck", "Whether the daemon must stay at its version: an unknown rule, a log that went back, a floor that is not known."),
-		floor:           newDesc("config_floor_offset", "Version below which this daemon does not serve."),
-		floorKnown:      newDesc("config_floor_known", "Whether a restarted daemon has learned its floor."),
-		withheld:        newDesc("routes_withheld", "Routes that wait for a backend server."),
-		reader:          newDesc("log_reader", "Whether this daemon reads the platform's log for its availability zone."),
-		logFailing:      newDesc("log_failing_seconds", "Time since reads of the platform's log began to fail, 0 while they go well."),
-		phase:           newDesc("phase", "1 for the daemon's phase, 0 for the others.", labelPhase),
-		members:         newDesc("members", "Daemons in the member table, this one included, by liveness.", labelLiveness),
-		draining:        newDesc("members_draining", "Daemons alive or suspect that drain."),
-		servers:         newDesc("backend_servers", "Backend servers known of each configured service.", labelService, labelState),
-		rollout:         newDesc("rollout_withheld", "Whether a rollout keeps calls from the backend server beside this daemon."),
-		localSlots:      newDesc("local_slots", "Slots announced by the backend server beside this daemon, 0 without one."),
+		known:           newDesc("config_known_offset", "Highest configuration offset that this daemon knows of."),
+		lag:             newDesc("config_lag", "Number of configuration records that this daemon knows of and that are not in force on it yet."),
+		inForce:         newDesc("config_in_force", "Whether any configuration is in force on this daemon."),
+		documentVersion: newDesc("config_document_version", "Operator's version number of the configuration document in force, 0 if there is none."),
+		stuck:           newDesc("config_stuck", "Whether the daemon cannot advance its configuration: a record requires an unknown rule, the log was restored from an older copy, or the floor is unknown."),
+		floorOffset:     newDesc("config_floor_offset", "Lowest configuration offset at which this daemon serves."),
+		floorKnown:      newDesc("config_floor_known", "Whether this daemon has determined its floor since its start."),
+		withheldRoutes:  newDesc("routes_withheld", "Routes that are not in force until a backend server of their service is known."),
+		logReader:       newDesc("log_reader", "Whether this daemon reads the platform's log for its availability zone."),
+		logFailing:      newDesc("log_failing_seconds", "Time in seconds for which reads of the platform's log have been failing, 0 while they succeed."),
+		phase:           newDesc("phase", "1 for the daemon's current lifecycle phase, 0 for the others.", labelPhase),
+		members:         newDesc("members", "Daemons in the member table, including this one, by liveness.", labelLiveness),
+		membersDraining: newDesc("members_draining", "Alive or suspect daemons that are draining."),
+		servers:         newDesc("backend_servers", "Known backend servers of each configured service, by state.", labelService, labelState),
+		rolloutWithheld: newDesc("rollout_withheld", "Whether a rollout withholds calls from this daemon's backend server."),
+		localSlots:      newDesc("local_slots", "Slots announced by this daemon's backend server, 0 if there is none."),
 	}
 }
 
+// newDesc returns the description of a metric, whose name gets the project's prefix.
 func newDesc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc(prometheus.BuildFQName(namespace, "", name), help, labels, nil)
 }
@@ -81,8 +83,8 @@
 // Describe implements prometheus.Collector.
 func (c *BoardCollector) Describe(ch chan<- *prometheus.Desc) {
 	for _, d := range []*prometheus.Desc{
-		c.known, c.lag, c.inForce, c.documentVersion, c.stuck, c.floor, c.floorKnown, c.withheld,
-		c.reader, c.logFailing, c.phase, c.members, c.draining, c.servers, c.localSlots, c.rollout,
+		c.known, c.lag, c.inForce, c.documentVersion, c.stuck, c.floorOffset, c.floorKnown, c.withheldRoutes,
+		c.logReader, c.logFailing, c.phase, c.members, c.membersDraining, c.servers, c.localSlots, c.rolloutWithheld,
 	} {
 		ch <- d
 	}
@@ -98,23 +100,25 @@
 	c.collectServers(out)
 }
 
+// collectConfig emits the configuration in force and its lag behind the known offset.
 func (c *BoardCollector) collectConfig(out emitter) {
 	var offset, version uint64
 	snap := c.board.Snapshot.Load()
 	if snap != nil {
 		offset, version = snap.Offset, snap.Document().VersionOrZero()
-		out.gauge(c.withheld, float64(len(snap.Withheld)))
+		out.gauge(c.withheldRoutes, float64(len(snap.Withheld)))
 	}
 	known := offset
 	if src := c.board.Source.Load(); src != nil {
 		known = max(known, src.KnownOffset)
 	}
-	out.gauge(c.inForce, flag(snap != nil))
+	out.gauge(c.inForce, boolValue(snap != nil))
 	out.gauge(c.documentVersion, float64(version))
 	out.gauge(c.known, float64(known))
 	out.gauge(c.lag, float64(eventlog.RecordsBetween(offset, known)))
 }
 
+// collectSource emits the floor and the status of configuration distribution.
 func (c *BoardCollector) collectSource(out emitter) {
 	src, floor := c.board.Source.Load(), c.board.Floor.Load()
 	if src == nil {
@@ -123,10 +127,10 @@
 	if floor == nil {
 		floor = &blackboard.Floor{}
 	}
-	out.gauge(c.floor, float64(floor.Offset))
-	out.gauge(c.floorKnown, flag(floor.Known))
-	out.gauge(c.stuck, flag(src.StuckReason != "" || floor.Reason != "" && !floor.Known))
-	out.gauge(c.reader, flag(src.Reader))
+	out.gauge(c.floorOffset, float64(floor.Offset))
+	out.gauge(c.floorKnown, boolValue(floor.Known))
+	out.gauge(c.stuck, boolValue(src.StuckReason != "" || floor.Reason != "" && !floor.Known))
+	out.gauge(c.logReader, boolValue(src.Reader))
 	failing := time.Duration(0)
 	if src.LogError != "" {
 		failing = c.now().Sub(src.LogErrorSince)
@@ -134,13 +138,14 @@
 	out.gauge(c.logFailing, failing.Seconds())
 }
 
+// collectLifecycle emits the daemon's phase and the state of its backend server.
 func (c *BoardCollector) collectLifecycle(out emitter) {
 	current := blackboard.Joining
 	if l := c.board.Lifecycle.Load(); l != nil {
 		current = l.Phase
 	}
 	for _, p := range phases {
-		out.gauge(c.phase, flag(p == current), p.String())
+		out.gauge(c.phase, boolValue(p == current), p.String())
 	}
 	slots := 0
 	if local := c.board.Local.Load(); local != nil {
@@ -148,9 +153,10 @@
 	}
 	out.gauge(c.localSlots, float64(slots))
 	withheld := c.board.Withheld.Load()
-	out.gauge(c.rollout, flag(withheld != nil && *withheld))
+	out.gauge(c.rolloutWithheld, boolValue(withheld != nil && *withheld))
 }
 
+// collectMembers emits the numbers of daemons in the member table.
 func (c *BoardCollector) collectMembers(out emitter) {
 	view := c.board.Members.Load()
 	if view == nil {
@@ -167,11 +173,11 @@
 	for _, l := range livenesses {
 		out.gauge(c.members, float64(count[l]), l.String())
 	}
-	out.gauge(c.draining, float64(draining))
+	out.gauge(c.membersDraining, float64(draining))
 }
 
-// collectServers counts for each service that is configured, so that one
-// without any backend server shows as 0 rather than not at all.
+// collectServers emits the number of backend servers of each configured service. A service without
+// any backend server is exported as 0 rather than left out.
 func (c *BoardCollector) collectServers(out emitter) {
 	snap := c.board.Snapshot.Load()
 	if snap == nil {
@@ -181,7 +187,7 @@
 	for _, e := range snap.State.Entries(fold.KindService) {
 		count := make(map[string]int)
 		for _, s := range servers.ForService(e.Key.Name) {
-			count[stateOf(s)]++
+			count[serverState(s)]++
 		}
 		for _, state := range []string{backendAvailable, backendSuspect, backendDraining} {
 			out.gauge(c.servers, float64(count[state]), e.Key.Name, state)
@@ -189,7 +195,8 @@
 	}
 }
 
-func stateOf(s *backend.Server) string {
+// serverState returns the state label of s. Draining takes precedence over suspect.
+func serverState(s *backend.Server) string {
 	switch {
 	case s.Draining:
 		return backendDraining
@@ -199,18 +206,19 @@
 	return backendAvailable
 }
 
-// emitter sends metrics to a scrape.
+// emitter sends the metrics of one scrape.
 type emitter chan<- prometheus.Metric
 
-func (e emitter) gauge(d *prometheus.Desc, v float64, labels ...string) {
-	e <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
+func (e emitter) gauge(d *prometheus.Desc, value float64, labels ...string) {
+	e <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, value, labels...)
 }
 
-func (e emitter) counter(d *prometheus.Desc, v float64, labels ...string) {
-	e <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, v, labels...)
+func (e emitter) counter(d *prometheus.Desc, value float64, labels ...string) {
+	e <- prometheus.MustNewConstMetric(d, prometheus.CounterValue, value, labels...)
 }
 
-func flag(b bool) float64 {
+// boolValue returns the metric value of b, 1 for true.
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/telemetry/board_test.go
+++ b/internal/telemetry/board_test.go
@@ -20,15 +20,17 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// scrape returns the values of counters and gauges by name and label values.
+// scrape registers collectors and returns the values of their counters and gauges. A key is the
+// metric's name followed by the label values, separated by spaces.
 func scrape(t *testing.T, c ...prometheus.Collector) map[string]float64 {
 	t.Helper()
 	reg := prometheus.NewPedanticRegistry()
 	reg.MustRegister(c...)
-	return gathered(t, reg)
+	return gather(t, reg)
 }
 
-func gathered(t *testing.T, reg *prometheus.Registry) map[string]float64 {
+// gather returns the values of the counters and gauges in reg, with the same keys as scrape.
+func gather(t *testing.T, reg *prometheus.Registry) map[string]float64 {
 	t.Helper()
 	families, err := reg.Gather()
 	must.NoError(t, err)
@@ -45,8 +47,8 @@
 	return values
 }
 
-// withService returns a state with one service and a route to it.
-func withService(t *testing.T) *fold.State {
+// stateWithService returns a state with one service and a route to it.
+func stateWithService(t *testing.T) *fold.State {
 	t.Helper()
 	record, err := fold.EncodeRecord(&configpb.Bundle{PublishId: "p", Author: "test", Changes: []*configpb.Change{
 		{Resource: &configpb.Resource{Kind: &configpb.Resource_Service{Service: &configpb.Service{Name: "sign-feed"}}}},
@@ -59,8 +61,7 @@
 	return st
 }
 
-// A daemon that has just started is up, and everything that an alert looks at
-// says that it does not serve.
+// On a daemon that has just started, the metrics that alerts use show that it does not serve yet.
 func TestBoardCollector_Start(t *testing.T) {
 	v := scrape(t, NewBoardCollector(&blackboard.Board{}))
 	must.Eq(t, 1, v["crocuscross_phase joining"])
@@ -69,13 +70,12 @@
 	must.MapNotContainsKey(t, v, "crocuscross_members alive")
 }
 
-// A daemon lags behind a log that it cannot read, holds a route back for want
-// of a backend server, and has lost two others. Each shows in a metric of its
-// own.
-func TestBoardCollector_Trouble(t *testing.T) {
+// A daemon cannot read the log and lags behind it, withholds a route that has no backend
+// server, and has one suspect and one dead member. Each problem has its own metric.
+func TestBoardCollector_ReportsProblems(t *testing.T) {
 	now := time.Now()
 	board := &blackboard.Board{}
-	board.Snapshot.Store(snapshot.Build(nil, withService(t), backend.NewSet(nil)))
+	board.Snapshot.Store(snapshot.Build(nil, stateWithService(t), backend.NewSet(nil)))
 	board.Floor.Store(&blackboard.Floor{Offset: 1, Known: true})
 	board.Lifecycle.Store(&blackboard.Lifecycle{Phase: blackboard.Draining})
 	board.Local.Store(&blackboard.LocalBackend{Service: "sign-feed", Slots: 10})
@@ -102,8 +102,8 @@
 	}
 }
 
-// Both reasons for which a daemon stays where it is count as stuck. A floor
-// that is known is none, whatever operators are told beside it.
+// config_stuck is 1 if distribution is stuck or the floor is unknown for a reason. A reason beside a
+// known floor does not count.
 func TestBoardCollector_Stuck(t *testing.T) {
 	for _, c := range []struct {
 		source blackboard.Source
@@ -135,20 +135,20 @@
 	}
 }
 
-// An append whose answer was lost, and one to a log that is down, count apart:
-// the first may have taken effect.
+// An append whose response was lost may have taken effect, so it is counted apart from an append to
+// an unavailable log.
 func TestAppendMeter(t *testing.T) {
 	reg := prometheus.NewRegistry()
 	svc := memlog.New(memlog.DefaultOptions())
 	log := NewAppendMeter(reg).Stream("contacts", svc.Stream(eventlog.StreamContacts))
-	must.MapContainsKey(t, gathered(t, reg), "crocuscross_log_appends_total ok contacts")
+	must.MapContainsKey(t, gather(t, reg), "crocuscross_log_appends_total ok contacts")
 	_, _ = log.Append(t.Context(), []byte("a"))
 	svc.LoseResponses(1)
 	_, _ = log.Append(t.Context(), []byte("b"))
 	_, _ = log.Append(t.Context(), make([]byte, eventlog.MaxRecordBytes+1))
 	svc.SetOutage(true)
 	_, _ = log.Append(t.Context(), []byte("c"))
-	v := gathered(t, reg)
+	v := gather(t, reg)
 	for _, result := range []string{"ok", "unknown", "rejected", "unavailable"} {
 		must.Eq(t, 1, v["crocuscross_log_appends_total "+result+" contacts"], must.Sprint(result))
 	}
--- a/internal/telemetry/control.go
+++ b/internal/telemetry/control.go
@@ -11,7 +11,7 @@
 	"github.com/crocuscross/crocuscross/spread"
 )
 
-// NewRegistry returns a registry with the process's own metrics.
+// NewRegistry returns a registry with the metrics of the Go runtime and the process.
 func NewRegistry() *prometheus.Registry {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(
@@ -21,15 +21,15 @@
 	return reg
 }
 
-// NewConfigGauges registers the gauges of the version in force and returns the
-// function that sets them.
+// NewConfigGauges registers the gauges of the configuration in force and returns the function that
+// sets them to an offset and the time at which it came into force.
 func NewConfigGauges(reg prometheus.Registerer) func(offset uint64, at time.Time) {
 	version := prometheus.NewGauge(prometheus.GaugeOpts{
 		Namespace: namespace, Name: "config_offset", Help: "Configuration offset in force.",
 	})
 	since := prometheus.NewGauge(prometheus.GaugeOpts{
 		Namespace: namespace, Name: "config_in_force_since_seconds",
-		Help: "Unix time at which the offset came into force; for people only.",
+		Help: "Unix time in seconds at which the offset came into force, by this host's clock; informational only.",
 	})
 	reg.MustRegister(version, since)
 	return func(offset uint64, at time.Time) {
@@ -38,7 +38,8 @@
 	}
 }
 
-// MemberMeter counts what membership does. It implements membership.Meter.
+// MemberMeter counts the datagrams, probes and table exchanges of membership. It implements
+// membership.Meter.
 type MemberMeter struct {
 	sent, received  *prometheus.CounterVec
 	packets         *prometheus.CounterVec
@@ -48,7 +49,7 @@
 	syncIn, syncOut prometheus.Counter
 }
 
-// NewMemberMeter registers the metrics of membership.
+// NewMemberMeter returns a MemberMeter whose metrics are registered with reg.
 func NewMemberMeter(reg prometheus.Registerer) *MemberMeter {
 	counterVec := func(name, help string, labels ...string) *prometheus.CounterVec {
 		c := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
@@ -61,21 +62,21 @@
 		return c
 	}
 	return &MemberMeter{
-		sent:     counterVec("member_sent_bytes_total", "Bytes of datagrams sent to other daemons, by kind and place of the receiver.", "kind", "place"),
-		received: counterVec("member_received_bytes_total", "Bytes of datagrams received.", "kind"),
-		packets:  counterVec("member_packets_total", "Datagrams, by direction.", "direction"),
-		rejected: counterVec("member_rejected_total", "Datagrams and tables refused.", "reason"),
-		probes:   counterVec("member_probes_total", "Probes ended, by result.", "result"),
-		pauses:   counter("member_pauses_total", "Times that this process was found to have been halted."),
-		syncIn:   counter("member_sync_in_total", "Members taken in from full-table exchanges."),
-		syncOut:  counter("member_sync_out_total", "Members handed out in full-table exchanges."),
+		sent:     counterVec("member_sent_bytes_total", "Bytes of datagrams sent to other daemons, by kind and locality of the receiver.", "kind", "place"),
+		received: counterVec("member_received_bytes_total", "Bytes of datagrams received, by kind.", "kind"),
+		packets:  counterVec("member_packets_total", "Datagrams sent and received, by direction.", "direction"),
+		rejected: counterVec("member_rejected_total", "Datagrams and member tables rejected, by reason.", "reason"),
+		probes:   counterVec("member_probes_total", "Completed probes, by result.", "result"),
+		pauses:   counter("member_pauses_total", "Detected pauses of this process."),
+		syncIn:   counter("member_sync_in_total", "Members received in full-table exchanges."),
+		syncOut:  counter("member_sync_out_total", "Members sent in full-table exchanges."),
 	}
 }
 
 // Sent implements membership.Meter.
-func (m *MemberMeter) Sent(k membership.PacketKind, across bool, bytes int) {
+func (m *MemberMeter) Sent(k membership.PacketKind, crossZone bool, bytes int) {
 	place := peer.SameZone
-	if across {
+	if crossZone {
 		place = peer.OtherZone
 	}
 	m.sent.WithLabelValues(string(k), place.String()).Add(float64(bytes))
@@ -105,8 +106,8 @@
 	m.syncOut.Add(float64(out))
 }
 
-// SpreadMeter counts what spreading configuration costs. It implements
-// spread.Meter.
+// SpreadMeter counts the reads, pushes, pulls and applied records of configuration distribution. It
+// implements spread.Meter.
 type SpreadMeter struct {
 	reads, pushes, pulls *prometheus.CounterVec
 	readBytes, records   prometheus.Counter
@@ -114,20 +115,20 @@
 	restored             prometheus.Counter
 }
 
-// NewSpreadMeter registers the metrics of spreading.
+// NewSpreadMeter returns a SpreadMeter whose metrics are registered with reg.
 func NewSpreadMeter(reg prometheus.Registerer) *SpreadMeter {
 	opts := func(name, help string) prometheus.CounterOpts {
 		return prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}
 	}
 	m := &SpreadMeter{
-		reads:     prometheus.NewCounterVec(opts("log_reads_total", "Reads at the platform's log, by result."), []string{"result"}),
+		reads:     prometheus.NewCounterVec(opts("log_reads_total", "Reads from the platform's log, by result."), []string{"result"}),
 		pushes:    prometheus.NewCounterVec(opts("pushes_total", "Pushes to other daemons, by content and result."), []string{"content", "result"}),
 		pulls:     prometheus.NewCounterVec(opts("pulls_total", "Pulls from other daemons, by result."), []string{"result"}),
 		readBytes: prometheus.NewCounter(opts("log_read_bytes_total", "Bytes of records read from the platform's log.")),
 		records:   prometheus.NewCounter(opts("log_read_records_total", "Records read from the platform's log.")),
-		applied:   prometheus.NewCounter(opts("records_applied_total", "Configuration records folded, the rejected ones too.")),
-		rejected:  prometheus.NewCounter(opts("records_rejected_total", "Configuration records folded that changed nothing.")),
-		restored:  prometheus.NewCounter(opts("log_restored_total", "Times that this daemon found the platform's log restored from an older copy.")),
+		applied:   prometheus.NewCounter(opts("records_applied_total", "Configuration records applied, including rejected ones.")),
+		rejected:  prometheus.NewCounter(opts("records_rejected_total", "Configuration records that were rejected and changed nothing.")),
+		restored:  prometheus.NewCounter(opts("log_restored_total", "Times that this daemon detected that the platform's log was restored from an older copy.")),
 	}
 	reg.MustRegister(m.reads, m.pushes, m.pulls, m.readBytes, m.records, m.applied, m.rejected, m.restored)
 	return m
@@ -163,6 +164,7 @@
 // Restored implements spread.Meter.
 func (m *SpreadMeter) Restored() { m.restored.Inc() }
 
+// resultLabel returns the value of a result label that distinguishes only success and failure.
 func resultLabel(ok bool) string {
 	if ok {
 		return "ok"
--- a/internal/telemetry/docs_test.go
+++ b/internal/telemetry/docs_test.go
@@ -34,19 +34,19 @@
 	selector    = regexp.MustCompile(`(crocuscross_[a-z0-9_]+)\{([^}]*)\}`)
 	labelMatch  = regexp.MustCompile(`(\w+)(?:=~|!~|!=|=)"([^"]*)"`)
 	description = regexp.MustCompile(`fqName: "([^"]+)".*variableLabels: \{([^}]*)\}`)
-	logLine     = regexp.MustCompile("`((?:announce|apply|checkpoints?|claims|contacts|daemon|drain|membership|operator|peer|quarantine|quota|recovery|spread): [^`]+)`")
+	logMessage  = regexp.MustCompile("`((?:announce|apply|checkpoints?|claims|contacts|daemon|drain|membership|operator|peer|quarantine|quota|recovery|spread): [^`]+)`")
 	kindRow     = regexp.MustCompile("(?m)^\\| `(\\w+)` \\| (\\d+) \\| (no|unknown) \\|")
 	pageLink    = regexp.MustCompile(`(?:operations/|\()([a-z-]+\.md)`)
 )
 
-// descriptions collects what is registered. Metrics with labels that were never
-// set are not in a scrape, so that what is gathered would not do.
-type descriptions struct {
+// labelRecorder is a Registerer that records the label names of all registered metrics. A gathered
+// registry would not do, because metrics whose labels were never set are not in a scrape.
+type labelRecorder struct {
 	prometheus.Registerer
 	labels map[string][]string
 }
 
-func (d *descriptions) MustRegister(collectors ...prometheus.Collector) {
+func (d *labelRecorder) MustRegister(collectors ...prometheus.Collector) {
 	for _, c := range collectors {
 		ch := make(chan *prometheus.Desc, 100)
 		c.Describe(ch)
@@ -62,9 +62,9 @@
 	}
 }
 
-// registered returns the labels of every metric of a daemon by name.
-func registered() map[string][]string {
-	d := &descriptions{labels: make(map[string][]string)}
+// registeredMetrics returns the label names of every metric of a daemon by metric name.
+func registeredMetrics() map[string][]string {
+	d := &labelRecorder{labels: make(map[string][]string)}
 	NewConfigGauges(d)
 	NewMemberMeter(d)
 	NewSpreadMeter(d)
@@ -79,7 +79,7 @@
 	return d.labels
 }
 
-// pages returns the text of each page for operators by its path.
+// pages returns the text of each operators' page by its path below docs.
 func pages(t *testing.T) map[string]string {
 	t.Helper()
 	paths, err := filepath.Glob(docs + "operations/*.md")
@@ -94,10 +94,10 @@
 	return texts
 }
 
-// An alert on a metric that was renamed never fires, and nobody sees that it
-// does not. The same holds for a label.
+// An alert on a metric or label that was renamed never fires, which nobody notices. Every metric and
+// label in the operators' pages must therefore be registered.
 func TestDocs_MetricsAreRegistered(t *testing.T) {
-	known := registered()
+	known := registeredMetrics()
 	for page, text := range pages(t) {
 		text = strings.ReplaceAll(text, `\"`, `"`)
 		for _, name := range metricName.FindAllString(text, -1) {
@@ -109,13 +109,15 @@
 					continue
 				}
 				must.SliceContains(t, known[s[1]], l[1], must.Sprint(page, s[0]))
-				checkKinds(t, l[1], l[2])
+				checkKindValues(t, l[1], l[2])
 			}
 		}
 	}
 }
 
-func checkKinds(t *testing.T, label, values string) {
+// checkKindValues checks that the values in a selector of the kind label are kinds of errors. Kinds of
+// messages between daemons, which begin with KIND_, are not checked.
+func checkKindValues(t *testing.T, label, values string) {
 	if label != "kind" || strings.HasPrefix(values, "KIND_") {
 		return
 	}
@@ -124,28 +126,30 @@
 	}
 }
 
-// Every metric has its line, so that the one on call finds it.
-func TestDocs_MetricsAreNamed(t *testing.T) {
+// Every metric is described in OPERATIONS.md.
+func TestDocs_MetricsAreDocumented(t *testing.T) {
 	text := pages(t)["OPERATIONS.md"]
-	for name := range registered() {
+	for name := range registeredMetrics() {
 		if !strings.HasSuffix(name, "_bucket") {
 			must.StrContains(t, text, "`"+name+"`")
 		}
 	}
 }
 
-// A quoted log line is in the code, as one string or as two that are joined.
+// Every log message that the operators' pages quote is in the code, as one string literal or as two
+// that are concatenated.
 func TestDocs_LogLinesExist(t *testing.T) {
 	literals := stringLiterals(t)
 	for page, text := range pages(t) {
 		text = strings.ReplaceAll(text, "\n", " ")
-		for _, m := range logLine.FindAllStringSubmatch(text, -1) {
-			must.True(t, isLogLine(literals, m[1]), must.Sprint(page, m[1]))
+		for _, m := range logMessage.FindAllStringSubmatch(text, -1) {
+			must.True(t, isLogMessage(literals, m[1]), must.Sprint(page, m[1]))
 		}
 	}
 }
 
-func isLogLine(literals map[string]bool, line string) bool {
+// isLogMessage reports whether line is a literal or the concatenation of two literals.
+func isLogMessage(literals map[string]bool, line string) bool {
 	if literals[line] {
 		return true
 	}
@@ -157,7 +161,7 @@
 	return false
 }
 
-// stringLiterals returns all strings in the project's code, tests apart.
+// stringLiterals returns all string literals in the project's Go code except in tests.
 func stringLiterals(t *testing.T) map[string]bool {
 	t.Helper()
 	literals := make(map[string]bool)
@@ -183,7 +187,9 @@
 	return literals
 }
 
-func TestDocs_KindsAreTheClosedList(t *testing.T) {
+// The table of error kinds in OPERATIONS.md has one row per kind, with its status code and whether the
+// call ran.
+func TestDocs_ErrorKindsMatchCode(t *testing.T) {
 	rows := make(map[errkind.Kind][]string)
 	for _, m := range kindRow.FindAllStringSubmatch(pages(t)["OPERATIONS.md"], -1) {
 		rows[errkind.Kind(m[1])] = m[2:]
@@ -195,7 +201,8 @@
 	}
 }
 
-// Every fault page is reached from the first page, and every link leads to one.
+// OPERATIONS.md links to every page below operations, and every link between the pages leads to an
+// existing page. The dashboard is valid JSON.
 func TestDocs_Links(t *testing.T) {
 	texts := pages(t)
 	var exist, linked []string
--- a/internal/telemetry/limit.go
+++ b/internal/telemetry/limit.go
@@ -5,20 +5,22 @@
 	"time"
 )
 
-// LogLimiter lets a number of log lines through each second, the zero value all. It is
-// safe for concurrent use; around the turn of a second a few lines too many may pass.
+// LogLimiter limits the number of log lines per second. The zero value allows all lines. It is safe
+// for concurrent use. When a new second begins, it may allow a few lines more than the limit.
 type LogLimiter struct {
 	perSecond int64
-	state     *limitState
+	state     *limiterState
 }
 
-type limitState struct {
-	second, passed atomic.Int64
+// limiterState is shared by the copies of a LogLimiter.
+type limiterState struct {
+	// second is the Unix time in seconds that allowed counts lines for.
+	second, allowed atomic.Int64
 }
 
-// NewLogLimiter returns a limit of so many lines a second.
+// NewLogLimiter returns a LogLimiter that allows perSecond lines per second.
 func NewLogLimiter(perSecond int64) LogLimiter {
-	return LogLimiter{perSecond: perSecond, state: &limitState{}}
+	return LogLimiter{perSecond: perSecond, state: &limiterState{}}
 }
 
 // Allow reports whether the next line may be written.
@@ -28,7 +30,7 @@
 	}
 	now := time.Now().Unix()
 	if l.state.second.Swap(now) != now {
-		l.state.passed.Store(0)
+		l.state.allowed.Store(0)
 	}
-	return l.state.passed.Add(1) <= l.perSecond
+	return l.state.allowed.Add(1) <= l.perSecond
 }
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -1,5 +1,4 @@
-// Package telemetry sets up what a daemon tells of itself: log lines, metrics
-// and traces.
+// Package telemetry sets up a daemon's logging, metrics and tracing.
 package telemetry
 
 import (
@@ -10,12 +9,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// durationDigits is what durations are rounded to in log lines.
-const durationDigits = 10 * time.Microsecond
+// durationPrecision is the precision to which durations in log lines are rounded.
+const durationPrecision = 10 * time.Microsecond
 
-// NewLogger returns a logger of a level and a format (text, json).
+// NewLogger returns a logger that writes lines of at least the given level to w. The format is text
+// or json.
 func NewLogger(w io.Writer, level slog.Leveler, format string) (*slog.Logger, error) {
-	opts := &slog.HandlerOptions{Level: level, ReplaceAttr: shortAttrs}
+	opts := &slog.HandlerOptions{Level: level, ReplaceAttr: formatAttr}
 	switch format {
 	case "text":
 		return slog.New(slog.NewTextHandler(w, opts)), nil
@@ -25,12 +25,12 @@
 	return nil, errors.Newf("log format %q is neither text nor json", format)
 }
 
-// shortAttrs logs an error's text alone, as the handlers would print the stack that
-// the errors library keeps, a page for each line; and durations with their unit, as the
-// JSON handler would print nanoseconds.
-func shortAttrs(_ []string, a slog.Attr) slog.Attr {
+// formatAttr replaces an error by its text, because the handlers would print the stack trace that the
+// errors library keeps, a page per log line. It formats a duration with its unit, because the JSON
+// handler would print nanoseconds.
+func formatAttr(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
-		return slog.String(a.Key, a.Value.Duration().Round(durationDigits).String())
+		return slog.String(a.Key, a.Value.Duration().Round(durationPrecision).String())
 	}
 	if err, ok := a.Value.Any().(error); ok {
 		a.Value = slog.StringValue(err.Error())
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -10,135 +10,144 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
+// namespace is the prefix of all metric names.
 const namespace = "crocuscross"
 
-// latencyBuckets are in seconds, from a tenth of a millisecond to a minute.
+// latencyBuckets are histogram buckets in seconds, from 0.1 ms to 1 min.
 var latencyBuckets = prometheus.ExponentialBucketsRange(0.0001, 60, 24)
 
-// kindOK labels the calls that ended with the backend server's answer.
+// kindOK is the kind label of calls that ended with a response of the backend server.
 const kindOK = "ok"
 
-// CallMeter counts the calls that pass a daemon.
+// CallMeter counts and times the calls that a daemon forwards.
 type CallMeter struct {
-	outbound, inbound map[errkind.Kind]recorder
+	outbound, inbound map[errkind.Kind]callSeries
 	attempts          prometheus.Counter
 	retries           prometheus.Counter
-	asks              *prometheus.CounterVec
-	InFlight          prometheus.Gauge
-	// CallerDisconnects counts the requests whose caller had gone before they were handled.
+	outcomeQueries    *prometheus.CounterVec
+	// InFlight is the number of callers' requests in progress.
+	InFlight prometheus.Gauge
+	// CallerDisconnects counts the requests whose caller disconnected before they were handled.
 	CallerDisconnects prometheus.Counter
 }
 
-// recorder is resolved once for each kind, so that a call looks no label up.
-type recorder struct {
+// callSeries holds the series of one direction and kind. They are looked up by label once at the
+// start, not for every call.
+type callSeries struct {
 	count prometheus.Counter
 	time  prometheus.Observer
 }
 
-// NewCallMeter registers the metrics of calls.
+// NewCallMeter returns a CallMeter whose metrics are registered with reg.
 func NewCallMeter(reg prometheus.Registerer) *CallMeter {
 	count := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "calls_total",
-		Help: "Calls ended, by direction and kind of outcome.",
+		Help: "Completed calls, by direction and kind: ok or the kind of error.",
 	}, []string{"direction", "kind"})
 	duration := prometheus.NewHistogramVec(prometheus.HistogramOpts{
 		Namespace: namespace, Name: "call_duration_seconds",
-		Help: "Time from a call's arrival to the end of its answer.", Buckets: latencyBuckets,
+		Help: "Time in seconds from the arrival of a call to the end of its response.", Buckets: latencyBuckets,
 	}, []string{"direction", "kind"})
 	c := &CallMeter{
 		attempts: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "attempts_total", Help: "Attempts sent to other daemons.",
 		}),
 		retries: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: namespace, Name: "retries_total", Help: "Attempts after the first of a call.",
+			Namespace: namespace, Name: "retries_total", Help: "Attempts after the first attempt of a call.",
 		}),
-		asks: prometheus.NewCounterVec(prometheus.CounterOpts{
-			Namespace: namespace, Name: "asks_total", Help: "Outcomes asked of a gate, by answer.",
+		outcomeQueries: prometheus.NewCounterVec(prometheus.CounterOpts{
+			Namespace: namespace, Name: "asks_total", Help: "Queries to a gate for the outcome of an attempt, by outcome returned.",
 		}, []string{"outcome"}),
 		InFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "calls_in_flight", Help: "Callers' requests in progress.",
 		}),
 		CallerDisconnects: prometheus.NewCounter(prometheus.CounterOpts{
-			Namespace: namespace, Name: "caller_gone_total", Help: "Requests whose caller had gone before they were handled.",
+			Namespace: namespace, Name: "caller_gone_total", Help: "Requests whose caller disconnected before they were handled.",
 		}),
 	}
-	reg.MustRegister(count, duration, c.attempts, c.retries, c.asks, c.InFlight, c.CallerDisconnects)
-	c.outbound = recorders("outbound", count, duration)
-	c.inbound = recorders("inbound", count, duration)
+	reg.MustRegister(count, duration, c.attempts, c.retries, c.outcomeQueries, c.InFlight, c.CallerDisconnects)
+	c.outbound = newCallSeries("outbound", count, duration)
+	c.inbound = newCallSeries("inbound", count, duration)
 	return c
 }
 
-func recorders(direction string, count *prometheus.CounterVec, duration *prometheus.HistogramVec) map[errkind.Kind]recorder {
-	m := make(map[errkind.Kind]recorder)
+// newCallSeries returns the series of a direction by the kind of error.
+func newCallSeries(direction string, count *prometheus.CounterVec, duration *prometheus.HistogramVec) map[errkind.Kind]callSeries {
+	m := make(map[errkind.Kind]callSeries)
 	for _, k := range append(errkind.Kinds(), errkind.None) {
 		label := string(k)
 		if k == errkind.None {
 			label = kindOK
 		}
-		m[k] = recorder{count.WithLabelValues(direction, label), duration.WithLabelValues(direction, label)}
+		m[k] = callSeries{count.WithLabelValues(direction, label), duration.WithLabelValues(direction, label)}
 	}
 	return m
 }
 
-func (r recorder) observe(d time.Duration) {
+// observe counts one call of duration d.
+func (r callSeries) observe(d time.Duration) {
 	r.count.Inc()
 	r.time.Observe(d.Seconds())
 }
 
-// Outbound counts one call as its caller saw it.
+// Outbound counts one completed call from a caller, with the kind and duration that the caller saw.
 func (c *CallMeter) Outbound(k errkind.Kind, d time.Duration) { c.outbound[k].observe(d) }
 
-// Inbound counts one attempt as the gate saw it.
+// Inbound counts one completed attempt at this daemon's gate.
 func (c *CallMeter) Inbound(k errkind.Kind, d time.Duration) { c.inbound[k].observe(d) }
 
-// Attempt counts one attempt sent; first tells it from a retry.
-func (c *CallMeter) Attempt(first bool) {
+// Attempt counts one attempt sent to another daemon. isFirst is false for a retry.
+func (c *CallMeter) Attempt(isFirst bool) {
 	c.attempts.Inc()
-	if !first {
+	if !isFirst {
 		c.retries.Inc()
 	}
 }
 
-// OutcomeQuery counts one outcome asked of a gate.
-func (c *CallMeter) OutcomeQuery(o peerpb.Outcome) { c.asks.WithLabelValues(o.String()).Inc() }
+// OutcomeQuery counts one query to a gate for the outcome of an attempt, with the outcome returned.
+func (c *CallMeter) OutcomeQuery(o peerpb.Outcome) {
+	c.outcomeQueries.WithLabelValues(o.String()).Inc()
+}
 
-// listenerPeers labels input from other daemons.
+// listenerPeers is the listener label of input from other daemons.
 const listenerPeers = "peers"
 
-// PeerMeter counts the bytes between daemons by kind of exchange.
+// PeerMeter counts the bytes exchanged with other daemons and the rejected input. It implements
+// peer.Meter.
 type PeerMeter struct {
-	sent, received map[exchange]prometheus.Counter
+	sent, received map[exchangeKey]prometheus.Counter
 	rejected       *prometheus.CounterVec
 }
 
-// exchange is a kind of exchange with a peer at a place.
-type exchange struct {
+// exchangeKey identifies the series of a kind of exchange with peers in one locality.
+type exchangeKey struct {
 	kind  peerpb.Kind
 	place peer.Locality
 }
 
-// NewPeerMeter registers the metrics of exchanges between daemons.
+// NewPeerMeter returns a PeerMeter whose metrics are registered with reg.
 func NewPeerMeter(reg prometheus.Registerer) *PeerMeter {
 	bytes := prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "peer_bytes_total",
-		Help: "Bytes of messages between daemons over TCP, by direction, kind of exchange and place of the other one.",
+		Help: "Bytes of messages exchanged with other daemons over TCP, by direction, kind of exchange and locality of the other daemon.",
 	}, []string{"direction", "kind", "place"})
 	m := &PeerMeter{
-		sent:     map[exchange]prometheus.Counter{},
-		received: map[exchange]prometheus.Counter{},
+		sent:     map[exchangeKey]prometheus.Counter{},
+		received: map[exchangeKey]prometheus.Counter{},
 		rejected: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace, Name: "rejected_input_total",
-			Help: "Input that was refused, by listener and reason.",
+			Help: "Rejected input, by listener and reason.",
 		}, []string{"listener", "reason"}),
 	}
 	reg.MustRegister(bytes, m.rejected)
-	// What alerts look at starts at 0: the first count would be no increase.
+	// The series that alerts use start at 0. Prometheus sees no increase in a series that first
+	// appears with a value of 1.
 	for _, r := range []peer.RejectReason{peer.RejectSilent, peer.RejectSessions, peer.RejectStreams} {
 		m.rejected.WithLabelValues(listenerPeers, string(r))
 	}
 	for number, name := range peerpb.Kind_name {
 		for _, place := range peer.Localities() {
-			e := exchange{peerpb.Kind(number), place}
+			e := exchangeKey{peerpb.Kind(number), place}
 			m.sent[e] = bytes.WithLabelValues("sent", name, place.String())
 			m.received[e] = bytes.WithLabelValues("received", name, place.String())
 		}
@@ -148,14 +157,14 @@
 
 // Sent implements peer.Meter.
 func (m *PeerMeter) Sent(k peerpb.Kind, place peer.Locality, n int) {
-	if c, ok := m.sent[exchange{k, place}]; ok {
+	if c, ok := m.sent[exchangeKey{k, place}]; ok {
 		c.Add(float64(n))
 	}
 }
 
 // Received implements peer.Meter.
 func (m *PeerMeter) Received(k peerpb.Kind, place peer.Locality, n int) {
-	if c, ok := m.received[exchange{k, place}]; ok {
+	if c, ok := m.received[exchangeKey{k, place}]; ok {
 		c.Add(float64(n))
 	}
 }
@@ -163,7 +172,7 @@
 // Rejected implements peer.Meter.
 func (m *PeerMeter) Rejected(r peer.RejectReason) { m.RejectedAt(listenerPeers, string(r)) }
 
-// RejectedAt counts refused input at a listener.
+// RejectedAt counts one rejected input at a listener.
 func (m *PeerMeter) RejectedAt(listener, reason string) {
 	m.rejected.WithLabelValues(listener, reason).Inc()
 }
--- a/internal/telemetry/propagate.go
+++ b/internal/telemetry/propagate.go
@@ -10,8 +10,8 @@
 
 var traceContext = propagation.TraceContext{}
 
-// WithTraceparent returns ctx as a child of a W3C traceparent; an empty or
-// malformed one leaves ctx as it is.
+// WithTraceparent returns a copy of ctx with the remote span context of a W3C traceparent. It returns
+// ctx itself if traceparent is empty or malformed.
 func WithTraceparent(ctx context.Context, traceparent string) context.Context {
 	if traceparent == "" {
 		return ctx
@@ -19,7 +19,7 @@
 	return traceContext.Extract(ctx, propagation.MapCarrier{traceparentHeader: traceparent})
 }
 
-// Traceparent returns the W3C traceparent of ctx's span, empty without one.
+// Traceparent returns the W3C traceparent of the span in ctx, empty if there is none.
 func Traceparent(ctx context.Context) string {
 	c := propagation.MapCarrier{}
 	traceContext.Inject(ctx, c)
--- a/internal/telemetry/quarantine.go
+++ b/internal/telemetry/quarantine.go
@@ -6,19 +6,21 @@
 	"github.com/crocuscross/crocuscross/quarantine"
 )
 
-// QuarantineCollector tells how many requests are held for ending backend servers.
+// QuarantineCollector exports the numbers of requests that are quarantined or suspected of crashing
+// backend servers, read at each scrape.
 type QuarantineCollector struct {
 	stats func() quarantine.Stats
 
 	quarantined, suspected *prometheus.Desc
 }
 
-// NewQuarantineCollector returns a collector for the caller to register.
+// NewQuarantineCollector returns a collector of the numbers that stats returns. The caller registers
+// it.
 func NewQuarantineCollector(stats func() quarantine.Stats) *QuarantineCollector {
 	return &QuarantineCollector{
 		stats:       stats,
-		quarantined: newDesc("quarantined_requests", "Requests kept from backend servers, since several have ended under them."),
-		suspected:   newDesc("suspected_requests", "Requests under which backend servers have ended of late, those in quarantine included."),
+		quarantined: newDesc("quarantined_requests", "Requests in quarantine: they are not sent to backend servers because several servers have crashed while handling them."),
+		suspected:   newDesc("suspected_requests", "Requests during which backend servers have recently crashed, including those in quarantine."),
 	}
 }
 
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// queuedLines is how many log lines wait for their reader at most, some 4 MB.
-	queuedLines = 8192
-	// flushWait bounds the wait for a reader at the end of the process.
-	flushWait = 200 * time.Millisecond
+	// maxQueuedLines is the maximum number of log lines in the queue, about 4 MB.
+	maxQueuedLines = 8192
+	// flushTimeout limits how long Close waits until the queued lines are written.
+	flushTimeout = 200 * time.Millisecond
 )
 
-// LineQueue writes log lines from a goroutine of its own. A reader of the log that
-// stops reading would else stop whoever writes a line, requests included; lines that
-// find the queue full are dropped, counted and told of.
+// LineQueue is an io.Writer that queues log lines and writes them from its own goroutine. Without the
+// queue, a log reader that stops reading would block every goroutine that logs, including those that
+// serve requests. Lines that don't fit into the queue are dropped and counted, and the count is logged.
 type LineQueue struct {
-	out     io.Writer
+	out io.Writer
+	// lines holds the queued lines. A nil line ends run.
 	lines   chan []byte
 	dropped atomic.Int64
 	once    sync.Once
-	done    chan struct{}
+	// done is closed when run returns.
+	done chan struct{}
 }
 
-// NewLineQueue returns a queue that writes to out. It must be closed.
+// NewLineQueue returns a queue that writes to out. The caller must close it.
 func NewLineQueue(out io.Writer) *LineQueue {
-	q := &LineQueue{out: out, lines: make(chan []byte, queuedLines), done: make(chan struct{})}
+	q := &LineQueue{out: out, lines: make(chan []byte, maxQueuedLines), done: make(chan struct{})}
 	go q.run()
 	return q
 }
 
-// Write implements io.Writer for one line.
+// Write queues one line. It never blocks and never returns an error.
 func (q *LineQueue) Write(line []byte) (int, error) {
 	select {
 	case q.lines <- append([]byte(nil), line...):
@@ -43,39 +45,40 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines have been dropped.
+// Dropped returns the number of dropped lines.
 func (q *LineQueue) Dropped() int64 { return q.dropped.Load() }
 
+// run writes the queued lines until it receives a nil line.
 func (q *LineQueue) run() {
 	defer close(q.done)
-	told := int64(0)
+	reported := int64(0)
 	for line := range q.lines {
 		if line == nil {
 			return
 		}
-		// There is nowhere to tell of a log that cannot be written.
+		// Errors are ignored because there is nowhere else to report them.
 		_, _ = q.out.Write(line)
-		if n := q.dropped.Load(); n > told {
-			told = n
+		if n := q.dropped.Load(); n > reported {
+			reported = n
 			_, _ = fmt.Fprintf(q.out, "{\"level\":\"WARN\",\"msg\":\"telemetry: log lines dropped\",\"dropped\":%d}\n", n)
 		}
 	}
 }
 
-// Close waits a little for what is queued to be written. Lines may still be written
-// to the queue and go nowhere.
+// Close waits up to flushTimeout until the queued lines are written. Lines that are written to the
+// queue afterwards are discarded.
 func (q *LineQueue) Close() {
 	q.once.Do(func() {
-		limit := time.NewTimer(flushWait)
-		defer limit.Stop()
+		timeout := time.NewTimer(flushTimeout)
+		defer timeout.Stop()
 		select {
 		case q.lines <- nil:
-		case <-limit.C:
+		case <-timeout.C:
 			return
 		}
 		select {
 		case <-q.done:
-		case <-limit.C:
+		case <-timeout.C:
 		}
 	})
 }
--- a/internal/telemetry/queue_test.go
+++ b/internal/telemetry/queue_test.go
@@ -9,16 +9,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// Whoever reads the log stops reading. Lines are dropped and counted, and nobody who
-// writes one waits; when the reader comes back it is told how many are missing.
+// While the log reader does not read, Write drops and counts lines instead of blocking. When the
+// reader resumes, it gets a line with the number of dropped lines.
 func TestLineQueueDoesNotBlock(t *testing.T) {
 	r, w := io.Pipe()
 	q := NewLineQueue(w)
-	for range 2 * queuedLines {
+	for range 2 * maxQueuedLines {
 		_, err := q.Write([]byte("line\n"))
 		must.NoError(t, err)
 	}
-	must.GreaterEq(t, queuedLines-1, q.Dropped())
+	must.GreaterEq(t, maxQueuedLines-1, q.Dropped())
 	read := make(chan string)
 	go func() {
 		var b bytes.Buffer
--- a/internal/telemetry/trace.go
+++ b/internal/telemetry/trace.go
@@ -16,21 +16,23 @@
 
 const tracerName = "crocuscross"
 
-// TraceOptions tells where spans go.
+// TraceOptions configures the tracer.
 type TraceOptions struct {
-	// Exporter is none, stdout or otlp.
+	// Exporter is none, stdout or otlp; empty means none.
 	Exporter string
-	// Endpoint is the URL of an OTLP collector.
+	// Endpoint is the URL of the OTLP collector. Only the otlp exporter uses it.
 	Endpoint string
-	// Ratio of calls traced when the caller did not decide, 0 to 1.
-	Ratio            float64
+	// Ratio is the fraction of calls that are traced, 0 to 1. It applies to calls without a sampling
+	// decision of the caller.
+	Ratio float64
+	// Host and AvailabilityZone are attributes of all exported spans.
 	Host             string
 	AvailabilityZone string
 	// Stdout receives the spans of the stdout exporter.
 	Stdout io.Writer
 }
 
-// NewTracer returns a tracer and a function that flushes and stops it.
+// NewTracer returns a tracer and a function that flushes its spans and stops it.
 func NewTracer(ctx context.Context, o TraceOptions) (oteltrace.Tracer, func(context.Context) error, error) {
 	exp, err := newExporter(ctx, o)
 	if err != nil {
@@ -51,6 +53,7 @@
 	return tp.Tracer(tracerName), tp.Shutdown, nil
 }
 
+// newExporter returns the exporter that o names, nil for none.
 func newExporter(ctx context.Context, o TraceOptions) (trace.SpanExporter, error) {
 	switch o.Exporter {
 	case "none", "":
@@ -60,5 +63,5 @@
 	case "otlp":
 		return otlptracehttp.New(ctx, otlptracehttp.WithEndpointURL(o.Endpoint))
 	}
-	return nil, errors.Newf("trace exporter %q is none of none, stdout, otlp", o.Exporter)
+	return nil, errors.Newf("unknown trace exporter %q: use none, stdout or otlp", o.Exporter)
 }
