--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,41 +11,43 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-// checker walks a file and gathers what is wrong with it.
+// checker reads a parsed settings file into Settings and collects the problems of the file.
 type checker struct {
 	doc      *jsonc.Document
 	settings Settings
 	problems jsonc.Problems
-	// seen holds the value of each field in the file.
-	seen map[string]*hujson.Value
-	// bad holds the fields that keep their default since their value is wrong.
-	bad map[string]bool
+	// values holds the value in the file of each field and group that the file sets, by path.
+	values map[string]*hujson.Value
+	// invalid holds the paths of the fields that keep their default because their value in the file
+	// is invalid.
+	invalid map[string]bool
 }
 
-// check returns the settings of a file, or a jsonc.Problems.
+// check returns the settings in a file, or a jsonc.Problems with all problems of the file.
 func check(d *jsonc.Document) (*Settings, error) {
-	c := &checker{doc: d, settings: Default(), seen: map[string]*hujson.Value{}, bad: map[string]bool{}}
+	c := &checker{doc: d, settings: Default(), values: map[string]*hujson.Value{}, invalid: map[string]bool{}}
 	c.object("", d.Root)
-	c.missing()
-	c.relations()
+	c.checkRequired()
+	c.checkRelations()
 	if err := c.problems.Err(); err != nil {
 		return nil, err
 	}
 	return &c.settings, nil
 }
 
+// report adds a problem at v. text describes the problem and want a valid value.
 func (c *checker) report(v *hujson.Value, path, text, want string) {
 	c.problems = append(c.problems, c.doc.Problem(v, path, text, want))
 }
 
-// object checks the members of the top level or of one group.
+// object checks the members of the top-level object, for which path is empty, or of one group.
 func (c *checker) object(path string, v *hujson.Value) {
 	members, ok := jsonc.Members(v)
 	if !ok {
 		c.report(v, path, "is "+jsonc.KindName(v), "use an object")
 		for _, f := range Fields {
 			if group, _ := f.group(); group == path {
-				c.bad[f.Path] = true
+				c.invalid[f.Path] = true
 			}
 		}
 		return
@@ -55,32 +57,34 @@
 	}
 }
 
+// member checks a member of the object parent and sets its field if the value is valid.
 func (c *checker) member(parent string, m jsonc.Member) {
 	path := jsonc.Join(parent, m.Key)
-	if c.seen[path] != nil {
+	if c.values[path] != nil {
 		c.report(m.Name, path, "is set twice", "keep one")
 		return
 	}
 	if parent == "" && isGroup(m.Key) {
-		c.seen[path] = m.Value
+		c.values[path] = m.Value
 		c.object(path, m.Value)
 		return
 	}
-	f, ok := fieldAt(path)
+	f, ok := fieldByPath(path)
 	if !ok {
 		c.report(m.Name, path, "is not a field", suggestion(parent, m.Key))
 		return
 	}
-	c.seen[path] = m.Value
+	c.values[path] = m.Value
 	before := len(c.problems)
 	c.field(f, m.Value)
 	if len(c.problems) > before {
-		c.bad[path] = true
+		c.invalid[path] = true
 		return
 	}
 	c.settings.set(path, jsonc.Standard(m.Value))
 }
 
+// field checks the value of one field.
 func (c *checker) field(f Field, v *hujson.Value) {
 	switch f.Kind {
 	case KindInt, KindFloat:
@@ -157,25 +161,26 @@
 	}
 }
 
-// missing reports required fields that the file does not set, at the object
-// that should hold them.
-func (c *checker) missing() {
+// checkRequired reports each required field that the file does not set, at the object that the field
+// belongs to.
+func (c *checker) checkRequired() {
 	if _, ok := jsonc.Members(c.doc.Root); !ok {
 		return
 	}
 	for _, f := range Fields {
-		if !f.Required || c.seen[f.Path] != nil || c.bad[f.Path] {
+		if !f.Required || c.values[f.Path] != nil || c.invalid[f.Path] {
 			continue
 		}
 		at := c.doc.Root
-		if group, _ := f.group(); c.seen[group] != nil {
-			at = c.seen[group]
+		if group, _ := f.group(); c.values[group] != nil {
+			at = c.values[group]
 		}
 		c.report(at, f.Path, "is missing", f.Want())
 	}
 }
 
-func fieldAt(path string) (Field, bool) {
+// fieldByPath returns the field with a path, false if there is none.
+func fieldByPath(path string) (Field, bool) {
 	for _, f := range Fields {
 		if f.Path == path {
 			return f, true
@@ -184,6 +189,7 @@
 	return Field{}, false
 }
 
+// isGroup reports whether key names a group of fields.
 func isGroup(key string) bool {
 	for _, f := range Fields {
 		if group, _ := f.group(); group == key {
@@ -193,8 +199,8 @@
 	return false
 }
 
-// suggestion tells the nearest name in the same object, or the path of a field
-// of that name elsewhere, or all names that the object knows.
+// suggestion returns a hint for an unknown key of the object parent: a similar key of that object, or
+// the path of a field with this key in another object, or all keys of the object.
 func suggestion(parent, key string) string {
 	var here []string
 	for _, f := range Fields {
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -9,53 +9,55 @@
 	"time"
 )
 
-// Kind is the type of a field in the file.
+// Kind is the type of a field's value in the file.
 type Kind uint8
 
-// The kinds of field.
+// The kinds of fields.
 const (
-	// KindName is a string without blanks.
+	// KindName is a string without spaces and control characters.
 	KindName Kind = iota + 1
-	// KindAddress is an IP address and port that are not 0.
+	// KindAddress is an IP address and port as a string. The address must not be unspecified and the
+	// port must not be 0.
 	KindAddress
-	// KindAddresses is an array of KindAddress.
+	// KindAddresses is an array of values of KindAddress.
 	KindAddresses
 	// KindURL is an http or https URL.
 	KindURL
 	// KindDuration is a string such as "150ms".
 	KindDuration
-	// KindInt is a whole number.
+	// KindInt is an integer.
 	KindInt
 	// KindFloat is a number.
 	KindFloat
-	// KindChoice is one of a few strings.
+	// KindChoice is one of the strings in Choices.
 	KindChoice
 )
 
-// Field is everything that is fixed about one field of the file.
+// Field describes one field of the settings file.
 type Field struct {
-	// Path names the field, such as "platform.url".
+	// Path is the path of the field in the file, such as "platform.url".
 	Path string
 	Kind Kind
-	// Required fields have no default.
+	// Required is set if the file must set the field. Required fields have no default.
 	Required bool
-	// Unit of a number, for people.
+	// Unit is the displayed unit of a number.
 	Unit string
-	// Default is what holds where the file says nothing: a string, []string,
-	// time.Duration, int64 or float64 as Kind demands. It is nil for a required
-	// field and for one that may be left out.
+	// Default is the value if the file does not set the field: a string, []string, time.Duration,
+	// int64 or float64, depending on Kind. It is nil for required fields and for optional fields
+	// without a default.
 	Default any
-	// Min and Max are inclusive. They bound the value of a number or duration,
-	// the length in bytes of a name and the number of addresses.
+	// Min and Max are inclusive bounds of the value of a number or duration, of the length of a name
+	// in bytes, and of the number of addresses.
 	Min, Max float64
-	// Choices are the values of a KindChoice.
+	// Choices are the allowed values of a field of KindChoice.
 	Choices []string
-	// Example is a value of a field without a default.
+	// Example is an example value of a field without a default.
 	Example any
-	Doc     string
+	// Doc is the description that WriteDefaults prints.
+	Doc string
 }
 
-// Longest name and longest list of addresses.
+// Maximum length of a name and maximum number of addresses in a list.
 const (
 	maxNameBytes = 64
 	maxAddresses = 64
@@ -97,21 +99,23 @@
 	return Field{Path: path, Kind: KindChoice, Default: choices[0], Choices: choices, Doc: doc}
 }
 
+// required returns a copy of f that is required.
 func (f Field) required() Field {
 	f.Required = true
 	return f
 }
 
+// optional returns a copy of f that is not required.
 func (f Field) optional() Field {
 	f.Required = false
 	return f
 }
 
-// Want tells what a right value looks like.
+// Want returns a hint that describes a valid value.
 func (f Field) Want() string {
 	switch f.Kind {
 	case KindName:
-		return fmt.Sprintf("use a string of %g to %g bytes without blanks", f.Min, f.Max)
+		return fmt.Sprintf("use a string of %g to %g bytes without spaces or control characters", f.Min, f.Max)
 	case KindAddress:
 		return `use an IP address and port, such as "10.1.2.3:7400"`
 	case KindAddresses:
@@ -130,7 +134,7 @@
 	return ""
 }
 
-// Bounds returns the bounds for people, empty if the kind says all.
+// Bounds returns the bounds as text for display, empty if the kind has none.
 func (f Field) Bounds() string {
 	switch f.Kind {
 	case KindName:
@@ -149,19 +153,19 @@
 	return ""
 }
 
-// checkNumber returns what is wrong with a number, empty if it is within the
-// bounds. The comparison is written so that NaN fails it.
-func (f Field) checkNumber(v float64, shown string) string {
+// checkNumber returns the problem with a number, empty if it is within the bounds. text is the number
+// as it is shown in the problem. The comparison is written such that NaN is out of bounds.
+func (f Field) checkNumber(v float64, text string) string {
 	switch {
 	case v >= f.Min && v <= f.Max:
 		return ""
 	case v > f.Max:
-		return shown + " is above the maximum"
+		return text + " is above the maximum"
 	}
-	return shown + " is below the minimum"
+	return text + " is below the minimum"
 }
 
-// checkText returns what is wrong with a string, empty if nothing is.
+// checkText returns the problem with a string, empty if it is valid.
 func (f Field) checkText(s string) string {
 	switch f.Kind {
 	case KindName:
@@ -181,21 +185,22 @@
 	return ""
 }
 
+// checkName returns the problem with a value of KindName, empty if it is valid.
 func (f Field) checkName(s string) string {
 	if len(s) < int(f.Min) || len(s) > int(f.Max) {
 		return fmt.Sprintf("the name has %d bytes", len(s))
 	}
 	for _, c := range s {
 		if c <= ' ' || c == 0x7f {
-			return strconv.Quote(s) + " holds a blank or a control character"
+			return strconv.Quote(s) + " contains a space or a control character"
 		}
 	}
 	return ""
 }
 
-// checkAddress refuses host names, since a resolver would be one more thing
-// that can fail, and the unspecified address, since others are told the
-// address and could not use it.
+// checkAddress returns the problem with an IP address and port, empty if it is valid. Host names are
+// invalid because the daemon would depend on a resolver, which can fail. The unspecified address is
+// invalid because other daemons receive the address and could not connect to it.
 func checkAddress(s string) string {
 	a, err := netip.ParseAddrPort(s)
 	switch {
@@ -209,6 +214,7 @@
 	return ""
 }
 
+// checkURL returns the problem with an http or https URL, empty if it is valid.
 func checkURL(s string) string {
 	u, err := url.Parse(s)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// set puts a JSON value into the field of a path. Fields and the struct are
-// both written by us, so that a mismatch is a fault of the program; a test
-// compares the two.
+// set sets the field with a path to a JSON value. It panics if the field does not exist or has another
+// type: Fields and the struct are both part of the program, and a test checks that they match.
 func (s *Settings) set(path string, value []byte) {
 	v := reflect.ValueOf(s).Elem()
 	for key := range strings.SplitSeq(path, ".") {
@@ -21,6 +20,7 @@
 	}
 }
 
+// fieldByKey returns the field of a struct whose JSON key is key. It panics if there is none.
 func fieldByKey(v reflect.Value, key string) reflect.Value {
 	for i := range v.NumField() {
 		if v.Type().Field(i).Tag.Get("json") == key {
@@ -30,9 +30,10 @@
 	panic("settings: no field " + key)
 }
 
-// defaultJSON returns the default as JSON.
+// defaultJSON returns the field's default as JSON.
 func (f Field) defaultJSON() []byte { return toJSON(f.Default) }
 
+// toJSON returns v as JSON, a time.Duration in the format of Duration.
 func toJSON(v any) []byte {
 	if d, ok := v.(time.Duration); ok {
 		v = Duration(d)
@@ -44,8 +45,8 @@
 	return b
 }
 
-// group returns the object that holds the field, empty for the top level, and
-// the key within it.
+// group returns the key of the object that the field belongs to, empty for the top level, and the key
+// of the field in that object.
 func (f Field) group() (group, key string) {
 	if group, key, ok := strings.Cut(f.Path, "."); ok {
 		return group, key
--- a/internal/settings/print.go
+++ b/internal/settings/print.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// WriteDefaults writes a file with every field, its meaning, unit, default and
-// bounds. Required fields hold example values; optional ones without a default
-// are commented out.
+// WriteDefaults writes a settings file with every field, its description, unit, default and bounds.
+// Required fields have example values. Optional fields without a default are commented out.
 func WriteDefaults(w io.Writer) error {
 	var b bytes.Buffer
 	b.WriteString("// Settings of a crocuscross daemon: JSON with comments.\n{\n")
-	open := ""
+	current := ""
 	for i, f := range Fields {
 		group, key := f.group()
-		if group != open {
-			closeGroup(&b, open)
+		if group != current {
+			closeGroup(&b, current)
 			openGroup(&b, group)
-			open = group
+			current = group
 		} else if i > 0 {
 			b.WriteString("\n")
 		}
 		writeField(&b, f, key, indent(group))
 	}
-	closeGroup(&b, open)
+	closeGroup(&b, current)
 	b.WriteString("}\n")
 	_, err := w.Write(b.Bytes())
 	return err
 }
 
+// openGroup writes the beginning of a group, for the top level only an empty line.
 func openGroup(b *bytes.Buffer, group string) {
 	b.WriteString("\n")
 	if group != "" {
@@ -38,12 +38,14 @@
 	}
 }
 
+// closeGroup writes the end of a group, nothing for the top level.
 func closeGroup(b *bytes.Buffer, group string) {
 	if group != "" {
 		b.WriteString("\t},\n")
 	}
 }
 
+// indent returns the indentation of the fields in a group.
 func indent(group string) string {
 	if group == "" {
 		return "\t"
@@ -51,18 +53,19 @@
 	return "\t\t"
 }
 
+// writeField writes a field with its description and constraints as comments.
 func writeField(b *bytes.Buffer, f Field, key, indent string) {
-	fmt.Fprintf(b, "%s// %s\n%s// %s\n", indent, f.Doc, indent, f.facts())
-	off := ""
+	fmt.Fprintf(b, "%s// %s\n%s// %s\n", indent, f.Doc, indent, f.constraints())
+	comment := ""
 	if f.Default == nil && !f.Required {
-		off = "// "
+		comment = "// "
 	}
-	fmt.Fprintf(b, "%s%s%q: %s,\n", indent, off, key, f.shownJSON())
+	fmt.Fprintf(b, "%s%s%q: %s,\n", indent, comment, key, f.exampleJSON())
 }
 
-// facts returns whether the field is required, its default, unit and bounds in
-// one line.
-func (f Field) facts() string {
+// constraints returns one line that states whether the field is required, its default, its unit and
+// its bounds.
+func (f Field) constraints() string {
 	var parts []string
 	switch {
 	case f.Required:
@@ -87,7 +90,8 @@
 	return strings.Join(parts, "; ") + "."
 }
 
-func (f Field) shownJSON() []byte {
+// exampleJSON returns the default, or the example of a field without a default, as JSON.
+func (f Field) exampleJSON() []byte {
 	if f.Default != nil {
 		return f.defaultJSON()
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads a daemon's settings file: JSON with comments. What is
-// fixed about each field (meaning, unit, default, bounds) is kept in Fields and
-// nowhere else.
+// Package settings reads a daemon's settings file, which is JSON with comments. Fields alone defines
+// the description, unit, default and bounds of each field.
 package settings
 
 import (
@@ -10,20 +9,20 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-// Duration is a time.Duration written as "150ms".
+// Duration is a time.Duration that is written as text such as "150ms".
 type Duration time.Duration
 
-// UnmarshalText parses the form of time.ParseDuration.
+// UnmarshalText parses the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	*d = Duration(v)
 	return err
 }
 
-// MarshalText returns the form that UnmarshalText reads.
+// MarshalText returns the format that UnmarshalText parses.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// String returns the shortest form: "1m" rather than "1m0s".
+// String returns the shortest text, such as "1m" rather than "1m0s".
 func (d Duration) String() string {
 	s := time.Duration(d).String()
 	if strings.HasSuffix(s, "m0s") {
@@ -35,20 +34,19 @@
 	return s
 }
 
-// Settings is the whole file.
+// Settings holds the settings of a daemon.
 type Settings struct {
-	// Host names this host; unique in the fleet and the same for a
-	// replacement under the same address.
+	// Host is the name of this host. It is unique in the fleet. A replacement host with the same
+	// address keeps the name.
 	Host             string `json:"host"`
 	AvailabilityZone string `json:"availability_zone"`
 	Region           string `json:"region"`
-	// LinkMbps is the bandwidth of the host's link, 0 where it is not stated.
+	// LinkMbps is the bandwidth of the host's network link in Mbit/s, 0 if it is not stated.
 	LinkMbps float64 `json:"link_mbps"`
-	// Listen addresses, as IP:port. Peers is used for TCP and UDP and, unless
-	// AdvertisePeers is set, told to the other daemons, so it must be reachable
-	// for them.
+	// Listen holds the listen addresses as IP:port. Peers is used for TCP and UDP. Unless
+	// AdvertisePeers is set, Peers is also sent to the other daemons and must be reachable for them.
 	Listen Listen `json:"listen"`
-	// Contacts are peer addresses of a few daemons to join by.
+	// Contacts are the peer addresses of a few daemons through which this daemon joins the fleet.
 	Contacts   []string   `json:"contacts"`
 	Backend    Backend    `json:"backend"`
 	Platform   Platform   `json:"platform"`
@@ -63,186 +61,195 @@
 	Trial      Trial      `json:"trial"`
 }
 
-// Listen holds one address for each kind of client.
+// Listen holds one listen address for each kind of client.
 type Listen struct {
 	Callers string `json:"callers"`
 	Peers   string `json:"peers"`
-	// AdvertisePeers is told to the other daemons in place of Peers.
+	// AdvertisePeers is sent to the other daemons instead of Peers unless it is empty.
 	AdvertisePeers string `json:"advertise_peers"`
 	Operators      string `json:"operators"`
-	// Metrics serves the metrics alone, beside Operators; empty for no such listener.
+	// Metrics is the address of a listener that serves only the metrics, which Operators serves as
+	// well. If it is empty, there is no such listener.
 	Metrics string `json:"metrics"`
-	// Backend is where the backend server beside the daemon announces itself.
+	// Backend is the address at which the local backend server announces itself.
 	Backend string `json:"backend"`
 }
 
-// Backend tells of the backend server beside the daemon.
+// Backend describes the local backend server, which runs on the daemon's host.
 type Backend struct {
-	// Service of the server, empty where only its announcement tells.
+	// Service is the service of the server. If it is empty, the announcement states the service.
 	Service string `json:"service"`
-	// Address where it takes calls, empty where only its announcement tells.
+	// Address is the IP:port at which the server accepts calls. If it is empty, only the announcement
+	// states the address.
 	Address string `json:"address"`
-	// Expires is how long an announcement with an id holds without renewal.
+	// Expires is how long an announcement with an ID is valid without renewal.
 	Expires Duration `json:"expires"`
 }
 
-// Names of what the platform speaks.
+// Values of Platform.Protocol.
 const (
 	ProtocolLog   = "log"
 	ProtocolStore = "store"
 )
 
-// Platform tells how the platform's log is reached.
+// Platform configures the access to the platform's log.
 type Platform struct {
 	URL string `json:"url"`
 	// Protocol is log or store.
 	Protocol string `json:"protocol"`
-	// AppendTimeout bounds one append; after it the outcome is unknown.
+	// AppendTimeout limits one append. An append that times out has an unknown outcome.
 	AppendTimeout Duration `json:"append_timeout"`
 	// ReadWait is how long a read waits for new records.
 	ReadWait Duration `json:"read_wait"`
-	// Retention is how long the platform keeps a record, at least.
+	// Retention is the minimum time for which the platform keeps a record.
 	Retention Duration `json:"retention"`
 }
 
-// Membership tunes the probes between daemons.
+// Membership configures the membership of the daemons, such as the probes between them.
 type Membership struct {
 	ProbeInterval    Duration `json:"probe_interval"`
 	ProbeTimeout     Duration `json:"probe_timeout"`
 	SuspicionTimeout Duration `json:"suspicion_timeout"`
 	// HealInterval is the mean time between two attempts to reach a dead daemon.
 	HealInterval Duration `json:"heal_interval"`
-	// JoinTimeout is how long a start waits for other daemons.
+	// JoinTimeout is how long a starting daemon waits for other daemons.
 	JoinTimeout Duration `json:"join_patience"`
 }
 
-// Spread tunes how configuration travels.
+// Spread configures the distribution of configuration between daemons.
 type Spread struct {
-	// ReadersPerZone daemons of each availability zone read the log. More make
-	// convergence sturdier and cost reads at the source.
+	// ReadersPerZone is the number of daemons in each availability zone that read the log. More
+	// readers make convergence more reliable and cause more reads from the log.
 	ReadersPerZone int `json:"readers_per_zone"`
-	// FanOut is how many daemons each daemon passes new records to.
+	// FanOut is the number of daemons to which each daemon forwards new records.
 	FanOut int `json:"fan_out"`
-	// Mode and Redundancy have the names of spread.Mode and spread.Redundancy.
+	// Mode and Redundancy are the names of a spread.Mode and a spread.Redundancy.
 	Mode       string `json:"mode"`
 	Redundancy string `json:"redundancy"`
-	// OwnReadAfter is how long a daemon hears nothing before it reads the log
-	// itself.
+	// OwnReadAfter is how long a daemon receives no offset from other daemons before it reads the
+	// log itself.
 	OwnReadAfter Duration `json:"own_read_after"`
 }
 
-// Values of a switch.
+// Values of Requests.CallerKeys.
 const (
 	Off = "off"
 	On  = "on"
 )
 
-// Requests bounds what callers may ask.
+// Requests configures and limits the calls of callers.
 type Requests struct {
 	MaxHeaderBytes int   `json:"max_header_bytes"`
 	MaxBodyBytes   int64 `json:"max_body_bytes"`
-	// HeaderTimeout bounds the time a caller takes to send the header.
+	// HeaderTimeout limits the time in which a caller sends the header of a call.
 	HeaderTimeout Duration `json:"header_timeout"`
-	// MaxInFlight bounds the calls that this daemon holds at once.
+	// MaxInFlight limits the calls in progress on this daemon.
 	MaxInFlight int `json:"max_in_flight"`
-	// MaxConnections bounds the callers' connections kept for further requests.
+	// MaxConnections limits the callers' connections that are kept alive for further requests.
 	MaxConnections int `json:"max_connections"`
-	// ZoneCost is the time that a call loses by leaving the availability zone.
+	// ZoneCost is the additional round-trip time of a call that leaves the availability zone.
 	ZoneCost Duration `json:"zone_cost"`
-	// KilobyteCost is the time that 1,000 bytes are worth that stay in the
-	// availability zone, for a latency objective of 1 s.
+	// KilobyteCost is the time per 1,000 bytes that a call may lose in order to stay in the
+	// availability zone, at a latency objective of 1 s. It is proportional to the objective.
 	KilobyteCost Duration `json:"kilobyte_cost"`
-	// SlowStart is how long the share of calls of a new backend server grows.
+	// SlowStart is the time over which the share of calls of a new backend server increases.
 	SlowStart Duration `json:"slow_start"`
-	// SlowServers is eject or keep.
+	// SlowServers is the treatment of slow backend servers, eject or keep.
 	SlowServers string `json:"slow_servers"`
-	// Customers is required or optional.
+	// Customers is whether calls need a customer, required or optional.
 	Customers string `json:"customers"`
-	// CallerKeys is off or on. Each daemon that takes keys of callers' own making
-	// reads the claims of all.
+	// CallerKeys is whether idempotency keys that callers generate are accepted, off or on. A daemon
+	// that accepts them reads the claims of all daemons.
 	CallerKeys string `json:"own_keys"`
 }
 
-// What becomes of slow backend servers.
+// Values of Requests.SlowServers.
 const (
 	SlowEject = "eject"
 	SlowKeep  = "keep"
 )
 
-// Whether calls need a customer.
+// Values of Requests.Customers.
 const (
 	CustomersRequired = "required"
 	CustomersOptional = "optional"
 )
 
-// Retries bounds what the whole fleet sends to backend servers again.
+// Retries limits the retries of the whole fleet.
 type Retries struct {
+	// Ratio is the maximum share of calls that are retried, 0 to 1.
 	Ratio float64 `json:"ratio"`
-	Burst int     `json:"extra"`
+	// Burst is the number of calls that may be retried beyond Ratio after a time without retries.
+	Burst int `json:"extra"`
 }
 
-// Rollouts bounds what a version gets that is not known to be good.
+// Rollouts limits the calls that reach a new version of a service during its rollout.
 type Rollouts struct {
-	// MaxShare of a service's calls and Slack calls beside it may reach the new version
-	// before it is known to be good.
+	// MaxShare and Slack limit the calls that may reach the new version before it is known to be
+	// good: the share MaxShare of the service's calls, plus Slack calls.
 	MaxShare float64 `json:"max_share"`
 	Slack    int     `json:"slack"`
 }
 
-// Drain bounds a graceful shutdown.
+// Drain limits the duration of a graceful shutdown.
 type Drain struct {
-	// Timeout is the time from SIGTERM to the kill of the process.
+	// Timeout is the time from SIGTERM until the process is killed.
 	Timeout Duration `json:"timeout"`
 }
 
-// Log tunes the daemon's own log lines.
+// Log configures the daemon's log lines.
 type Log struct {
-	// Level is debug, info, warn or error.
+	// Level is the lowest level that is logged: debug, info, warn or error.
 	Level string `json:"level"`
 	// Format is text or json.
 	Format string `json:"format"`
 }
 
-// Trace tells where spans go.
+// Trace configures the export of spans.
 type Trace struct {
 	// Exporter is none, stdout or otlp.
 	Exporter string `json:"exporter"`
-	// Endpoint of the OTLP collector (HTTP), as a URL.
+	// Endpoint is the URL of the OTLP collector (HTTP).
 	Endpoint string `json:"endpoint"`
-	// Ratio of calls traced when the caller did not decide, 0 to 1.
+	// Ratio is the fraction of calls that are traced, 0 to 1. It applies to calls without a sampling
+	// decision of the caller.
 	Ratio float64 `json:"ratio"`
 }
 
-// Trial leaves out one mechanism, to measure what it is worth.
+// Trial disables one mechanism in order to measure its effect.
 type Trial struct {
+	// Without is the name of the disabled mechanism.
 	Without string `json:"without"`
 }
 
-// What Trial.Without may name.
+// Values of Trial.Without.
 const (
-	// WithoutNothing leaves all mechanisms in place.
+	// WithoutNothing keeps all mechanisms enabled.
 	WithoutNothing = "nothing"
-	// WithoutNestedCalls treats calls that services make like callers' requests.
+	// WithoutNestedCalls treats calls made by services like calls of outside callers.
 	WithoutNestedCalls = "nested"
-	// WithoutRouteClasses takes all calls at a gate for alike.
+	// WithoutRouteClasses makes gates treat the calls of all routes alike.
 	WithoutRouteClasses = "routes"
-	// WithoutObjective bounds waits at gates by the senders' patience alone.
+	// WithoutObjective limits waits at gates only by the sender's maximum wait, not by the latency
+	// objective.
 	WithoutObjective = "objective"
-	// WithoutObjectiveRetryAfter tells refused callers to come back when the queue is served.
+	// WithoutObjectiveRetryAfter sets the retry-after time of rejected calls to the expected time until
+	// the queue is served, even if that exceeds the latency objective.
 	WithoutObjectiveRetryAfter = "timely_returns"
-	// WithoutAdmissionCheck sends bodies of up to 16 kB along with their calls.
+	// WithoutAdmissionCheck sends bodies of up to 16 kB along with their calls, without waiting until
+	// the gate has admitted the call.
 	WithoutAdmissionCheck = "questions"
-	// WithoutDrainNotice tells the other daemons of a drain at its beginning.
+	// WithoutDrainNotice notifies the other daemons of a drain at its beginning.
 	WithoutDrainNotice = "notice"
-	// WithoutCallerRetries takes callers that come back for new ones.
+	// WithoutCallerRetries treats retries by callers as new calls.
 	WithoutCallerRetries = "returns"
-	// WithoutBusyGates tries gates that have just told of a long queue.
+	// WithoutBusyGates sends attempts also to gates that have just reported a long queue.
 	WithoutBusyGates = "busy"
-	// WithoutLocality takes bytes between availability zones for free.
+	// WithoutLocality assumes that traffic between availability zones is free.
 	WithoutLocality = "locality"
 )
 
-// Default returns the settings that hold where the file says nothing.
+// Default returns the settings with the default of each field. Fields without a default are zero.
 func Default() Settings {
 	var s Settings
 	for _, f := range Fields {
@@ -253,8 +260,8 @@
 	return s
 }
 
-// Load reads a file over the defaults. The error of a file that was read is a
-// jsonc.Problems with all that is wrong with it.
+// Load reads a settings file. Fields that the file does not set keep their default. If the file can be
+// read, an error is a jsonc.Problems with all problems of the file.
 func Load(path string) (*Settings, error) {
 	d, err := jsonc.ReadFile(path)
 	if err != nil {
@@ -263,7 +270,7 @@
 	return check(d)
 }
 
-// Parse is Load for bytes that are at hand. The file name is only shown.
+// Parse parses the content of a settings file like Load. The file name is used only in errors.
 func Parse(file string, raw []byte) (*Settings, error) {
 	d, err := jsonc.Parse(file, raw)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -14,17 +14,18 @@
 	"github.com/crocuscross/crocuscross/internal/jsonc"
 )
 
-// minimal holds the required fields only.
+// minimal is a settings file with only the required fields.
 const minimal = `{
 	"host": "h1", "availability_zone": "boston", "region": "new-england",
 	"listen": {"callers": "127.0.0.1:1", "peers": "127.0.0.1:2", "operators": "127.0.0.1:3", "backend": "127.0.0.1:4"},
 	"platform": {"url": "http://127.0.0.1:9"},
 }`
 
-// with returns minimal with one more member.
-func with(member string) string { return strings.TrimSuffix(minimal, "}") + member + "\n}" }
+// minimalWith returns minimal with one more member.
+func minimalWith(member string) string { return strings.TrimSuffix(minimal, "}") + member + "\n}" }
 
-func problems(t *testing.T, raw string) []string {
+// parseProblems parses an invalid settings file and returns its problems.
+func parseProblems(t *testing.T, raw string) []string {
 	t.Helper()
 	_, err := Parse("f", []byte(raw))
 	var ps jsonc.Problems
@@ -64,15 +65,15 @@
 		{"timeout above interval", `"membership": {"probe_interval": "200ms"}`, `f:5:15: membership.probe_timeout: 300ms is not below membership.probe_interval; use less than 200ms`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			must.Eq(t, []string{c.want}, problems(t, with(c.member)))
+			must.Eq(t, []string{c.want}, parseProblems(t, minimalWith(c.member)))
 		})
 	}
 }
 
-// The operator sees all mistakes of a file at once and in its order: fixing
-// them one restart at a time would keep the host out of service for longer.
+// All problems of a file are reported at once, in the order of the file. Fixing one problem per restart
+// would keep the host out of service for longer.
 func TestAllProblemsAtOnce(t *testing.T) {
-	got := problems(t, `{
+	got := parseProblems(t, `{
 	"host": "a b",
 	"region": 3,
 	"listen": {"callers": "1.2.3.4:5", "peers": "1.2.3.4:5", "backend": "x"},
@@ -89,8 +90,8 @@
 	must.Len(t, 9, got)
 }
 
-// Every leaf of the struct must have one row in Fields and the other way round,
-// or a field would have no bounds or could not be set.
+// Every leaf field of the struct has one entry in Fields and vice versa. Otherwise, a field would
+// have no bounds or could not be set.
 func TestFieldsMatchTheStruct(t *testing.T) {
 	var want, got []string
 	var walk func(path string, typ reflect.Type)
@@ -110,8 +111,8 @@
 	must.SliceContainsAll(t, want, got)
 }
 
-// The printed file must be one that is read, and say of each field what holds
-// without it.
+// The printed file can be parsed, has the default of every field that has one, and contains the
+// descriptions of all fields.
 func TestWriteDefaultsIsReadBack(t *testing.T) {
 	var b bytes.Buffer
 	must.NoError(t, WriteDefaults(&b))
@@ -130,9 +131,9 @@
 	var b bytes.Buffer
 	must.NoError(f, WriteDefaults(&b))
 	for _, seed := range []string{
-		minimal, b.String(), "", "[]", "null", `{"listen": []}`, with(`"log": {"level": null}`),
-		with(`"trace": {"ratio": 1e400}`), with(`"spread": {"fan_out": -0}`), with(`"drain": {"timeout": "+.5s"}`),
-		with(`"requests": {"max_body_bytes": 99999999999999999999}`), with(`"contacts": ["[fe80::1%eth0]:1"]`),
+		minimal, b.String(), "", "[]", "null", `{"listen": []}`, minimalWith(`"log": {"level": null}`),
+		minimalWith(`"trace": {"ratio": 1e400}`), minimalWith(`"spread": {"fan_out": -0}`), minimalWith(`"drain": {"timeout": "+.5s"}`),
+		minimalWith(`"requests": {"max_body_bytes": 99999999999999999999}`), minimalWith(`"contacts": ["[fe80::1%eth0]:1"]`),
 	} {
 		f.Add([]byte(seed))
 	}
--- a/internal/telemetry/docs_test.go
+++ b/internal/telemetry/docs_test.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// Every metric is described in OPERATIONS.md.
+// Every metric is described in OPERATIONS.md, where the operator on call looks it up.
 func TestDocs_MetricsAreDocumented(t *testing.T) {
 	text := pages(t)["OPERATIONS.md"]
 	for name := range registeredMetrics() {
