--- a/internal/fleet/convergence.go
+++ b/internal/fleet/convergence.go
@@ -11,46 +11,47 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// Convergence tells how a version came into force over the live daemons.
+// Convergence describes how a configuration version came into force on the live daemons.
 type Convergence struct {
+	// Offset is the version.
 	Offset uint64
-	// Converged is whether every live daemon has the version in force.
+	// Converged is set if the version is in force on every live daemon.
 	Converged bool
-	// Time is the longest After of the daemons that have it in force.
+	// Time is the longest After of the daemons on which the version is in force.
 	Time    time.Duration
 	Daemons []Progress
 }
 
-// Progress is one daemon's part in a Convergence.
+// Progress is the progress of one daemon in a Convergence.
 type Progress struct {
 	Host             string
 	AvailabilityZone string
-	// Offset in force at the last answer.
+	// Offset is the offset in force at the daemon's last response. If its status could not be
+	// queried, it is the offset in the member table.
 	Offset uint64
-	// InForce is whether the version, or a later one, is in force.
+	// InForce is set if the version or a later one is in force.
 	InForce bool
-	// After is how long after the start the version came into force, at most;
-	// 0 where it was in force before. For a daemon that has moved on it is the
-	// time of the later version.
+	// After is an upper bound of the time from the start until the version came into force, 0 if it
+	// was in force before the start. For a daemon with a later version in force, it is the time of
+	// the later version.
 	After time.Duration
-	// Reason tells why a daemon is not known to have the version in force.
+	// Reason describes why the version is not known to be in force on the daemon.
 	Reason string
 }
 
-// memberID tells one life of a daemon from the next: a daemon that restarts
-// has to reach the version again.
-type memberID struct {
+// instanceID identifies a daemon between two restarts. A restarted daemon has to reach the version
+// again.
+type instanceID struct {
 	host string
 	boot uint64
 }
 
-// Converge waits until every live daemon has a version in force or ctx ends,
-// and returns what it has seen by then. Times count from start and are read
-// from this daemon's clock alone: each answer carries the age of the version in
-// force, a duration, which is taken off the time of the answer's arrival. The
-// error is one message's travel.
+// Converge waits until a version is in force on every live daemon or ctx ends, and returns the progress
+// by then. Times are relative to start and depend only on this daemon's clock: each response holds the
+// age of the version in force, which is subtracted from the arrival time of the response. The error is
+// the transit time of one message.
 func (f *Fleet) Converge(ctx context.Context, offset uint64, start time.Time) Convergence {
-	w := wait{fleet: f, offset: offset, start: start, seen: map[memberID]Progress{}}
+	w := convergenceWait{fleet: f, offset: offset, start: start, latest: map[instanceID]Progress{}}
 	for {
 		c := w.round(ctx)
 		if c.Converged || !loop.Sleep(ctx, f.opts.PollInterval) {
@@ -59,17 +60,17 @@
 	}
 }
 
-// wait is one wait for convergence.
-type wait struct {
+// convergenceWait is the state of one call of Converge.
+type convergenceWait struct {
 	fleet  *Fleet
 	offset uint64
 	start  time.Time
-	// seen holds the latest progress of each daemon.
-	seen map[memberID]Progress
+	// latest holds the latest progress of each daemon instance.
+	latest map[instanceID]Progress
 }
 
-// round asks the live daemons that are not known to have the version in force.
-func (w *wait) round(ctx context.Context) Convergence {
+// round queries the live daemons on which the version is not known to be in force.
+func (w *convergenceWait) round(ctx context.Context) Convergence {
 	c := Convergence{Offset: w.offset}
 	view := w.fleet.opts.Board.Members.Load()
 	if view == nil {
@@ -77,28 +78,30 @@
 	}
 	live := view.Live()
 	c.Daemons = make([]Progress, len(live))
-	w.fleet.each(ctx, live, func(askCtx context.Context, i int, m *membership.Member) {
-		c.Daemons[i] = w.progressOf(ctx, askCtx, m)
+	w.fleet.forEach(ctx, live, func(askCtx context.Context, i int, m *membership.Member) {
+		c.Daemons[i] = w.queryProgress(ctx, askCtx, m)
 	})
 	c.Converged = len(live) > 0
 	for i, p := range c.Daemons {
-		w.seen[idOf(live[i])] = p
+		w.latest[instanceIDOf(live[i])] = p
 		c.Converged = c.Converged && p.InForce
 		c.Time = max(c.Time, p.After)
 	}
 	return c
 }
 
-func (w *wait) progressOf(ctx, askCtx context.Context, m *membership.Member) Progress {
-	last, known := w.seen[idOf(m)]
+// queryProgress returns the progress of one daemon and queries its status unless the version is known
+// to be in force. ctx ends with the wait, askCtx with this query.
+func (w *convergenceWait) queryProgress(ctx, askCtx context.Context, m *membership.Member) Progress {
+	last, known := w.latest[instanceIDOf(m)]
 	if last.InForce {
 		return last
 	}
 	p := Progress{Host: m.Host, AvailabilityZone: m.AvailabilityZone, Offset: m.Offset}
-	a, err := w.fleet.ask(askCtx, m)
+	a, err := w.fleet.queryStatus(askCtx, m)
 	switch {
 	case err != nil && known && ctx.Err() != nil:
-		// The end of the wait says nothing of the daemon.
+		// The query may have failed only because the wait has ended.
 		return last
 	case err != nil:
 		p.Reason = err.Error()
@@ -115,8 +118,8 @@
 	return p
 }
 
-// StallReason tells why a daemon that answers is behind or may soon be; empty if it
-// names no reason.
+// StallReason returns the reason in a daemon's status why the daemon is behind or may soon be, empty if
+// there is none.
 func StallReason(a *peerpb.StatusAnswer) string {
 	switch {
 	case a.GetStuckReason() != "":
@@ -128,4 +131,5 @@
 	return ""
 }
 
-func idOf(m *membership.Member) memberID { return memberID{m.Host, m.Boot} }
+// instanceIDOf returns the ID of a member's current instance.
+func instanceIDOf(m *membership.Member) instanceID { return instanceID{m.Host, m.Boot} }
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -10,34 +10,35 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// Target names the daemons to drain: one host, one availability zone, or, with
-// both empty, the daemon that is asked.
+// Target selects the daemons to drain: the daemon on one host, the daemons of one availability zone or,
+// if both are empty, the daemon that receives the request.
 type Target struct {
 	Host             string
 	AvailabilityZone string
 }
 
-// DrainResult tells whether a daemon took the request to drain.
+// DrainResult is the result of a drain request to one daemon. Err is nil if the daemon accepted it.
 type DrainResult struct {
 	Host string
 	Err  error
 }
 
-// Drain asks the daemons of a target to begin a graceful shutdown and does not
-// wait for its end. The error is of kind BadRequest where the target names no
-// live daemon.
+// Drain requests the daemons of a target to begin a graceful shutdown and doesn't wait until it is
+// complete. The error is of kind BadRequest if the target selects no live daemon or sets both a host and
+// an availability zone, and of kind NotReady if this daemon has no member table yet.
 func (f *Fleet) Drain(ctx context.Context, target Target, reason string) ([]DrainResult, error) {
 	members, err := f.resolve(target)
 	if err != nil {
 		return nil, err
 	}
 	results := make([]DrainResult, len(members))
-	f.each(ctx, members, func(ctx context.Context, i int, m *membership.Member) {
+	f.forEach(ctx, members, func(ctx context.Context, i int, m *membership.Member) {
 		results[i] = DrainResult{Host: m.Host, Err: f.drainOne(ctx, m, reason)}
 	})
 	return results, nil
 }
 
+// drainOne requests one daemon to drain.
 func (f *Fleet) drainOne(ctx context.Context, m *membership.Member, reason string) error {
 	if f.isSelf(m) {
 		f.opts.Drain(reason)
@@ -47,7 +48,7 @@
 	return f.opts.Peers.Call(ctx, m.PeerAddr, peerpb.Kind_KIND_DRAIN, ask, &peerpb.DrainAnswer{})
 }
 
-// resolve returns the live members of a target.
+// resolve returns the live members that a target selects. For this daemon, only the host is set.
 func (f *Fleet) resolve(target Target) ([]*membership.Member, error) {
 	self := &membership.Member{Host: f.opts.Local.opts.Host}
 	if target.Host != "" && target.AvailabilityZone != "" {
@@ -69,7 +70,7 @@
 	return members, nil
 }
 
-// String names the target.
+// String returns a description of the target.
 func (t Target) String() string {
 	switch {
 	case t.Host != "":
@@ -80,10 +81,10 @@
 	return "this host"
 }
 
-// ServeDrain answers KIND_DRAIN.
+// ServeDrain serves KIND_DRAIN: it begins a graceful shutdown of this daemon.
 func (f *Fleet) ServeDrain(_ context.Context, st *peer.Stream) error {
 	var ask peerpb.DrainAsk
-	if err := st.RecvMax(&ask, maxAskBytes); err != nil {
+	if err := st.RecvMax(&ask, maxRequestBytes); err != nil {
 		return err
 	}
 	f.opts.Drain(ask.GetReason())
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -15,38 +15,39 @@
 )
 
 const (
-	// maxAskBytes bounds what another daemon may ask in one message.
-	maxAskBytes = 4 << 10
+	// maxRequestBytes limits the size of a request from another daemon.
+	maxRequestBytes = 4 << 10
 
 	defaultConcurrency  = 64
 	defaultTimeout      = time.Second
 	defaultPollInterval = 200 * time.Millisecond
 )
 
-// Caller exchanges one message each way with another daemon.
+// Caller sends requests to other daemons.
 type Caller interface {
+	// Call sends req to the daemon at addr and reads its response into resp.
 	Call(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind, req, resp proto.Message) error
 }
 
-// Options holds what a Fleet needs.
+// Options configures a Fleet.
 type Options struct {
 	Board *blackboard.Board
 	Local *LocalStatus
 	Peers Caller
-	// Drain begins a graceful shutdown of this daemon and returns at once.
+	// Drain begins a graceful shutdown of this daemon and returns without waiting for it.
 	Drain func(reason string)
-	// Concurrency bounds the daemons asked at once, so that one question to a
-	// fleet of a thousand does not open a thousand sessions in a burst.
+	// Concurrency limits the daemons that are queried concurrently, so that one request to a fleet
+	// of a thousand daemons does not open a thousand sessions at once.
 	Concurrency int
-	// Timeout bounds the exchange with one daemon.
+	// Timeout limits the request to one daemon.
 	Timeout time.Duration
-	// PollInterval is the time between two rounds of a wait for convergence.
+	// PollInterval is the time between two rounds of queries in Converge.
 	PollInterval time.Duration
 	Logger       *slog.Logger
 }
 
-// DefaultOptions suit a fleet of about a thousand daemons. Board, Self, Peers
-// and Drain are left to the caller.
+// DefaultOptions returns options for a fleet of about a thousand daemons. The caller sets Board, Local,
+// Peers and Drain.
 func DefaultOptions() Options {
 	return Options{
 		Concurrency:  defaultConcurrency,
@@ -56,7 +57,7 @@
 	}
 }
 
-// Fleet asks the other daemons. It is safe for concurrent use.
+// Fleet queries and drains the daemons in the member table. It is safe for concurrent use.
 type Fleet struct {
 	opts Options
 }
@@ -64,34 +65,34 @@
 // New returns a Fleet.
 func New(opts Options) *Fleet { return &Fleet{opts: opts} }
 
-// Report is what is known of one daemon.
+// Report is the status of one daemon.
 type Report struct {
 	Member *membership.Member
-	// Status is the daemon's own; nil where it was not asked or did not answer.
+	// Status is the status that the daemon returned, nil if it was not queried or did not respond.
 	Status *peerpb.StatusAnswer
-	// Err tells why a live daemon did not answer.
+	// Err is the error of the query, nil if the daemon responded or was not queried.
 	Err error
 }
 
-// Status returns a report on each member of the table. Dead members and those
-// that left are not asked.
+// Status returns a report for each member in the member table. Members that are dead or have left are
+// not queried.
 func (f *Fleet) Status(ctx context.Context) []Report {
 	view := f.opts.Board.Members.Load()
 	if view == nil {
 		return nil
 	}
 	reports := make([]Report, len(view.Members))
-	f.each(ctx, view.Members, func(ctx context.Context, i int, m *membership.Member) {
+	f.forEach(ctx, view.Members, func(ctx context.Context, i int, m *membership.Member) {
 		reports[i].Member = m
 		if m.Usable() {
-			reports[i].Status, reports[i].Err = f.ask(ctx, m)
+			reports[i].Status, reports[i].Err = f.queryStatus(ctx, m)
 		}
 	})
 	return reports
 }
 
-// ask returns a daemon's own status.
-func (f *Fleet) ask(ctx context.Context, m *membership.Member) (*peerpb.StatusAnswer, error) {
+// queryStatus returns the status that a daemon reports.
+func (f *Fleet) queryStatus(ctx context.Context, m *membership.Member) (*peerpb.StatusAnswer, error) {
 	if f.isSelf(m) {
 		return f.opts.Local.Status(), nil
 	}
@@ -102,11 +103,12 @@
 	return a, nil
 }
 
+// isSelf reports whether m is this daemon.
 func (f *Fleet) isSelf(m *membership.Member) bool { return m.Host == f.opts.Local.opts.Host }
 
-// each calls do for every member, at most Concurrency at once and each with a
-// timeout of its own, and returns when all are done.
-func (f *Fleet) each(ctx context.Context, members []*membership.Member, do func(context.Context, int, *membership.Member)) {
+// forEach calls do for every member and returns when all calls are done. At most Concurrency calls run
+// concurrently, each with its own timeout.
+func (f *Fleet) forEach(ctx context.Context, members []*membership.Member, do func(context.Context, int, *membership.Member)) {
 	slots := make(chan struct{}, f.opts.Concurrency)
 	var wg sync.WaitGroup
 	for i, m := range members {
@@ -121,5 +123,5 @@
 	wg.Wait()
 }
 
-// Self returns this daemon's own status.
+// Self returns the status of this daemon.
 func (f *Fleet) Self() *peerpb.StatusAnswer { return f.opts.Local.Status() }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,29 +23,29 @@
 	"github.com/crocuscross/crocuscross/snapshot"
 )
 
-// daemons answers for all other daemons of a test.
-type daemons struct {
+// fakePeers is a Caller that responds for all other daemons of a test.
+type fakePeers struct {
 	mu     sync.Mutex
 	status map[netip.AddrPort]func() (*peerpb.StatusAnswer, error)
-	asked  map[netip.AddrPort]int
-	// reasons holds the drains received.
-	reasons map[netip.AddrPort]string
+	calls  map[netip.AddrPort]int
+	// drainReasons holds the reasons of the received drain requests by daemon.
+	drainReasons map[netip.AddrPort]string
 }
 
-func newDaemons() *daemons {
-	return &daemons{
-		status:  map[netip.AddrPort]func() (*peerpb.StatusAnswer, error){},
-		asked:   map[netip.AddrPort]int{},
-		reasons: map[netip.AddrPort]string{},
+func newFakePeers() *fakePeers {
+	return &fakePeers{
+		status:       map[netip.AddrPort]func() (*peerpb.StatusAnswer, error){},
+		calls:        map[netip.AddrPort]int{},
+		drainReasons: map[netip.AddrPort]string{},
 	}
 }
 
-func (d *daemons) Call(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind, req, resp proto.Message) error {
+func (d *fakePeers) Call(ctx context.Context, addr netip.AddrPort, kind peerpb.Kind, req, resp proto.Message) error {
 	d.mu.Lock()
-	d.asked[addr]++
+	d.calls[addr]++
 	f := d.status[addr]
 	if kind == peerpb.Kind_KIND_DRAIN {
-		d.reasons[addr] = req.(*peerpb.DrainAsk).GetReason()
+		d.drainReasons[addr] = req.(*peerpb.DrainAsk).GetReason()
 	}
 	d.mu.Unlock()
 	if f == nil {
@@ -61,8 +61,9 @@
 	return err
 }
 
-// inForceAt answers like a daemon where offset comes into force at a time.
-func inForceAt(offset uint64, at time.Time) func() (*peerpb.StatusAnswer, error) {
+// statusWithOffsetSince returns the status of a daemon on which offset comes into force at a time. Until
+// then, the preceding offset is in force.
+func statusWithOffsetSince(offset uint64, at time.Time) func() (*peerpb.StatusAnswer, error) {
 	return func() (*peerpb.StatusAnswer, error) {
 		age := time.Since(at)
 		if age < 0 {
@@ -91,13 +92,15 @@
 	return fleet.New(opts), board
 }
 
-func inForce(offset uint64) *snapshot.Snapshot {
+func snapshotAt(offset uint64) *snapshot.Snapshot {
 	return &snapshot.Snapshot{Offset: offset, State: fold.Empty()}
 }
 
-func TestStatusAsksTheLiveOnly(t *testing.T) {
-	peers := newDaemons()
-	peers.status[addr(2)] = inForceAt(7, time.Now())
+// Alive and suspect members are queried over the network, dead members are not, and this daemon's own
+// status is read locally.
+func TestStatus_QueriesUsableMembersOnly(t *testing.T) {
+	peers := newFakePeers()
+	peers.status[addr(2)] = statusWithOffsetSince(7, time.Now())
 	f, _ := newFleet(peers,
 		member("a", "z1", 1, membership.Alive), member("b", "z1", 2, membership.Suspect),
 		member("c", "z2", 3, membership.Alive), member("d", "z2", 4, membership.Dead))
@@ -108,12 +111,12 @@
 	must.True(t, errors.Is(reports[2].Err, peer.ErrUnreachable))
 	must.Nil(t, reports[3].Status)
 	must.NoError(t, reports[3].Err)
-	must.Zero(t, peers.asked[addr(1)]+peers.asked[addr(4)])
+	must.Zero(t, peers.calls[addr(1)]+peers.calls[addr(4)])
 }
 
-// An operator asks for the status of a large fleet. Without a bound the daemon
-// would open a session to every other one in the same instant.
-func TestStatusAsksABoundedNumberAtOnce(t *testing.T) {
+// A status request in a large fleet queries at most 64 daemons at once. Without a limit, the daemon
+// would open a session to every other daemon at the same moment.
+func TestStatus_LimitsConcurrency(t *testing.T) {
 	var mu sync.Mutex
 	var now, most int
 	count := func(by int) {
@@ -122,7 +125,7 @@
 		now += by
 		most = max(most, now)
 	}
-	peers := newDaemons()
+	peers := newFakePeers()
 	members := []*membership.Member{member("self", "z", 0, membership.Alive)}
 	for n := byte(1); n < 200; n++ {
 		members = append(members, member("h"+string(rune('A'+n)), "z", n, membership.Alive))
@@ -140,18 +143,18 @@
 	})
 }
 
-// The publisher sees a time of 1.5 s: the last daemon got the version then. The
-// clocks of the daemons play no part, since each tells an age; one that had the
-// version before the start counts as 0.
-func TestConvergeMeasuresByAges(t *testing.T) {
+// The convergence time is 1.5 s, when the version came into force on the last daemon. It is independent
+// of the other daemons' clocks because each reports an age. A daemon on which the version was in force
+// before the start counts as 0.
+func TestConverge_MeasuresTimeByAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		peers := newDaemons()
-		peers.status[addr(2)] = inForceAt(5, start.Add(1500*time.Millisecond))
-		peers.status[addr(3)] = inForceAt(6, start.Add(-time.Hour))
+		peers := newFakePeers()
+		peers.status[addr(2)] = statusWithOffsetSince(5, start.Add(1500*time.Millisecond))
+		peers.status[addr(3)] = statusWithOffsetSince(6, start.Add(-time.Hour))
 		f, board := newFleet(peers, member("a", "z", 1, membership.Alive),
 			member("b", "z", 2, membership.Alive), member("c", "z", 3, membership.Alive))
-		board.Snapshot.Store(inForce(5))
+		board.Snapshot.Store(snapshotAt(5))
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
 		c := f.Converge(ctx, 5, start)
@@ -159,20 +162,19 @@
 		must.Eq(t, 1500*time.Millisecond, c.Time)
 		must.Eq(t, 1600*time.Millisecond, time.Since(start))
 		must.Eq(t, 0, c.Daemons[2].After)
-		must.Eq(t, 1, peers.asked[addr(3)])
+		must.Eq(t, 1, peers.calls[addr(3)])
 	})
 }
 
-// A daemon stays behind. The publisher must not be told that the version is in
-// force everywhere, and is told which daemon lacks it and why.
-func TestConvergeNamesTheDaemonsBehind(t *testing.T) {
+// If a daemon stays behind, the result must not be converged and must name that daemon and the reason.
+func TestConverge_NamesDaemonsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		peers := newDaemons()
+		peers := newFakePeers()
 		peers.status[addr(2)] = func() (*peerpb.StatusAnswer, error) {
 			return &peerpb.StatusAnswer{Offset: 4, LogError: "down", LogErrorAgeMs: 9000}, nil
 		}
 		f, board := newFleet(peers, member("a", "z", 1, membership.Alive), member("b", "z", 2, membership.Alive))
-		board.Snapshot.Store(inForce(5))
+		board.Snapshot.Store(snapshotAt(5))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		c := f.Converge(ctx, 5, time.Now())
@@ -183,25 +185,25 @@
 	})
 }
 
-// Daemon b has the version, then dies and is replaced under the same name
-// while another daemon still lags. The new life starts empty, so what the one
-// before had in force says nothing about it.
-func TestConvergeAsksANewLifeAgain(t *testing.T) {
+// The version is in force on daemon b, which then restarts under the same name while another daemon is
+// still behind. The restarted daemon starts without configuration, so the progress of its previous
+// instance does not count.
+func TestConverge_QueriesRestartedDaemonAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
-		peers := newDaemons()
-		peers.status[addr(2)] = inForceAt(5, start)
-		peers.status[addr(3)] = inForceAt(5, start.Add(time.Second))
+		peers := newFakePeers()
+		peers.status[addr(2)] = statusWithOffsetSince(5, start)
+		peers.status[addr(3)] = statusWithOffsetSince(5, start.Add(time.Second))
 		a, b, c := member("a", "z", 1, membership.Alive), member("b", "z", 2, membership.Alive), member("c", "z", 3, membership.Alive)
 		f, board := newFleet(peers, a, b, c)
-		board.Snapshot.Store(inForce(5))
+		board.Snapshot.Store(snapshotAt(5))
 		time.AfterFunc(500*time.Millisecond, func() {
-			reborn := *b
-			reborn.Boot = 2
+			restarted := *b
+			restarted.Boot = 2
 			peers.mu.Lock()
-			peers.status[addr(2)] = inForceAt(5, start.Add(2*time.Second))
+			peers.status[addr(2)] = statusWithOffsetSince(5, start.Add(2*time.Second))
 			peers.mu.Unlock()
-			board.Members.Store(&membership.View{Self: a, Members: []*membership.Member{a, &reborn, c}})
+			board.Members.Store(&membership.View{Self: a, Members: []*membership.Member{a, &restarted, c}})
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 		defer cancel()
@@ -211,7 +213,7 @@
 	})
 }
 
-func TestSelfNotesProgress(t *testing.T) {
+func TestLocalStatus_TracksProgress(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		board := &blackboard.Board{}
 		self := fleet.NewLocalStatus(fleet.LocalStatusOptions{Board: board, Host: "a", AvailabilityZone: "z"})
@@ -220,10 +222,11 @@
 		go func() { done <- self.Run(ctx) }()
 		step := func() { time.Sleep(time.Second); synctest.Wait() }
 
-		board.Snapshot.Store(inForce(3))
+		board.Snapshot.Store(snapshotAt(3))
 		step()
-		// The same version with other backend servers is no new version.
-		board.Snapshot.Store(inForce(3))
+		// A new snapshot with the same offset, such as after a change of backend servers, does not
+		// restart the age.
+		board.Snapshot.Store(snapshotAt(3))
 		step()
 		must.Eq(t, 2000, self.Status().GetInForceAgeMs())
 
@@ -234,8 +237,8 @@
 		must.Eq(t, 5, a.GetKnownOffset())
 		must.Eq(t, "unknown rule", a.GetStuckReason())
 
-		board.Snapshot.Store(inForce(5))
-		// Nothing has run since the swap, and still offset and age match.
+		board.Snapshot.Store(snapshotAt(5))
+		// Run has not processed the new snapshot yet, but offset and age must match.
 		a = self.Status()
 		must.Eq(t, 5, a.GetOffset())
 		must.Zero(t, a.GetInForceAgeMs())
@@ -246,9 +249,9 @@
 }
 
 func TestDrainTargets(t *testing.T) {
-	peers := newDaemons()
+	peers := newFakePeers()
 	for n := byte(1); n < 4; n++ {
-		peers.status[addr(n)] = inForceAt(1, time.Now())
+		peers.status[addr(n)] = statusWithOffsetSince(1, time.Now())
 	}
 	f, _ := newFleet(peers, member("a", "z1", 1, membership.Alive), member("b", "z1", 2, membership.Alive),
 		member("c", "z2", 3, membership.Alive), member("d", "z2", 4, membership.Dead))
@@ -271,18 +274,18 @@
 		}
 		must.Eq(t, c.want, hosts)
 	}
-	must.Eq(t, "maintenance", peers.reasons[addr(3)])
+	must.Eq(t, "maintenance", peers.drainReasons[addr(3)])
 	for _, bad := range []fleet.Target{{Host: "d"}, {Host: "x"}, {AvailabilityZone: "x"}, {Host: "a", AvailabilityZone: "z1"}} {
 		_, err := f.Drain(t.Context(), bad, "")
 		must.Eq(t, errkind.BadRequest, errkind.Of(err))
 	}
 }
 
-func TestOverTheWire(t *testing.T) {
+func TestStatusAndDrain_OverTCP(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	board := &blackboard.Board{}
-	board.Snapshot.Store(inForce(9))
+	board.Snapshot.Store(snapshotAt(9))
 	self := fleet.NewLocalStatus(fleet.LocalStatusOptions{Board: board, Host: "b", AvailabilityZone: "z", Version: "v1"})
 	drained := make(chan string, 1)
 	served := fleet.DefaultOptions()
--- a/internal/fleet/self.go
+++ b/internal/fleet/local.go
@@ -1,6 +1,6 @@
-// Package fleet answers what the daemons of the fleet have in force and carries
-// operators' requests to them. Each daemon tells its own status from its
-// blackboard; any daemon gathers the status of all others.
+// Package fleet reports which configuration is in force on the daemons of the fleet and forwards
+// operators' drain requests to them. Each daemon reports its own status from its blackboard. Any daemon
+// can collect the status of all others.
 package fleet
 
 import (
@@ -13,19 +13,19 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// LocalStatusOptions holds what a Self needs.
+// LocalStatusOptions configures a LocalStatus.
 type LocalStatusOptions struct {
 	Board            *blackboard.Board
 	Host             string
 	AvailabilityZone string
-	// Version of the program.
+	// Version is the version of the daemon's program.
 	Version string
-	// Now is the clock; its readings must be monotonic.
+	// Now returns the current time with a monotonic reading. The default is time.Now.
 	Now func() time.Time
 }
 
-// LocalStatus tells this daemon's own status. Run must be running, so that the times at
-// which versions come into force are seen when nobody asks.
+// LocalStatus determines the status of this daemon. Run must be running, because it observes the times at
+// which versions come into force also while no status is queried.
 type LocalStatus struct {
 	opts LocalStatusOptions
 
@@ -33,15 +33,16 @@
 	progress progress
 }
 
-// progress is since when things are as they are.
+// progress holds the offset in force and the times of the latest changes.
 type progress struct {
+	// offset is the offset in force since inForceSince.
 	offset       uint64
 	inForceSince time.Time
-	// behindSince is zero while nothing later than offset is known.
+	// behindSince is when an offset beyond the one in force became known, zero if there is none.
 	behindSince time.Time
 }
 
-// NewLocalStatus returns a Self that has seen nothing yet.
+// NewLocalStatus returns a LocalStatus that has not read the blackboard yet.
 func NewLocalStatus(opts LocalStatusOptions) *LocalStatus {
 	if opts.Now == nil {
 		opts.Now = time.Now
@@ -49,13 +50,13 @@
 	return &LocalStatus{opts: opts}
 }
 
-// Run notes each change of the version in force and of the version known until
-// ctx ends, and returns nil then.
+// Run records the time of each change of the version in force and of the highest known version until ctx
+// ends, and then returns nil.
 func (s *LocalStatus) Run(ctx context.Context) error {
 	for {
 		_, snapshotChanged := s.opts.Board.Snapshot.Watch()
 		_, sourceChanged := s.opts.Board.Source.Watch()
-		s.observe()
+		s.updateProgress()
 		select {
 		case <-snapshotChanged:
 		case <-sourceChanged:
@@ -65,9 +66,9 @@
 	}
 }
 
-// observe brings the noted progress up to the blackboard. Status calls it too,
-// so that an answer never pairs a new offset with the age of the one before.
-func (s *LocalStatus) observe() (progress, time.Time) {
+// updateProgress updates the progress from the blackboard and returns it with the current time. Status
+// calls it too, so that a response never combines a new offset with the age of the preceding one.
+func (s *LocalStatus) updateProgress() (progress, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
@@ -87,7 +88,7 @@
 
 func (s *LocalStatus) now() time.Time { return s.opts.Now() }
 
-// offsets returns the version in force and the highest one known.
+// offsets returns the offset in force and the highest known offset.
 func (s *LocalStatus) offsets() (offset, known uint64) {
 	if snap := s.opts.Board.Snapshot.Load(); snap != nil {
 		offset = snap.Offset
@@ -98,9 +99,9 @@
 	return offset, max(offset, known)
 }
 
-// Status returns this daemon's status.
+// Status returns the status of this daemon.
 func (s *LocalStatus) Status() *peerpb.StatusAnswer {
-	p, now := s.observe()
+	p, now := s.updateProgress()
 	a := &peerpb.StatusAnswer{
 		Host:             s.opts.Host,
 		AvailabilityZone: s.opts.AvailabilityZone,
@@ -122,6 +123,7 @@
 	return a
 }
 
+// addLifecycle adds the phase and the state of the floor.
 func (s *LocalStatus) addLifecycle(a *peerpb.StatusAnswer) {
 	if l := s.opts.Board.Lifecycle.Load(); l != nil {
 		a.Phase = l.Phase.String()
@@ -132,6 +134,7 @@
 	}
 }
 
+// addSource adds the status of configuration distribution.
 func (s *LocalStatus) addSource(a *peerpb.StatusAnswer, now time.Time) {
 	src := s.opts.Board.Source.Load()
 	if src == nil {
@@ -148,13 +151,14 @@
 	}
 }
 
-// ServeStream answers KIND_STATUS.
+// ServeStream serves KIND_STATUS.
 func (s *LocalStatus) ServeStream(_ context.Context, st *peer.Stream) error {
 	var ask peerpb.StatusAsk
-	if err := st.RecvMax(&ask, maxAskBytes); err != nil {
+	if err := st.RecvMax(&ask, maxRequestBytes); err != nil {
 		return err
 	}
 	return st.Send(s.Status())
 }
 
+// milliseconds returns d in milliseconds, 0 if it is negative.
 func milliseconds(d time.Duration) uint64 { return uint64(max(0, d).Milliseconds()) }
