--- a/internal/fleet/convergence.go
+++ b/internal/fleet/convergence.go
@@ -46,10 +46,10 @@
 	boot uint64
 }
 
-// Converge waits until a version is in force on every live daemon or ctx ends, and returns the progress
-// by then. Times are relative to start and depend only on this daemon's clock: each response holds the
-// age of the version in force, which is subtracted from the arrival time of the response. The error is
-// the transit time of one message.
+// Converge waits until a version is in force on every live daemon or ctx ends, and returns the
+// progress by then. Times are relative to start and depend only on this daemon's clock: each
+// response holds the age of the version in force, which is subtracted from the arrival time of the
+// response. The error is the transit time of one message.
 func (f *Fleet) Converge(ctx context.Context, offset uint64, start time.Time) Convergence {
 	w := convergenceWait{fleet: f, offset: offset, start: start, latest: map[instanceID]Progress{}}
 	for {
@@ -90,8 +90,8 @@
 	return c
 }
 
-// queryProgress returns the progress of one daemon and queries its status unless the version is known
-// to be in force. ctx ends with the wait, askCtx with this query.
+// queryProgress returns the progress of one daemon and queries its status unless the version is
+// known to be in force. ctx ends with the wait, askCtx with this query.
 func (w *convergenceWait) queryProgress(ctx, askCtx context.Context, m *membership.Member) Progress {
 	last, known := w.latest[instanceIDOf(m)]
 	if last.InForce {
@@ -118,8 +118,8 @@
 	return p
 }
 
-// StallReason returns the reason in a daemon's status why the daemon is behind or may soon be, empty if
-// there is none.
+// StallReason returns the reason in a daemon's status why the daemon is behind or may soon be,
+// empty if there is none.
 func StallReason(a *peerpb.StatusAnswer) string {
 	switch {
 	case a.GetStuckReason() != "":
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -10,8 +10,8 @@
 	"github.com/crocuscross/crocuscross/peerpb"
 )
 
-// Target selects the daemons to drain: the daemon on one host, the daemons of one availability zone or,
-// if both are empty, the daemon that receives the request.
+// Target selects the daemons to drain: the daemon on one host, the daemons of one availability zone
+// or, if both are empty, the daemon that receives the request.
 type Target struct {
 	Host             string
 	AvailabilityZone string
@@ -24,8 +24,8 @@
 }
 
 // Drain requests the daemons of a target to begin a graceful shutdown and doesn't wait until it is
-// complete. The error is of kind BadRequest if the target selects no live daemon or sets both a host and
-// an availability zone, and of kind NotReady if this daemon has no member table yet.
+// complete. The error is of kind BadRequest if the target selects no live daemon or sets both a
+// host and an availability zone, and of kind NotReady if this daemon has no member table yet.
 func (f *Fleet) Drain(ctx context.Context, target Target, reason string) ([]DrainResult, error) {
 	members, err := f.resolve(target)
 	if err != nil {
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -46,8 +46,8 @@
 	Logger       *slog.Logger
 }
 
-// DefaultOptions returns options for a fleet of about a thousand daemons. The caller sets Board, Local,
-// Peers and Drain.
+// DefaultOptions returns options for a fleet of about a thousand daemons. The caller sets Board,
+// Local, Peers and Drain.
 func DefaultOptions() Options {
 	return Options{
 		Concurrency:  defaultConcurrency,
@@ -74,8 +74,8 @@
 	Err error
 }
 
-// Status returns a report for each member in the member table. Members that are dead or have left are
-// not queried.
+// Status returns a report for each member in the member table. Members that are dead or have left
+// are not queried.
 func (f *Fleet) Status(ctx context.Context) []Report {
 	view := f.opts.Board.Members.Load()
 	if view == nil {
@@ -106,8 +106,8 @@
 // isSelf reports whether m is this daemon.
 func (f *Fleet) isSelf(m *membership.Member) bool { return m.Host == f.opts.Local.opts.Host }
 
-// forEach calls do for every member and returns when all calls are done. At most Concurrency calls run
-// concurrently, each with its own timeout.
+// forEach calls do for every member and returns when all calls are done. At most Concurrency calls
+// run concurrently, each with its own timeout.
 func (f *Fleet) forEach(ctx context.Context, members []*membership.Member, do func(context.Context, int, *membership.Member)) {
 	slots := make(chan struct{}, f.opts.Concurrency)
 	var wg sync.WaitGroup
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -61,8 +61,8 @@
 	return err
 }
 
-// statusWithOffsetSince returns the status of a daemon on which offset comes into force at a time. Until
-// then, the preceding offset is in force.
+// statusWithOffsetSince returns the status of a daemon on which offset comes into force at a time.
+// Until then, the preceding offset is in force.
 func statusWithOffsetSince(offset uint64, at time.Time) func() (*peerpb.StatusAnswer, error) {
 	return func() (*peerpb.StatusAnswer, error) {
 		age := time.Since(at)
@@ -96,8 +96,8 @@
 	return &snapshot.Snapshot{Offset: offset, State: fold.Empty()}
 }
 
-// Alive and suspect members are queried over the network, dead members are not, and this daemon's own
-// status is read locally.
+// Alive and suspect members are queried over the network, dead members are not, and this daemon's
+// own status is read locally.
 func TestStatus_QueriesUsableMembersOnly(t *testing.T) {
 	peers := newFakePeers()
 	peers.status[addr(2)] = statusWithOffsetSince(7, time.Now())
@@ -143,9 +143,9 @@
 	})
 }
 
-// The convergence time is 1.5 s, when the version came into force on the last daemon. It is independent
-// of the other daemons' clocks because each reports an age. A daemon on which the version was in force
-// before the start counts as 0.
+// The convergence time is 1.5 s, when the version came into force on the last daemon. It is
+// independent of the other daemons' clocks because each reports an age. A daemon on which the
+// version was in force before the start counts as 0.
 func TestConverge_MeasuresTimeByAges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
@@ -166,7 +166,8 @@
 	})
 }
 
-// If a daemon stays behind, the result must not be converged and must name that daemon and the reason.
+// If a daemon stays behind, the result must not be converged and must name that daemon and the
+// reason.
 func TestConverge_NamesDaemonsBehind(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peers := newFakePeers()
@@ -185,9 +186,9 @@
 	})
 }
 
-// The version is in force on daemon b, which then restarts under the same name while another daemon is
-// still behind. The restarted daemon starts without configuration, so the progress of its previous
-// instance does not count.
+// The version is in force on daemon b, which then restarts under the same name while another daemon
+// is still behind. The restarted daemon starts without configuration, so the progress of its
+// previous instance does not count.
 func TestConverge_QueriesRestartedDaemonAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/internal/fleet/local.go
+++ b/internal/fleet/local.go
@@ -1,6 +1,6 @@
 // Package fleet reports which configuration is in force on the daemons of the fleet and forwards
-// operators' drain requests to them. Each daemon reports its own status from its blackboard. Any daemon
-// can collect the status of all others.
+// operators' drain requests to them. Each daemon reports its own status from its blackboard. Any
+// daemon can collect the status of all others.
 package fleet
 
 import (
@@ -24,8 +24,8 @@
 	Now func() time.Time
 }
 
-// LocalStatus determines the status of this daemon. Run must be running, because it observes the times at
-// which versions come into force also while no status is queried.
+// LocalStatus determines the status of this daemon. Run must be running, because it observes the
+// times at which versions come into force also while no status is queried.
 type LocalStatus struct {
 	opts LocalStatusOptions
 
@@ -50,8 +50,8 @@
 	return &LocalStatus{opts: opts}
 }
 
-// Run records the time of each change of the version in force and of the highest known version until ctx
-// ends, and then returns nil.
+// Run records the time of each change of the version in force and of the highest known version
+// until ctx ends, and then returns nil.
 func (s *LocalStatus) Run(ctx context.Context) error {
 	for {
 		_, snapshotChanged := s.opts.Board.Snapshot.Watch()
@@ -66,8 +66,9 @@
 	}
 }
 
-// updateProgress updates the progress from the blackboard and returns it with the current time. Status
-// calls it too, so that a response never combines a new offset with the age of the preceding one.
+// updateProgress updates the progress from the blackboard and returns it with the current time.
+// Status calls it too, so that a response never combines a new offset with the age of the preceding
+// one.
 func (s *LocalStatus) updateProgress() (progress, time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/publish/attempt.go
+++ b/internal/publish/attempt.go
@@ -11,74 +11,76 @@
 	"github.com/crocuscross/crocuscross/fold"
 )
 
-// attempt brings one record into the log.
+// attempt appends one record to the log and determines its verdict.
 type attempt struct {
 	*Publisher
 	id   string
 	data []byte
-	// state is the latest one folded.
+	// state is the latest folded state.
 	state *fold.State
-	// began is when an append was first sent that may have taken effect.
-	began time.Time
-	// offset of an append that was answered.
+	// firstSent is when the first append that may have taken effect was sent, zero if there is none.
+	firstSent time.Time
+	// offset is the offset of an acknowledged append, 0 if there is none.
 	offset uint64
-	// trouble is the latest error, for people.
-	trouble error
+	// lastErr is the latest error, which is reported to the operator.
+	lastErr error
 }
 
-// run appends until one append is answered or seen in the log, then waits for
-// the verdict. Appending again is safe: the fold decides a publish id once and
-// passes over its repeats.
+// run appends the record until an append is acknowledged or the record is found in the log, and
+// waits for the verdict. Repeated appends are safe: the fold decides a publish ID only once and
+// skips repeats of it.
 func (a *attempt) run(ctx context.Context) (Result, error) {
 	for {
 		sent := time.Now()
 		offset, err := a.Reader.Log.Append(ctx, a.data)
 		if err == nil {
-			a.note(sent)
+			a.recordSent(sent)
 			a.offset = offset
 			return a.awaitVerdict(ctx), nil
 		}
-		a.trouble = err
+		a.lastErr = err
 		if !errors.Is(err, eventlog.ErrUnavailable) {
-			// The answer may have been lost after the append took effect.
-			a.note(sent)
-			if v, ok := a.look(ctx); ok {
-				return resultOf(v, a.began), nil
+			// The response may have been lost after the append took effect.
+			a.recordSent(sent)
+			if v, ok := a.lookupVerdict(ctx); ok {
+				return newResult(v, a.firstSent), nil
 			}
 		}
-		if final(err) || !a.pause(ctx) {
-			return a.giveUp(ctx)
+		if isRejection(err) || !a.waitBackoff(ctx) {
+			return a.finish(ctx)
 		}
 	}
 }
 
-func (a *attempt) note(sent time.Time) {
-	if a.began.IsZero() {
-		a.began = sent
+// recordSent records that an append sent at this time may have taken effect.
+func (a *attempt) recordSent(sent time.Time) {
+	if a.firstSent.IsZero() {
+		a.firstSent = sent
 	}
 }
 
-// final reports whether the service refuses the record itself.
-func final(err error) bool {
+// isRejection reports whether the log rejected the record, so that another append cannot succeed.
+func isRejection(err error) bool {
 	var rejected *eventlog.RejectedError
 	return errors.As(err, &rejected)
 }
 
-// awaitVerdict waits until the record that was appended has been decided on.
+// awaitVerdict waits for the verdict on the appended record until ctx ends.
 func (a *attempt) awaitVerdict(ctx context.Context) Result {
 	for {
-		if v, ok := a.look(ctx); ok {
-			return resultOf(v, a.began)
+		if v, ok := a.lookupVerdict(ctx); ok {
+			return newResult(v, a.firstSent)
 		}
-		if !a.pause(ctx) {
-			r, _ := a.giveUp(ctx)
+		if !a.waitBackoff(ctx) {
+			r, _ := a.finish(ctx)
 			return r
 		}
 	}
 }
 
-// look returns the verdict if the log, or else a daemon, tells it.
-func (a *attempt) look(ctx context.Context) (fold.Verdict, bool) {
+// lookupVerdict reads the log and returns the verdict if it is known by then. If the log cannot be
+// read, it asks a.Verdicts.
+func (a *attempt) lookupVerdict(ctx context.Context) (fold.Verdict, bool) {
 	st, err := a.Reader.Advance(ctx, a.state)
 	if st != nil {
 		a.state = st
@@ -89,38 +91,37 @@
 	if err == nil {
 		return fold.Verdict{}, false
 	}
-	a.trouble = err
+	a.lastErr = err
 	if a.Verdicts == nil {
 		return fold.Verdict{}, false
 	}
 	v, ok, err := a.Verdicts.Verdict(ctx, a.id)
 	if err != nil {
-		a.trouble = errors.CombineErrors(a.trouble, err)
+		a.lastErr = errors.CombineErrors(a.lastErr, err)
 	}
 	return v, ok
 }
 
-// giveUp ends the publish when the time is up. If no append may have taken
-// effect, nothing was published. Otherwise the log is looked at once more; a
-// record that is not there may still arrive, so only then the outcome is
-// unknown.
-func (a *attempt) giveUp(ctx context.Context) (Result, error) {
-	if a.began.IsZero() {
-		return Result{}, errors.Wrap(a.trouble, "nothing was published")
+// finish determines the result when no further append is made. If no append can have taken effect,
+// nothing was published. Otherwise, it reads the log once more. If the verdict is still not known,
+// the outcome is unknown, because an append may still take effect later.
+func (a *attempt) finish(ctx context.Context) (Result, error) {
+	if a.firstSent.IsZero() {
+		return Result{}, errors.Wrap(a.lastErr, "nothing was published")
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), lastLookTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), finalReadTimeout)
 	defer cancel()
-	if v, ok := a.look(ctx); ok {
-		return resultOf(v, a.began), nil
+	if v, ok := a.lookupVerdict(ctx); ok {
+		return newResult(v, a.firstSent), nil
 	}
-	r := Result{Outcome: Unknown, PublishID: a.id, Revision: a.offset, Began: a.began}
+	r := Result{Outcome: Unknown, PublishID: a.id, Revision: a.offset, Began: a.firstSent}
 	if a.offset > 0 {
-		r.Reasons = append(r.Reasons, fmt.Sprintf("the record is in the log at %d, its verdict could not be read", a.offset))
+		r.Reasons = append(r.Reasons, fmt.Sprintf("the record is in the log at offset %d, but its verdict could not be read", a.offset))
 	} else {
-		r.Reasons = append(r.Reasons, "an append was sent and not answered, and the record is not seen in the log")
+		r.Reasons = append(r.Reasons, "an append got no response, and the record was not found in the log")
 	}
-	if a.trouble != nil {
-		r.Reasons = append(r.Reasons, a.trouble.Error())
+	if a.lastErr != nil {
+		r.Reasons = append(r.Reasons, a.lastErr.Error())
 	}
 	return r, nil
 }
--- a/internal/publish/publish.go
+++ b/internal/publish/publish.go
@@ -1,6 +1,6 @@
-// Package publish appends an operator's changes to the platform's log and finds
-// out what became of them: accepted, rejected with reasons, or unknown, and
-// unknown only when it truly is.
+// Package publish appends an operator's changes to the platform's log and determines their outcome:
+// accepted, rejected with reasons, or unknown. The outcome is unknown only if it cannot be
+// determined.
 package publish
 
 import (
@@ -23,99 +23,101 @@
 const (
 	publishIDBytes = 16
 	defaultBackoff = 250 * time.Millisecond
-	// lastLookTimeout bounds the look at the log after the time is up.
-	lastLookTimeout = 2 * time.Second
+	// finalReadTimeout limits the last read of the log after the time of the publish is up.
+	finalReadTimeout = 2 * time.Second
 )
 
-// Outcome is what became of a publish.
+// Outcome is the outcome of a publish.
 type Outcome string
 
 // The outcomes.
 const (
+	// Accepted means that the changes are part of the configuration.
 	Accepted Outcome = "accepted"
+	// Rejected means that the publish changed nothing.
 	Rejected Outcome = "rejected"
-	Unknown  Outcome = "unknown"
+	// Unknown means that an append may have taken effect or may still take effect.
+	Unknown Outcome = "unknown"
 )
 
-// Result tells what became of a publish.
+// Result is the result of a publish.
 type Result struct {
 	Outcome   Outcome
 	PublishID string
-	// Revision is the offset of the record that was decided on; 0 if none was
-	// appended or its offset is not known.
+	// Revision is the offset of the record with the verdict, 0 if no record was appended or its
+	// offset is unknown.
 	Revision uint64
-	// Reasons tells why a publish was rejected or its outcome is unknown.
+	// Reasons describes why the publish was rejected or its outcome is unknown.
 	Reasons []string
-	// Began is when the append that took effect was sent, or an earlier one
-	// whose answer was lost. It is zero where this run appended nothing.
+	// Began is when the append that took effect was sent, or an earlier append whose response was
+	// lost. It is zero if this run appended nothing.
 	Began time.Time
 }
 
-// Request is one publish.
+// Request is the request for one publish.
 type Request struct {
 	File   *bundle.File
 	Author string
-	// PublishID tells a repeat from a new publish. A repeat must carry the same
-	// changes.
+	// PublishID identifies the publish. A repeat has the ID and the changes of the earlier run.
 	PublishID string
-	// Repeat is whether an earlier run may have sent the same publish.
+	// Repeat is set if an earlier run may have appended the same publish.
 	Repeat bool
-	// Revisions fills in what the file leaves open.
+	// Revisions sets the replaced revision of changes that name none in the file.
 	Revisions Revisions
 }
 
-// Revisions decides which revision a change replaces that names none.
+// Revisions selects the replaced revision of a change that names none.
 type Revisions struct {
-	// Auto takes the revision in force when the publish begins.
+	// Auto selects the latest revision when the publish begins.
 	Auto bool
-	// Fixed is the revision without Auto. 0 means that the resource must not
-	// exist yet.
+	// Fixed is the revision if Auto is not set. 0 means that the resource must not exist yet.
 	Fixed uint64
 }
 
-// VerdictSource is asked for a verdict where the log cannot be read or folded.
+// VerdictSource provides verdicts while the log cannot be read or folded.
 type VerdictSource interface {
+	// Verdict returns the verdict on a publish ID. ok is false if there is none yet.
 	Verdict(ctx context.Context, publishID string) (v fold.Verdict, ok bool, err error)
 }
 
-// Publisher publishes.
+// Publisher publishes changes to the platform's log.
 type Publisher struct {
+	// Reader reads the log. Its Log is also used for appends.
 	Reader *configlog.Reader
-	// Verdicts may be nil.
+	// Verdicts is used if the log cannot be read. It may be nil.
 	Verdicts VerdictSource
-	// Backoff is the time between two attempts; 0 means a default.
+	// Backoff is the time between two attempts to access the log. 0 selects the default of 250 ms.
 	Backoff time.Duration
 }
 
-// NewPublishID returns a random id.
+// NewPublishID returns a random publish ID.
 func NewPublishID() string {
 	var b [publishIDBytes]byte
 	_, _ = rand.Read(b[:])
 	return hex.EncodeToString(b[:])
 }
 
-// Publish publishes and waits for the verdict until ctx ends. An error means
-// that nothing was published and nothing will be.
+// Publish appends the changes of req and waits for the verdict until ctx ends. An error means that
+// nothing was published and that no append can take effect later.
 func (p *Publisher) Publish(ctx context.Context, req Request) (Result, error) {
 	st, err := p.load(ctx)
 	if err != nil {
 		return Result{}, errors.Wrap(err, "nothing was published")
 	}
 	if v, ok := st.Verdict(req.PublishID); ok {
-		return resultOf(v, time.Time{}), nil
+		return newResult(v, time.Time{}), nil
 	}
 	data, err := fold.EncodeRecord(req.bundle(st))
 	if err != nil {
 		return Result{}, errors.Wrap(err, "nothing was published")
 	}
 	if len(data) > eventlog.MaxRecordBytes {
-		return Result{}, errors.Newf("nothing was published: the record has %d bytes, at most %d are taken; publish in parts",
+		return Result{}, errors.Newf("nothing was published: the record has %d bytes, at most %d are allowed; publish in parts",
 			len(data), eventlog.MaxRecordBytes)
 	}
-	// What the current state rejects is not worth a record that every daemon
-	// has to carry. A repeat goes into the log all the same: an append of the
-	// earlier run may still arrive and be accepted, and only a verdict on the
-	// same publish id settles that.
+	// Changes that the current state rejects are not appended, because every daemon would have to
+	// process the record. A repeat is appended nevertheless: an append of the earlier run may still
+	// arrive and be accepted, and only a verdict on the same publish ID excludes that.
 	if _, v, err := fold.Apply(st, st.Offset+1, data); err == nil && !v.Accepted && !req.Repeat {
 		return Result{Outcome: Rejected, PublishID: req.PublishID, Reasons: v.Reasons}, nil
 	}
@@ -123,22 +125,22 @@
 	return a.run(ctx)
 }
 
-// load reads the current state, again and again while the log is down: without
-// it neither a race nor a repeat could be told.
+// load reads the current state. It retries while the log is unavailable, because the state is
+// needed to detect concurrent changes and repeats.
 func (p *Publisher) load(ctx context.Context) (*fold.State, error) {
 	for {
 		st, err := p.Reader.Load(ctx)
 		if err == nil || !errors.Is(err, eventlog.ErrUnavailable) {
 			return st, err
 		}
-		if !p.pause(ctx) {
+		if !p.waitBackoff(ctx) {
 			return nil, err
 		}
 	}
 }
 
-// pause reports whether the time between two attempts passed before ctx ended.
-func (p *Publisher) pause(ctx context.Context) bool {
+// waitBackoff waits for the time between two attempts. It returns false if ctx ends first.
+func (p *Publisher) waitBackoff(ctx context.Context) bool {
 	backoff := p.Backoff
 	if backoff <= 0 {
 		backoff = defaultBackoff
@@ -146,21 +148,22 @@
 	return loop.Sleep(ctx, backoff)
 }
 
-// bundle returns the message of a request, with the revisions that the file
-// leaves open filled in from the state.
+// bundle returns the bundle of a request. Changes that name no replaced revision get one according
+// to r.Revisions and the state.
 func (r *Request) bundle(st *fold.State) *configpb.Bundle {
 	b := &configpb.Bundle{PublishId: r.PublishID, Author: r.Author, PublishedUnixMs: time.Now().UnixMilli()}
 	for _, c := range r.File.Changes {
 		change := proto.CloneOf(c.Change)
 		if !c.NamesRevision {
-			change.Replaces = r.Revisions.of(c.GetResource(), st)
+			change.Replaces = r.Revisions.revisionOf(c.GetResource(), st)
 		}
 		b.Changes = append(b.Changes, change)
 	}
 	return b
 }
 
-func (r Revisions) of(res *configpb.Resource, st *fold.State) uint64 {
+// revisionOf returns the replaced revision of a change to res.
+func (r Revisions) revisionOf(res *configpb.Resource, st *fold.State) uint64 {
 	if !r.Auto {
 		return r.Fixed
 	}
@@ -171,7 +174,8 @@
 	return 0
 }
 
-func resultOf(v fold.Verdict, began time.Time) Result {
+// newResult returns the result of a publish with a verdict.
+func newResult(v fold.Verdict, began time.Time) Result {
 	r := Result{Outcome: Rejected, PublishID: v.PublishID, Revision: v.Offset, Reasons: v.Reasons, Began: began}
 	if v.Accepted {
 		r.Outcome = Accepted
--- a/internal/publish/publish_test.go
+++ b/internal/publish/publish_test.go
@@ -20,14 +20,16 @@
 
 const timeout = 3 * time.Second
 
-func empty(context.Context) (*fold.State, error) { return fold.Empty(), nil }
+// emptyCheckpoint is a checkpoint source that returns the empty state.
+func emptyCheckpoint(context.Context) (*fold.State, error) { return fold.Empty(), nil }
 
-func publisher(log eventlog.Log) *publish.Publisher {
-	return &publish.Publisher{Reader: &configlog.Reader{Log: log, Checkpoint: empty}}
+// newPublisher returns a Publisher for log without a VerdictSource.
+func newPublisher(log eventlog.Log) *publish.Publisher {
+	return &publish.Publisher{Reader: &configlog.Reader{Log: log, Checkpoint: emptyCheckpoint}}
 }
 
-// request publishes one contract whose revision is filled in.
-func request(id, author string) publish.Request {
+// newRequest returns a request that publishes one contract and replaces its latest revision.
+func newRequest(id, author string) publish.Request {
 	f, err := bundle.Parse("f", []byte(`{"changes": [{"contract": {"customer": "c", "rate_per_second": 1, "max_wait_ms": 100}}]}`))
 	if err != nil {
 		panic(err)
@@ -35,7 +37,7 @@
 	return publish.Request{File: f, Author: author, PublishID: id, Revisions: publish.Revisions{Auto: true}}
 }
 
-// hookLog calls before once, when the first append is about to be sent.
+// hookLog calls before once, before the first append.
 type hookLog struct {
 	eventlog.Log
 	before func()
@@ -49,8 +51,8 @@
 	return l.Log.Append(ctx, data)
 }
 
-// run publishes in a bubble, so that waits cost nothing.
-func run(t *testing.T, f func(t *testing.T, ctx context.Context, svc *memlog.Service)) {
+// runPublish runs f in a synctest bubble, so that waits take no real time.
+func runPublish(t *testing.T, f func(t *testing.T, ctx context.Context, svc *memlog.Service)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
@@ -58,17 +60,17 @@
 	})
 }
 
-func TestAcceptedThenRevised(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
-		p := publisher(svc.Stream("config"))
+func TestPublish_AcceptedThenRevised(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+		p := newPublisher(svc.Stream("config"))
 		for revision := uint64(1); revision <= 3; revision++ {
-			r, err := p.Publish(ctx, request(publish.NewPublishID(), "jane"))
+			r, err := p.Publish(ctx, newRequest(publish.NewPublishID(), "jane"))
 			must.NoError(t, err)
 			must.Eq(t, publish.Accepted, r.Outcome)
 			must.Eq(t, revision, r.Revision)
 			must.False(t, r.Began.IsZero())
 		}
-		fixed := request("x", "jane")
+		fixed := newRequest("x", "jane")
 		fixed.Revisions = publish.Revisions{Fixed: 2}
 		r, err := p.Publish(ctx, fixed)
 		must.NoError(t, err)
@@ -78,12 +80,12 @@
 	})
 }
 
-// The append takes effect and its answer is lost. The operator sees "accepted":
-// the publisher finds its own record in the log and does not append again.
-func TestLostAnswerIsFound(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+// The append takes effect, but its response is lost. The publisher finds its record in the log,
+// returns accepted and does not append again.
+func TestPublish_FindsRecordAfterLostResponse(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
 		svc.LoseResponses(1)
-		r, err := publisher(svc.Stream("config")).Publish(ctx, request("id", "jane"))
+		r, err := newPublisher(svc.Stream("config")).Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Accepted, r.Outcome)
 		must.Eq(t, 1, r.Revision)
@@ -91,26 +93,26 @@
 	})
 }
 
-// The request itself is lost, which looks the same. The operator sees
-// "accepted" after one more append with the same publish id.
-func TestLostRequestIsRepeated(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+// The append request is lost, which the publisher cannot distinguish from a lost response. It
+// appends again with the same publish ID and returns accepted.
+func TestPublish_RepeatsLostRequest(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
 		svc.LoseRequests(2)
-		r, err := publisher(svc.Stream("config")).Publish(ctx, request("id", "jane"))
+		r, err := newPublisher(svc.Stream("config")).Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Accepted, r.Outcome)
 		must.Eq(t, 1, svc.Counters().Appends)
 	})
 }
 
-// The append stalls in the platform beyond the operator's time. "Unknown" is
-// the truth then: the record arrives later and takes effect. A repeat with the
-// same publish id is told the first verdict and changes nothing.
-func TestStalledAppendIsUnknownAndRepeatIsSafe(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+// The append stalls in the platform until the operator's time is up. The outcome is unknown,
+// because the record takes effect later. A repeat with the same publish ID returns the first
+// verdict and changes nothing.
+func TestPublish_StalledAppendIsUnknownAndRepeatIsSafe(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
 		var release func()
 		log := &hookLog{svc.Stream("config"), func() { release = svc.Hold() }}
-		r, err := publisher(log).Publish(ctx, request("id", "jane"))
+		r, err := newPublisher(log).Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Unknown, r.Outcome)
 		must.SliceNotEmpty(t, r.Reasons)
@@ -119,9 +121,9 @@
 
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
-		again := request("id", "jane")
+		again := newRequest("id", "jane")
 		again.Repeat = true
-		r, err = publisher(svc.Stream("config")).Publish(ctx, again)
+		r, err = newPublisher(svc.Stream("config")).Publish(ctx, again)
 		must.NoError(t, err)
 		must.Eq(t, publish.Accepted, r.Outcome)
 		must.Eq(t, 1, r.Revision)
@@ -129,31 +131,30 @@
 	})
 }
 
-// A repeat that the current state rejects still goes into the log: the append
-// of the earlier run may arrive later, and without a verdict on its id the
-// operator would be told "rejected" for changes that then come into force.
-func TestRepeatIsDecidedByTheLog(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
-		req := request("id", "jane")
+// A repeat that the current state rejects is still appended. The append of the earlier run may
+// arrive later. Without a verdict on its ID, the publisher would return rejected for changes that
+// then come into force.
+func TestPublish_RepeatIsDecidedByLog(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+		req := newRequest("id", "jane")
 		req.Revisions = publish.Revisions{Fixed: 7}
 		req.Repeat = true
-		r, err := publisher(svc.Stream("config")).Publish(ctx, req)
+		r, err := newPublisher(svc.Stream("config")).Publish(ctx, req)
 		must.NoError(t, err)
 		must.Eq(t, publish.Rejected, r.Outcome)
 		must.Eq(t, 1, r.Revision)
 	})
 }
 
-// The log is down for all of the operator's time, or from the append on. The
-// operator sees an error that says that nothing was published, and that is
-// certain: each append was refused.
-func TestOutageIsNotUnknown(t *testing.T) {
+// The log is unavailable for all of the operator's time, or from the append on. Publish returns an
+// error that says that nothing was published, which is certain because each append was refused.
+func TestPublish_OutageIsNotUnknown(t *testing.T) {
 	for name, downFromTheStart := range map[string]bool{"from the start": true, "from the append on": false} {
 		t.Run(name, func(t *testing.T) {
-			run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+			runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
 				svc.SetOutage(downFromTheStart)
 				log := &hookLog{svc.Stream("config"), func() { svc.SetOutage(true) }}
-				_, err := publisher(log).Publish(ctx, request("id", "jane"))
+				_, err := newPublisher(log).Publish(ctx, newRequest("id", "jane"))
 				must.ErrorContains(t, err, "nothing was published")
 				must.True(t, errors.Is(err, eventlog.ErrUnavailable))
 				must.Zero(t, svc.Counters().Appends)
@@ -162,29 +163,30 @@
 	}
 }
 
-func TestOutageThatEnds(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+// A publish that begins during an outage of the log continues when the log is available again.
+func TestPublish_ContinuesAfterOutage(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
 		svc.SetOutage(true)
 		time.AfterFunc(time.Second, func() { svc.SetOutage(false) })
-		r, err := publisher(svc.Stream("config")).Publish(ctx, request("id", "jane"))
+		r, err := newPublisher(svc.Stream("config")).Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Accepted, r.Outcome)
 	})
 }
 
-// Two operators revise the same contract at once. Both read the same revision;
-// the first record in the log wins. The second operator is told so, and whose
-// revision stands.
-func TestRaceIsRejectedWithTheWinner(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
-		winner := request("winner", "zola").File.Changes[0].Change
+// Two operators revise the same contract concurrently. Both read the same revision, and the first
+// record in the log is accepted. The second publish is rejected with a reason that names the first
+// author.
+func TestPublish_RaceIsRejectedNamingWinner(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+		winner := newRequest("winner", "zola").File.Changes[0].Change
 		data, err := fold.EncodeRecord(&configpb.Bundle{PublishId: "winner", Author: "zola", Changes: []*configpb.Change{winner}})
 		must.NoError(t, err)
 		log := &hookLog{svc.Stream("config"), func() {
 			_, err := svc.Stream("config").Append(ctx, data)
 			must.NoError(t, err)
 		}}
-		r, err := publisher(log).Publish(ctx, request("id", "jane"))
+		r, err := newPublisher(log).Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Rejected, r.Outcome)
 		must.Eq(t, 2, r.Revision)
@@ -194,45 +196,46 @@
 	})
 }
 
-// blindLog takes appends but cannot be read once one was taken.
-type blindLog struct {
+// unreadableLog accepts appends but cannot be read after the first append.
+type unreadableLog struct {
 	eventlog.Log
-	blind bool
+	unreadable bool
 }
 
-func (l *blindLog) Append(ctx context.Context, data []byte) (eventlog.Offset, error) {
-	l.blind = true
+func (l *unreadableLog) Append(ctx context.Context, data []byte) (eventlog.Offset, error) {
+	l.unreadable = true
 	return l.Log.Append(ctx, data)
 }
 
-func (l *blindLog) Bounds(ctx context.Context) (eventlog.Bounds, error) {
-	if l.blind {
+func (l *unreadableLog) Bounds(ctx context.Context) (eventlog.Bounds, error) {
+	if l.unreadable {
 		return eventlog.Bounds{}, eventlog.ErrUnavailable
 	}
 	return l.Log.Bounds(ctx)
 }
 
-type daemonVerdicts struct{ verdict fold.Verdict }
+// fixedVerdict is a VerdictSource that knows one verdict.
+type fixedVerdict struct{ verdict fold.Verdict }
 
-func (d daemonVerdicts) Verdict(_ context.Context, id string) (fold.Verdict, bool, error) {
+func (d fixedVerdict) Verdict(_ context.Context, id string) (fold.Verdict, bool, error) {
 	return d.verdict, d.verdict.PublishID == id, nil
 }
 
-// The append is answered and then reads fail. A daemon that has folded the
-// record tells the verdict; without one the outcome is unknown, with the offset.
-func TestVerdictFromADaemon(t *testing.T) {
-	run(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
-		p := publisher(&blindLog{Log: svc.Stream("config")})
-		r, err := p.Publish(ctx, request("id", "jane"))
+// The append is acknowledged, and then reads fail. A daemon that has folded the record provides the
+// verdict. Without such a daemon, the outcome is unknown and the result holds the offset.
+func TestPublish_UsesVerdictOfDaemon(t *testing.T) {
+	runPublish(t, func(t *testing.T, ctx context.Context, svc *memlog.Service) {
+		p := newPublisher(&unreadableLog{Log: svc.Stream("config")})
+		r, err := p.Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Unknown, r.Outcome)
 		must.Eq(t, 1, r.Revision)
 
 		ctx, cancel := context.WithTimeout(t.Context(), timeout)
 		defer cancel()
-		p = publisher(&blindLog{Log: svc.Stream("other")})
-		p.Verdicts = daemonVerdicts{fold.Verdict{PublishID: "id", Offset: 1, Accepted: true}}
-		r, err = p.Publish(ctx, request("id", "jane"))
+		p = newPublisher(&unreadableLog{Log: svc.Stream("other")})
+		p.Verdicts = fixedVerdict{fold.Verdict{PublishID: "id", Offset: 1, Accepted: true}}
+		r, err = p.Publish(ctx, newRequest("id", "jane"))
 		must.NoError(t, err)
 		must.Eq(t, publish.Accepted, r.Outcome)
 	})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// checkRequired reports each required field that the file does not set, at the object that the field
-// belongs to.
+// checkRequired reports each required field that the file does not set, at the object that the
+// field belongs to.
 func (c *checker) checkRequired() {
 	if _, ok := jsonc.Members(c.doc.Root); !ok {
 		return
@@ -199,8 +199,8 @@
 	return false
 }
 
-// suggestion returns a hint for an unknown key of the object parent: a similar key of that object, or
-// the path of a field with this key in another object, or all keys of the object.
+// suggestion returns a hint for an unknown key of the object parent: a similar key of that object,
+// or the path of a field with this key in another object, or all keys of the object.
 func suggestion(parent, key string) string {
 	var here []string
 	for _, f := range Fields {
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -153,8 +153,8 @@
 	return ""
 }
 
-// checkNumber returns the problem with a number, empty if it is within the bounds. text is the number
-// as it is shown in the problem. The comparison is written such that NaN is out of bounds.
+// checkNumber returns the problem with a number, empty if it is within the bounds. text is the
+// number as it is shown in the problem. The comparison is written such that NaN is out of bounds.
 func (f Field) checkNumber(v float64, text string) string {
 	switch {
 	case v >= f.Min && v <= f.Max:
@@ -198,9 +198,9 @@
 	return ""
 }
 
-// checkAddress returns the problem with an IP address and port, empty if it is valid. Host names are
-// invalid because the daemon would depend on a resolver, which can fail. The unspecified address is
-// invalid because other daemons receive the address and could not connect to it.
+// checkAddress returns the problem with an IP address and port, empty if it is valid. Host names
+// are invalid because the daemon would depend on a resolver, which can fail. The unspecified
+// address is invalid because other daemons receive the address and could not connect to it.
 func checkAddress(s string) string {
 	a, err := netip.ParseAddrPort(s)
 	switch {
--- a/internal/settings/path.go
+++ b/internal/settings/path.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// set sets the field with a path to a JSON value. It panics if the field does not exist or has another
-// type: Fields and the struct are both part of the program, and a test checks that they match.
+// set sets the field with a path to a JSON value. It panics if the field does not exist or has
+// another type: Fields and the struct are both part of the program, and a test checks that they
+// match.
 func (s *Settings) set(path string, value []byte) {
 	v := reflect.ValueOf(s).Elem()
 	for key := range strings.SplitSeq(path, ".") {
@@ -45,8 +46,8 @@
 	return b
 }
 
-// group returns the key of the object that the field belongs to, empty for the top level, and the key
-// of the field in that object.
+// group returns the key of the object that the field belongs to, empty for the top level, and the
+// key of the field in that object.
 func (f Field) group() (group, key string) {
 	if group, key, ok := strings.Cut(f.Path, "."); ok {
 		return group, key
--- a/internal/settings/relations.go
+++ b/internal/settings/relations.go
@@ -6,8 +6,8 @@
 	"github.com/tailscale/hujson"
 )
 
-// checkRelations checks constraints between fields. A constraint on a field whose own value is invalid
-// is skipped, because the intended value is unknown.
+// checkRelations checks constraints between fields. A constraint on a field whose own value is
+// invalid is skipped, because the intended value is unknown.
 func (c *checker) checkRelations() {
 	s := &c.settings
 	if c.allValid("membership.probe_timeout", "membership.probe_interval") &&
@@ -28,8 +28,8 @@
 	c.distinctListeners()
 }
 
-// distinctListeners reports two listeners with the same address. Otherwise, the second listener would
-// fail to start only after the first has accepted clients that are meant for the second.
+// distinctListeners reports two listeners with the same address. Otherwise, the second listener
+// would fail to start only after the first has accepted clients that are meant for the second.
 func (c *checker) distinctListeners() {
 	l := c.settings.Listen
 	list := []struct{ path, address string }{
@@ -55,8 +55,8 @@
 	return true
 }
 
-// reportRelation reports a problem with a field at the field's value if the file sets it, else at the
-// field's group, else at the file's root.
+// reportRelation reports a problem with a field at the field's value if the file sets it, else at
+// the field's group, else at the file's root.
 func (c *checker) reportRelation(path, text, want string) {
 	f, _ := fieldByPath(path)
 	group, _ := f.group()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads a daemon's settings file, which is JSON with comments. Fields alone defines
-// the description, unit, default and bounds of each field.
+// Package settings reads a daemon's settings file, which is JSON with comments. Fields alone
+// defines the description, unit, default and bounds of each field.
 package settings
 
 import (
@@ -233,8 +233,8 @@
 	// WithoutObjective limits waits at gates only by the sender's maximum wait, not by the latency
 	// objective.
 	WithoutObjective = "objective"
-	// WithoutObjectiveRetryAfter sets the retry-after time of rejected calls to the expected time until
-	// the queue is served, even if that exceeds the latency objective.
+	// WithoutObjectiveRetryAfter sets the retry-after time of rejected calls to the expected time
+	// until the queue is served, even if that exceeds the latency objective.
 	WithoutObjectiveRetryAfter = "timely_returns"
 	// WithoutAdmissionCheck sends bodies of up to 16 kB along with their calls, without waiting until
 	// the gate has admitted the call.
@@ -260,8 +260,8 @@
 	return s
 }
 
-// Load reads a settings file. Fields that the file does not set keep their default. If the file can be
-// read, an error is a jsonc.Problems with all problems of the file.
+// Load reads a settings file. Fields that the file does not set keep their default. If the file can
+// be read, an error is a jsonc.Problems with all problems of the file.
 func Load(path string) (*Settings, error) {
 	d, err := jsonc.ReadFile(path)
 	if err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// All problems of a file are reported at once, in the order of the file. Fixing one problem per restart
-// would keep the host out of service for longer.
+// All problems of a file are reported at once, in the order of the file. Fixing one problem per
+// restart would keep the host out of service for longer.
 func TestAllProblemsAtOnce(t *testing.T) {
 	got := parseProblems(t, `{
 	"host": "a b",
--- a/internal/telemetry/board.go
+++ b/internal/telemetry/board.go
@@ -33,8 +33,8 @@
 	livenesses = []membership.Liveness{membership.Alive, membership.Suspect, membership.Dead, membership.Left}
 )
 
-// BoardCollector exports a daemon's state as metrics. It reads the blackboard at each scrape, so that
-// controllers don't have to keep gauges consistent with their cells.
+// BoardCollector exports a daemon's state as metrics. It reads the blackboard at each scrape, so
+// that controllers don't have to keep gauges consistent with their cells.
 type BoardCollector struct {
 	board *blackboard.Board
 	now   func() time.Time
--- a/internal/telemetry/board_test.go
+++ b/internal/telemetry/board_test.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// config_stuck is 1 if distribution is stuck or the floor is unknown for a reason. A reason beside a
-// known floor does not count.
+// config_stuck is 1 if distribution is stuck or the floor is unknown for a reason. A reason beside
+// a known floor does not count.
 func TestBoardCollector_Stuck(t *testing.T) {
 	for _, c := range []struct {
 		source blackboard.Source
--- a/internal/telemetry/docs_test.go
+++ b/internal/telemetry/docs_test.go
@@ -94,8 +94,8 @@
 	return texts
 }
 
-// An alert on a metric or label that was renamed never fires, which nobody notices. Every metric and
-// label in the operators' pages must therefore be registered.
+// An alert on a metric or label that was renamed never fires, which nobody notices. Every metric
+// and label in the operators' pages must therefore be registered.
 func TestDocs_MetricsAreRegistered(t *testing.T) {
 	known := registeredMetrics()
 	for page, text := range pages(t) {
@@ -115,8 +115,8 @@
 	}
 }
 
-// checkKindValues checks that the values in a selector of the kind label are kinds of errors. Kinds of
-// messages between daemons, which begin with KIND_, are not checked.
+// checkKindValues checks that the values in a selector of the kind label are kinds of errors. Kinds
+// of messages between daemons, which begin with KIND_, are not checked.
 func checkKindValues(t *testing.T, label, values string) {
 	if label != "kind" || strings.HasPrefix(values, "KIND_") {
 		return
@@ -187,8 +187,8 @@
 	return literals
 }
 
-// The table of error kinds in OPERATIONS.md has one row per kind, with its status code and whether the
-// call ran.
+// The table of error kinds in OPERATIONS.md has one row per kind, with its status code and whether
+// the call ran.
 func TestDocs_ErrorKindsMatchCode(t *testing.T) {
 	rows := make(map[errkind.Kind][]string)
 	for _, m := range kindRow.FindAllStringSubmatch(pages(t)["OPERATIONS.md"], -1) {
--- a/internal/telemetry/log.go
+++ b/internal/telemetry/log.go
@@ -25,9 +25,9 @@
 	return nil, errors.Newf("log format %q is neither text nor json", format)
 }
 
-// formatAttr replaces an error by its text, because the handlers would print the stack trace that the
-// errors library keeps, a page per log line. It formats a duration with its unit, because the JSON
-// handler would print nanoseconds.
+// formatAttr replaces an error by its text, because the handlers would print the stack trace that
+// the errors library keeps, a page per log line. It formats a duration with its unit, because the
+// JSON handler would print nanoseconds.
 func formatAttr(_ []string, a slog.Attr) slog.Attr {
 	if a.Value.Kind() == slog.KindDuration {
 		return slog.String(a.Key, a.Value.Duration().Round(durationPrecision).String())
--- a/internal/telemetry/propagate.go
+++ b/internal/telemetry/propagate.go
@@ -10,8 +10,8 @@
 
 var traceContext = propagation.TraceContext{}
 
-// WithTraceparent returns a copy of ctx with the remote span context of a W3C traceparent. It returns
-// ctx itself if traceparent is empty or malformed.
+// WithTraceparent returns a copy of ctx with the remote span context of a W3C traceparent. It
+// returns ctx itself if traceparent is empty or malformed.
 func WithTraceparent(ctx context.Context, traceparent string) context.Context {
 	if traceparent == "" {
 		return ctx
--- a/internal/telemetry/quarantine.go
+++ b/internal/telemetry/quarantine.go
@@ -14,8 +14,8 @@
 	quarantined, suspected *prometheus.Desc
 }
 
-// NewQuarantineCollector returns a collector of the numbers that stats returns. The caller registers
-// it.
+// NewQuarantineCollector returns a collector of the numbers that stats returns. The caller
+// registers it.
 func NewQuarantineCollector(stats func() quarantine.Stats) *QuarantineCollector {
 	return &QuarantineCollector{
 		stats:       stats,
--- a/internal/telemetry/queue.go
+++ b/internal/telemetry/queue.go
@@ -15,9 +15,10 @@
 	flushTimeout = 200 * time.Millisecond
 )
 
-// LineQueue is an io.Writer that queues log lines and writes them from its own goroutine. Without the
-// queue, a log reader that stops reading would block every goroutine that logs, including those that
-// serve requests. Lines that don't fit into the queue are dropped and counted, and the count is logged.
+// LineQueue is an io.Writer that queues log lines and writes them from its own goroutine. Without
+// the queue, a log reader that stops reading would block every goroutine that logs, including those
+// that serve requests. Lines that don't fit into the queue are dropped and counted, and the count
+// is logged.
 type LineQueue struct {
 	out io.Writer
 	// lines holds the queued lines. A nil line ends run.
--- a/internal/telemetry/store.go
+++ b/internal/telemetry/store.go
@@ -9,7 +9,8 @@
 // StoreMeter counts calls to the platform's metadata store. It implements platform.Meter.
 type StoreMeter struct{ calls *prometheus.CounterVec }
 
-// NewStoreMeter returns a StoreMeter whose metric is registered with reg. All its series start at 0.
+// NewStoreMeter returns a StoreMeter whose metric is registered with reg. All its series start at
+// 0.
 func NewStoreMeter(reg prometheus.Registerer) *StoreMeter {
 	m := &StoreMeter{calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 		Namespace: namespace, Name: "store_calls_total",
