--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -85,9 +85,9 @@
 }
 
 // observe counts one call of duration d.
-func (r callSeries) observe(d time.Duration) {
-	r.count.Inc()
-	r.time.Observe(d.Seconds())
+func (s callSeries) observe(d time.Duration) {
+	s.count.Inc()
+	s.time.Observe(d.Seconds())
 }
 
 // Outbound counts one completed call from a caller, with the kind and duration that the caller saw.
