--- a/internal/fleet/convergence.go
+++ b/internal/fleet/convergence.go
@@ -78,8 +78,8 @@
 	}
 	live := view.Live()
 	c.Daemons = make([]Progress, len(live))
-	w.fleet.forEach(ctx, live, func(askCtx context.Context, i int, m *membership.Member) {
-		c.Daemons[i] = w.queryProgress(ctx, askCtx, m)
+	w.fleet.forEach(ctx, live, func(queryCtx context.Context, i int, m *membership.Member) {
+		c.Daemons[i] = w.queryProgress(ctx, queryCtx, m)
 	})
 	c.Converged = len(live) > 0
 	for i, p := range c.Daemons {
@@ -91,14 +91,14 @@
 }
 
 // queryProgress returns the progress of one daemon and queries its status unless the version is
-// known to be in force. ctx ends with the wait, askCtx with this query.
-func (w *convergenceWait) queryProgress(ctx, askCtx context.Context, m *membership.Member) Progress {
+// known to be in force. ctx ends with the wait, queryCtx with this query.
+func (w *convergenceWait) queryProgress(ctx, queryCtx context.Context, m *membership.Member) Progress {
 	last, known := w.latest[instanceIDOf(m)]
 	if last.InForce {
 		return last
 	}
 	p := Progress{Host: m.Host, AvailabilityZone: m.AvailabilityZone, Offset: m.Offset}
-	a, err := w.fleet.queryStatus(askCtx, m)
+	a, err := w.fleet.queryStatus(queryCtx, m)
 	switch {
 	case err != nil && known && ctx.Err() != nil:
 		// The query may have failed only because the wait has ended.
--- a/internal/fleet/drain.go
+++ b/internal/fleet/drain.go
@@ -44,8 +44,8 @@
 		f.opts.Drain(reason)
 		return nil
 	}
-	ask := &peerpb.DrainAsk{Reason: reason}
-	return f.opts.Peers.Call(ctx, m.PeerAddr, peerpb.Kind_KIND_DRAIN, ask, &peerpb.DrainAnswer{})
+	req := &peerpb.DrainAsk{Reason: reason}
+	return f.opts.Peers.Call(ctx, m.PeerAddr, peerpb.Kind_KIND_DRAIN, req, &peerpb.DrainAnswer{})
 }
 
 // resolve returns the live members that a target selects. For this daemon, only the host is set.
@@ -83,10 +83,10 @@
 
 // ServeDrain serves KIND_DRAIN: it begins a graceful shutdown of this daemon.
 func (f *Fleet) ServeDrain(_ context.Context, st *peer.Stream) error {
-	var ask peerpb.DrainAsk
-	if err := st.RecvMax(&ask, maxRequestBytes); err != nil {
+	var req peerpb.DrainAsk
+	if err := st.RecvMax(&req, maxRequestBytes); err != nil {
 		return err
 	}
-	f.opts.Drain(ask.GetReason())
+	f.opts.Drain(req.GetReason())
 	return st.Send(&peerpb.DrainAnswer{})
 }
--- a/internal/fleet/local.go
+++ b/internal/fleet/local.go
@@ -154,8 +154,8 @@
 
 // ServeStream serves KIND_STATUS.
 func (s *LocalStatus) ServeStream(_ context.Context, st *peer.Stream) error {
-	var ask peerpb.StatusAsk
-	if err := st.RecvMax(&ask, maxRequestBytes); err != nil {
+	var req peerpb.StatusAsk
+	if err := st.RecvMax(&req, maxRequestBytes); err != nil {
 		return err
 	}
 	return st.Send(s.Status())
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -26,7 +26,7 @@
 // check returns the settings in a file, or a jsonc.Problems with all problems of the file.
 func check(d *jsonc.Document) (*Settings, error) {
 	c := &checker{doc: d, settings: Default(), values: map[string]*hujson.Value{}, invalid: map[string]bool{}}
-	c.object("", d.Root)
+	c.checkObject("", d.Root)
 	c.checkRequired()
 	c.checkRelations()
 	if err := c.problems.Err(); err != nil {
@@ -40,8 +40,9 @@
 	c.problems = append(c.problems, c.doc.Problem(v, path, text, want))
 }
 
-// object checks the members of the top-level object, for which path is empty, or of one group.
-func (c *checker) object(path string, v *hujson.Value) {
+// checkObject checks the members of the top-level checkObject, for which path is empty, or of one
+// group.
+func (c *checker) checkObject(path string, v *hujson.Value) {
 	members, ok := jsonc.Members(v)
 	if !ok {
 		c.report(v, path, "is "+jsonc.KindName(v), "use an object")
@@ -53,12 +54,12 @@
 		return
 	}
 	for _, m := range members {
-		c.member(path, m)
+		c.checkMember(path, m)
 	}
 }
 
-// member checks a member of the object parent and sets its field if the value is valid.
-func (c *checker) member(parent string, m jsonc.Member) {
+// checkMember checks one member of the object parent and sets its field if the value is valid.
+func (c *checker) checkMember(parent string, m jsonc.Member) {
 	path := jsonc.Join(parent, m.Key)
 	if c.values[path] != nil {
 		c.report(m.Name, path, "is set twice", "keep one")
@@ -66,7 +67,7 @@
 	}
 	if parent == "" && isGroup(m.Key) {
 		c.values[path] = m.Value
-		c.object(path, m.Value)
+		c.checkObject(path, m.Value)
 		return
 	}
 	f, ok := fieldByPath(path)
@@ -76,7 +77,7 @@
 	}
 	c.values[path] = m.Value
 	before := len(c.problems)
-	c.field(f, m.Value)
+	c.checkField(f, m.Value)
 	if len(c.problems) > before {
 		c.invalid[path] = true
 		return
@@ -84,21 +85,21 @@
 	c.settings.set(path, jsonc.Standard(m.Value))
 }
 
-// field checks the value of one field.
-func (c *checker) field(f Field, v *hujson.Value) {
+// checkField checks the value of one field.
+func (c *checker) checkField(f Field, v *hujson.Value) {
 	switch f.Kind {
 	case KindInt, KindFloat:
-		c.number(f, v)
+		c.checkNumber(f, v)
 	case KindDuration:
-		c.duration(f, v)
+		c.checkDuration(f, v)
 	case KindAddresses:
-		c.addresses(f, v)
+		c.checkAddresses(f, v)
 	default:
-		c.text(f, f.Path, v)
+		c.checkText(f, f.Path, v)
 	}
 }
 
-func (c *checker) number(f Field, v *hujson.Value) {
+func (c *checker) checkNumber(f Field, v *hujson.Value) {
 	lit, ok := jsonc.Literal(v)
 	if !ok || lit.Kind() != '0' {
 		c.report(v, f.Path, "is "+jsonc.KindName(v), f.Want())
@@ -120,7 +121,7 @@
 	}
 }
 
-func (c *checker) duration(f Field, v *hujson.Value) {
+func (c *checker) checkDuration(f Field, v *hujson.Value) {
 	s, ok := jsonc.String(v)
 	if !ok {
 		c.report(v, f.Path, "is "+jsonc.KindName(v), f.Want())
@@ -136,7 +137,7 @@
 	}
 }
 
-func (c *checker) text(f Field, path string, v *hujson.Value) {
+func (c *checker) checkText(f Field, path string, v *hujson.Value) {
 	s, ok := jsonc.String(v)
 	if !ok {
 		c.report(v, path, "is "+jsonc.KindName(v), f.Want())
@@ -147,7 +148,7 @@
 	}
 }
 
-func (c *checker) addresses(f Field, v *hujson.Value) {
+func (c *checker) checkAddresses(f Field, v *hujson.Value) {
 	elements, ok := jsonc.Elements(v)
 	if !ok {
 		c.report(v, f.Path, "is "+jsonc.KindName(v), f.Want())
@@ -157,7 +158,7 @@
 		c.report(v, f.Path, fmt.Sprintf("has %d addresses", len(elements)), f.Want())
 	}
 	for i, e := range elements {
-		c.text(Field{Kind: KindAddress}, fmt.Sprintf("%s[%d]", f.Path, i), e)
+		c.checkText(Field{Kind: KindAddress}, fmt.Sprintf("%s[%d]", f.Path, i), e)
 	}
 }
 
--- a/internal/settings/relations.go
+++ b/internal/settings/relations.go
@@ -25,12 +25,13 @@
 	if c.allValid("trace.exporter", "trace.endpoint") && s.Trace.Exporter == "otlp" && s.Trace.Endpoint == "" {
 		c.reportRelation("trace.exporter", "otlp needs trace.endpoint", "set trace.endpoint to the collector's URL")
 	}
-	c.distinctListeners()
+	c.checkDistinctListeners()
 }
 
-// distinctListeners reports two listeners with the same address. Otherwise, the second listener
-// would fail to start only after the first has accepted clients that are meant for the second.
-func (c *checker) distinctListeners() {
+// checkDistinctListeners reports two listeners with the same address. Otherwise, the second
+// listener would fail to start only after the first has accepted clients that are meant for the
+// second.
+func (c *checker) checkDistinctListeners() {
 	l := c.settings.Listen
 	list := []struct{ path, address string }{
 		{"listen.callers", l.Callers}, {"listen.peers", l.Peers},
--- a/internal/telemetry/control.go
+++ b/internal/telemetry/control.go
@@ -75,11 +75,11 @@
 
 // Sent implements membership.Meter.
 func (m *MemberMeter) Sent(k membership.PacketKind, crossZone bool, bytes int) {
-	place := peer.SameZone
+	locality := peer.SameZone
 	if crossZone {
-		place = peer.OtherZone
+		locality = peer.OtherZone
 	}
-	m.sent.WithLabelValues(string(k), place.String()).Add(float64(bytes))
+	m.sent.WithLabelValues(string(k), locality.String()).Add(float64(bytes))
 	m.packets.WithLabelValues("sent").Inc()
 }
 
--- a/internal/telemetry/metrics.go
+++ b/internal/telemetry/metrics.go
@@ -121,8 +121,8 @@
 
 // exchangeKey identifies the series of a kind of exchange with peers in one locality.
 type exchangeKey struct {
-	kind  peerpb.Kind
-	place peer.Locality
+	kind     peerpb.Kind
+	locality peer.Locality
 }
 
 // NewPeerMeter returns a PeerMeter whose metrics are registered with reg.
@@ -146,25 +146,25 @@
 		m.rejected.WithLabelValues(listenerPeers, string(r))
 	}
 	for number, name := range peerpb.Kind_name {
-		for _, place := range peer.Localities() {
-			e := exchangeKey{peerpb.Kind(number), place}
-			m.sent[e] = bytes.WithLabelValues("sent", name, place.String())
-			m.received[e] = bytes.WithLabelValues("received", name, place.String())
+		for _, locality := range peer.Localities() {
+			e := exchangeKey{peerpb.Kind(number), locality}
+			m.sent[e] = bytes.WithLabelValues("sent", name, locality.String())
+			m.received[e] = bytes.WithLabelValues("received", name, locality.String())
 		}
 	}
 	return m
 }
 
 // Sent implements peer.Meter.
-func (m *PeerMeter) Sent(k peerpb.Kind, place peer.Locality, n int) {
-	if c, ok := m.sent[exchangeKey{k, place}]; ok {
+func (m *PeerMeter) Sent(k peerpb.Kind, locality peer.Locality, n int) {
+	if c, ok := m.sent[exchangeKey{k, locality}]; ok {
 		c.Add(float64(n))
 	}
 }
 
 // Received implements peer.Meter.
-func (m *PeerMeter) Received(k peerpb.Kind, place peer.Locality, n int) {
-	if c, ok := m.received[exchangeKey{k, place}]; ok {
+func (m *PeerMeter) Received(k peerpb.Kind, locality peer.Locality, n int) {
+	if c, ok := m.received[exchangeKey{k, locality}]; ok {
 		c.Add(float64(n))
 	}
 }
