--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -40,7 +40,7 @@
 	c.problems = append(c.problems, c.doc.Problem(v, path, text, want))
 }
 
-// checkObject checks the members of the top-level checkObject, for which path is empty, or of one
+// checkObject checks the members of the top-level object, for which path is empty, or of one
 // group.
 func (c *checker) checkObject(path string, v *hujson.Value) {
 	members, ok := jsonc.Members(v)
