--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -116,7 +116,7 @@
 		c.report(v, f.Path, string(lit)+" is not a number in range", f.Want())
 		return
 	}
-	if text := f.checkNumber(n, string(lit)); text != "" {
+	if text := f.numberProblem(n, string(lit)); text != "" {
 		c.report(v, f.Path, text, f.Want())
 	}
 }
@@ -132,7 +132,7 @@
 		c.report(v, f.Path, strconv.Quote(s)+" is not a duration", f.Want())
 		return
 	}
-	if text := f.checkNumber(float64(d), strconv.Quote(s)); text != "" {
+	if text := f.numberProblem(float64(d), strconv.Quote(s)); text != "" {
 		c.report(v, f.Path, text, f.Want())
 	}
 }
@@ -143,7 +143,7 @@
 		c.report(v, path, "is "+jsonc.KindName(v), f.Want())
 		return
 	}
-	if text := f.checkText(s); text != "" {
+	if text := f.textProblem(s); text != "" {
 		c.report(v, path, text, f.Want())
 	}
 }
--- a/internal/settings/field.go
+++ b/internal/settings/field.go
@@ -153,9 +153,9 @@
 	return ""
 }
 
-// checkNumber returns the problem with a number, empty if it is within the bounds. text is the
+// numberProblem returns the problem with a number, empty if it is within the bounds. text is the
 // number as it is shown in the problem. The comparison is written such that NaN is out of bounds.
-func (f Field) checkNumber(v float64, text string) string {
+func (f Field) numberProblem(v float64, text string) string {
 	switch {
 	case v >= f.Min && v <= f.Max:
 		return ""
@@ -165,15 +165,15 @@
 	return text + " is below the minimum"
 }
 
-// checkText returns the problem with a string, empty if it is valid.
-func (f Field) checkText(s string) string {
+// textProblem returns the problem with a string, empty if it is valid.
+func (f Field) textProblem(s string) string {
 	switch f.Kind {
 	case KindName:
-		return f.checkName(s)
+		return f.nameProblem(s)
 	case KindAddress, KindAddresses:
-		return checkAddress(s)
+		return addressProblem(s)
 	case KindURL:
-		return checkURL(s)
+		return urlProblem(s)
 	case KindChoice:
 		for _, c := range f.Choices {
 			if s == c {
@@ -185,8 +185,8 @@
 	return ""
 }
 
-// checkName returns the problem with a value of KindName, empty if it is valid.
-func (f Field) checkName(s string) string {
+// nameProblem returns the problem with a value of KindName, empty if it is valid.
+func (f Field) nameProblem(s string) string {
 	if len(s) < int(f.Min) || len(s) > int(f.Max) {
 		return fmt.Sprintf("the name has %d bytes", len(s))
 	}
@@ -198,10 +198,10 @@
 	return ""
 }
 
-// checkAddress returns the problem with an IP address and port, empty if it is valid. Host names
+// addressProblem returns the problem with an IP address and port, empty if it is valid. Host names
 // are invalid because the daemon would depend on a resolver, which can fail. The unspecified
 // address is invalid because other daemons receive the address and could not connect to it.
-func checkAddress(s string) string {
+func addressProblem(s string) string {
 	a, err := netip.ParseAddrPort(s)
 	switch {
 	case err != nil:
@@ -214,8 +214,8 @@
 	return ""
 }
 
-// checkURL returns the problem with an http or https URL, empty if it is valid.
-func checkURL(s string) string {
+// urlProblem returns the problem with an http or https URL, empty if it is valid.
+func urlProblem(s string) string {
 	u, err := url.Parse(s)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
 		return strconv.Quote(s) + " is not an http or https URL"
